--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -12,10 +12,11 @@
 import trio
 
 from sorrelsill import constants as C
+from sorrelsill.fleet.boot_times import BootTimes
 from sorrelsill.fleet.catalog import Catalog, parse_catalog
 from sorrelsill.fleet.consolidate import machines_to_drain
-from sorrelsill.fleet.rentals import Need, Offer, Pending, overdue, plan
-from sorrelsill.http import Client, NoAnswer, NotSent
+from sorrelsill.fleet.rentals import Need, Offer, Pending, counted_on, given_up, plan
+from sorrelsill.http import Client, NoAnswer, NotSent, always
 from sorrelsill.settings import CloudLimits
 from sorrelsill.store.budget import Bucket
 
@@ -46,11 +47,15 @@
         self._client = client
         self.bucket = Bucket(limits.rps * C.CLOUD_SHARE, max(1.0, limits.rps))
 
-    async def call(self, method: str, target: str, body: Any = None) -> dict[str, Any]:
+    async def call(
+        self, method: str, target: str, body: Any = None, may_send: Callable[[], bool] = always
+    ) -> dict[str, Any]:
+        """One call; `may_send` is asked right before it goes out. The cloud knows no tokens, so this alone keeps a
+        deposed leader from renting or returning machines."""
         await self.bucket.wait()
         try:
             status, raw = await self._client.request(
-                method, target, _encode(body) if body is not None else b"", C.CLOUD_TIMEOUT_S
+                method, target, _encode(body) if body is not None else b"", C.CLOUD_TIMEOUT_S, may_send
             )
             answer = _decode(raw) if raw else {}
         except NotSent as error:
@@ -91,6 +96,7 @@
         self._lag = lag_s
         self._prompt = prompt  # classes whose tasks should start within seconds
         self.pending: dict[str, Pending] = {}
+        self._boots = BootTimes()
         self.refused: dict[Offer, float] = {}
         self._refusals: dict[Offer, int] = {}
         self._open: list[_Rental] = []
@@ -181,11 +187,13 @@
             if name in self._returned:
                 self._returned[name] = now
                 continue  # gone; the list will say so later
+            age = float(item.get("ageS") or 0.0)
             if host is None and name not in self.pending and name not in self._give_back:
-                age = float(item.get("ageS") or 0.0)
                 self.pending[name] = Pending(
                     name, str(item.get("flavour")), str(item.get("region")), bool(item.get("reclaimable")), now - age
                 )
+            if phase == "booting" and name in self.pending:
+                self.pending[name].booted_for = age
         for name in [n for n in self._running_since if n not in found]:
             del self._running_since[name]
         patience = 3 * self._lag + C.LIST_EVERY_S
@@ -224,7 +232,9 @@
 
     def _forget_arrived(self, now: float) -> None:
         for name in [n for n in self.pending if n in self._ledger.hosts]:
-            del self.pending[name]
+            arrived = self.pending.pop(name)
+            if arrived.ours:
+                self._boots.note(arrived.flavour, now - arrived.since)
         self.refused = {o: t for o, t in self.refused.items() if t > now}
 
     def _choose_returns(self, now: float) -> None:
@@ -268,9 +278,7 @@
             if name in self._ledger.unheard:
                 continue
             up = self._running_since.get(name)
-            # Counted from our own beginning at the earliest: found on a day of our own, a new leader took every
-            # machine that had not reported to it yet for one that never came up, and gave the whole fleet back.
-            if overdue(max(pending.since, self._ledger.started), pending.flavour, self._ledger.catalog, now):
+            if given_up(pending, self._boots, self._ledger.catalog, now, self._ledger.started):
                 self._give_back.setdefault(name, "never came up")
             elif up is not None and now - up > 2 * C.SILENT_RETURN_S:
                 self._give_back.setdefault(name, "up but silent")
@@ -306,7 +314,7 @@
         if not names:
             return
         try:
-            await self._cloud.call("POST", "/rentals/return", {"hosts": names})
+            await self._cloud.call("POST", "/rentals/return", {"hosts": names}, self._valid)
         except CloudError as error:
             log.info("returning: %s", error)
             return
@@ -395,7 +403,7 @@
         if not kept:
             return {}, 0.0
         free = dict.fromkeys(self._ledger.catalog.zones, 0.0) | self._ledger.ordinary_room()
-        for p in self.pending.values():
+        for p in self._counted_on(trio.current_time()):
             kind = self._ledger.catalog.flavours.get(p.flavour)
             if kind is not None and not p.spot:
                 free[p.zone] = free.get(p.zone, 0.0) + kind.cpus
@@ -425,7 +433,7 @@
         for host in self._ledger.ready.values():
             if host.allows(spec):
                 room[host.zone] = room.get(host.zone, 0) + self._spare_on(host, spec)
-        for p in self.pending.values():
+        for p in self._counted_on(trio.current_time()):
             kind = self._ledger.catalog.flavours.get(p.flavour)
             if kind is not None and not p.spot and (spec.flavours is None or p.flavour in spec.flavours):
                 room[p.zone] = room.get(p.zone, 0) + int(kind.cpus // max(spec.cpus, 0.1))
@@ -488,14 +496,16 @@
         for p in self.pending.values():
             in_zone[p.zone] = in_zone.get(p.zone, 0) + 1
         wanted = plan(
-            self.needs(now), list(self.pending.values()), self._ledger.catalog, self.refused, now, in_zone,
-            self._hurried,
+            self.needs(now), self._counted_on(now), self._ledger.catalog, self.refused, now, in_zone, self._hurried,
         )  # fmt: skip
         for offer, count in sorted(wanted.items(), key=lambda i: -i[1]):
             self._counter += 1
             ref = f"r-{self._ledger.term}-{self._counter}"
             self._open.append(_Rental(ref, offer, min(count, C.RENT_MAX)))
 
+    def _counted_on(self, now: float) -> list[Pending]:
+        return counted_on(list(self.pending.values()), self._boots, self._ledger.catalog, now)
+
     def _refuse(self, offer: Offer, now: float) -> None:
         """Not again for a while, longer each time: refused calls use up the cloud's rate all the same."""
         times = self._refusals.get(offer, 0)
@@ -514,7 +524,7 @@
         }  # fmt: skip
         rental.tries += 1
         try:
-            answer = await self._cloud.call("POST", "/rentals", body)
+            answer = await self._cloud.call("POST", "/rentals", body, self._valid)
             names = [str(n) for n in answer["hosts"]]
         except (CloudError, KeyError, TypeError) as error:
             status = getattr(error, "status", 0)
@@ -535,7 +545,7 @@
         self._open.remove(rental)
         for name in names:
             if name not in self._ledger.hosts:
-                self.pending[name] = Pending(name, flavour, zone, spot, now)
+                self.pending[name] = Pending(name, flavour, zone, spot, now, ours=True)
         self._refusals.pop(rental.offer, None)
         if len(names) < rental.count:
             self._refuse(rental.offer, now)
--- a/sorrelsill/fleet/rentals.py
+++ b/sorrelsill/fleet/rentals.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass, field
 
 from sorrelsill import constants as C
-from sorrelsill.fleet.catalog import Catalog, Flavour
+from sorrelsill.fleet.boot_times import BootTimes
+from sorrelsill.fleet.catalog import Catalog
 
 Offer = tuple[str, str, bool]  # machine type, zone, spot
 
@@ -20,6 +21,8 @@
     zone: str
     spot: bool
     since: float
+    booted_for: float = 0.0  # its age when the machine list last said that it was still booting
+    ours: bool = False  # rented by this process, so that `since` is exact
 
 
 @dataclass(slots=True)
@@ -140,8 +143,18 @@
     return best[1] if best is not None else None
 
 
-def overdue(since: float, flavour: str, catalog: Catalog, now: float) -> bool:
-    """A machine that has been booting for far too long never comes up, but is charged."""
-    kind: Flavour | None = catalog.flavours.get(flavour)
-    boot = kind.boot_s if kind is not None else C.MIN_CHARGE_S
-    return now - since > C.BOOT_SLOW * boot + C.BOOT_EXTRA_S
+def counted_on(pending: list[Pending], boots: BootTimes, catalog: Catalog, now: float) -> list[Pending]:
+    """The machines on their way that the plan may count on. Late ones are replaced, the latest first, but only a part
+    of them: when all are late, further rentals would be late as well and cost as much."""
+    late = [p for p in pending if now - p.since > boots.late_after_s(p.flavour, catalog)]
+    late.sort(key=lambda p: p.since)
+    replaced = min(len(late), max(C.LATE_REPLACED_MIN, math.ceil(C.LATE_REPLACED_SHARE * len(late))))
+    left_out = {p.name for p in late[:replaced]}
+    return [p for p in pending if p.name not in left_out]
+
+
+def given_up(pending: Pending, boots: BootTimes, catalog: Catalog, now: float, leading_since: float) -> bool:
+    """Whether the machine will most likely never come up. `leading_since` guards against a new leader that takes every
+    machine that has not reported to it yet for one that never came up: only the list's word reaches further back."""
+    limit = boots.give_up_after_s(pending.flavour, catalog)
+    return max(pending.booted_for, now - max(pending.since, leading_since)) > limit
--- a/sorrelsill/http/client.py
+++ b/sorrelsill/http/client.py
@@ -22,6 +22,13 @@
 
 Connect = Callable[[str], Awaitable[trio.abc.Stream]]
 
+MaySend = Callable[[], bool]  # asked right before a request is written: whether it may still be sent
+
+
+def always() -> bool:
+    """For requests that anybody may send at any time."""
+    return True
+
 
 async def connect_tcp(addr: str) -> trio.abc.Stream:
     """A TCP connection to a numeric address, without any name look-up (and so without a thread)."""
@@ -52,8 +59,9 @@
         self._idle: list[_Conn] = []
 
     async def request(
-        self, method: str, target: str, body: bytes = b"", timeout: float = C.STORE_TIMEOUT_S
-    ) -> tuple[int, bytes]:
+        self, method: str, target: str, body: bytes = b"", timeout: float = C.STORE_TIMEOUT_S,
+        may_send: MaySend = always,
+    ) -> tuple[int, bytes]:  # fmt: skip
         """Status and body, or NotSent or NoAnswer."""
         conn: _Conn | None = None
         sent = False
@@ -61,6 +69,9 @@
             try:
                 conn = self._take() or await self._open()
                 data = heads.write_request(method, target, self.addr, len(body)) + body
+                # Guards against a process that stood still while it connected and now acts on what it decided before.
+                if not may_send():
+                    raise NotSent(f"{self.addr}: not entitled to send it any more")
                 sent = True
                 await conn.stream.send_all(data)
                 status, answer = await self._answer(conn, method)
--- a/sorrelsill/jobs/admission.py
+++ b/sorrelsill/jobs/admission.py
@@ -46,10 +46,12 @@
     deadline: float
     done: trio.Event = field(default_factory=trio.Event)
     answer: Answer | None = None
+    as_of: float = 0.0  # when the request was sent on whose outcome the answer rests
 
-    def tell(self, answer: Answer) -> None:
+    def tell(self, answer: Answer, as_of: float) -> None:
         """At once: what the rest of its batch still waits for would make the answer older than need be."""
         self.answer = answer
+        self.as_of = as_of
         self.done.set()
 
 
@@ -64,6 +66,19 @@
     return {"uid": uid, "phase": "running" if running else "pending", "done": done, "running": running}
 
 
+def _out_of_date(as_of: float) -> bool:
+    """Whether an answer that is not final rests on what was known too long ago.
+
+    Guards against a process that stood still between finding out and answering: another controller may have told the
+    user something newer meanwhile."""
+    return trio.current_time() - as_of > C.POLL_DEADLINE_S
+
+
+def _check_age(as_of: float) -> None:
+    if _out_of_date(as_of):
+        raise Busy("the answer is out of date")
+
+
 class Admission:
     def __init__(self, store: Store, view: View, teams: list[Team], time_of_day: Callable[[], float]) -> None:
         self._store = store
@@ -72,6 +87,7 @@
         self._time_of_day = time_of_day
         self.catalog: Catalog | None = None
         self._queue: list[_Waiting] = []
+        self._lookups = 0  # reads of final records in flight for polls
         self._asked = trio.Event()
 
     # --- submission ---
@@ -96,7 +112,11 @@
             raise Busy("the state service did not take the job in time")
         # Other controllers may have told more since the read or write that the answer rests on.
         known = self._known(spec.uid)
-        return (200, known) if known is not None else waiting.answer
+        if known is not None:
+            return 200, known
+        if waiting.answer[0] in (200, 201) and _out_of_date(waiting.as_of):
+            return await self.poll(spec.uid)
+        return waiting.answer
 
     def _known(self, uid: str) -> dict[str, Any] | None:
         """What is known of a job without asking; enough to say that it was accepted."""
@@ -147,6 +167,7 @@
             for uid in todo:
                 conditions += [Condition(job_key(uid), 0), Condition(final_key(uid), 0)]
                 writes.append(Put(job_key(uid), records[uid]))
+            sent_at = trio.current_time()
             try:
                 txn = await self._store.multi(conditions, writes)
             except Refused:
@@ -173,7 +194,7 @@
                 for uid, group in todo.items():
                     self._view.apply(job_key(uid), records[uid], txn.rev, True)
                     for waiting in group:
-                        waiting.tell((201, {"uid": uid, "phase": "pending"}))
+                        waiting.tell((201, {"uid": uid, "phase": "pending"}), sent_at)
                 return
             for key in txn.failed:
                 uid = key.rsplit("/", 1)[-1]
@@ -196,30 +217,32 @@
         return None
 
     async def _settle(self, uid: str, group: list[_Waiting]) -> bool:
+        asked_at = trio.current_time()
         try:
             state = await self._lookup(uid)
         except (Unavailable, Ambiguous):
             return False
         for waiting in group if state is not None else []:
-            waiting.tell((200, state or {}))
+            waiting.tell((200, state or {}), asked_at)
         return state is not None
 
     async def _judge(self, uid: str, group: list[_Waiting]) -> None:
+        asked_at = trio.current_time()
         try:
             state = await self._lookup(uid)
         except (Unavailable, Ambiguous):
             return
         for waiting in group:
             if state is not None:
-                waiting.tell((200, state))
+                waiting.tell((200, state), asked_at)
             elif self._too_long(waiting.spec):
-                waiting.tell((400, {"error": "body: longer than the state service can keep"}))
+                waiting.tell((400, {"error": "body: longer than the state service can keep"}), asked_at)
             elif self.catalog is not None:
                 # The catalog may have come during the look-up: then the job may well be possible, and is
                 # sent back to be asked again rather than refused for good.
                 reason = impossible(waiting.spec, self._teams, self.catalog)
                 if reason is not None:
-                    waiting.tell((422, {"error": reason}))
+                    waiting.tell((422, {"error": reason}), asked_at)
 
     # --- polls ---
 
@@ -231,9 +254,14 @@
             return 200, known
         if self._store.failing_for() > C.READY_STORE_S / 2:
             raise Busy("the state service can't be reached")
+        if self._view.waiting() >= C.POLL_QUEUE:
+            # Guards against storms of polls: what waits is bounded, and the rest is told at once to come back.
+            raise Busy("too many polls are waiting")
+        asked_at = trio.current_time()
         with trio.move_on_after(C.POLL_DEADLINE_S):
             if not await self._view.barrier():
                 raise Busy("the state service does not answer")
+            _check_age(asked_at)
             known = self._known(uid)
             if known is not None:
                 return 200, known
@@ -241,10 +269,8 @@
             if live is not None:
                 return 200, _state(uid, live[0])
             # Not live after the barrier: over long ago, or never accepted when the poll came.
-            try:
-                found = await self._store.get(final_key(uid))
-            except (Unavailable, Ambiguous) as error:
-                raise Busy(str(error)) from None
+            found = await self._read_final(uid)
+            _check_age(asked_at)
             if found is not None:
                 self._view.remember_final(uid, found[0])
                 return 200, self._known(uid) or {}
@@ -255,6 +281,19 @@
             return 404, {"error": "no such job"}
         raise Busy("the state service is slow")
 
+    async def _read_final(self, uid: str) -> tuple[Any, int] | None:
+        """A direct read, one for each poll. Guards against storms of questions about jobs that nobody submitted: they
+        must not use up the requests that submissions need."""
+        if self._lookups >= C.LOOKUPS_AT_ONCE:
+            raise Busy("too many polls are waiting")
+        self._lookups += 1
+        try:
+            return await self._store.get(final_key(uid))
+        except (Unavailable, Ambiguous) as error:
+            raise Busy(str(error)) from None
+        finally:
+            self._lookups -= 1
+
     # --- for operators and teams ---
 
     async def why(self, uid: str) -> Answer:
@@ -270,8 +309,10 @@
         """A team's live jobs, and only its own, in order of their ids."""
         if name not in self._teams:
             return 404, {"error": "no such team"}
+        asked_at = trio.current_time()
         if not await self._view.barrier():
             raise Busy("the state service does not answer")
+        _check_age(asked_at)
         mine = sorted(
             ((uid, value) for uid, value, _ in self._view.jobs() if value["s"].get("owner") == name and uid > after),
             key=lambda item: item[0],
--- a/sorrelsill/leadership/elector.py
+++ b/sorrelsill/leadership/elector.py
@@ -14,7 +14,7 @@
 
 import logging
 import random
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable, Sequence
 
 import trio
 
@@ -33,7 +33,7 @@
         self._release_s = release_s
         self._beats: dict[str, float] = {}
         self._exited: set[str] = set()
-        self.needs_beat: Callable[[], bool] = lambda: True
+        self._asked_at = trio.current_time()
 
     def beat(self, loop: str) -> None:
         self._beats[loop] = trio.current_time()
@@ -44,23 +44,42 @@
     def out(self) -> list[str]:
         """Loops that are stalled past limit and release time, or gone; the leader yields if any is."""
         now = trio.current_time()
+        unwatched = now - self._asked_at
+        self._asked_at = now
+        if unwatched >= self._stall_s:
+            # Guards against a process that stood still as a whole and, on waking, takes its loops for stalled.
+            self._beats = {name: at + unwatched for name, at in self._beats.items()}
         limit = self._stall_s + self._release_s
         stalled = [n for n, at in self._beats.items() if now - at > limit]
         return sorted(self._exited | set(stalled))
 
 
+def next_in_order(label: str, others: Sequence[str]) -> str | None:
+    """The controller that workers try after this one: they go through all in the order of the labels' numbers."""
+    order = sorted({label, *others}, key=lambda name: (len(name), name))
+    return order[(order.index(label) + 1) % len(order)] if len(order) > 1 else None
+
+
+async def _nobody(former: str) -> bool:
+    """Whether other controllers may take the key, for one that knows of none."""
+    return False
+
+
 class Elector:
     """The loop that keeps, loses and takes the key."""
 
     def __init__(
-        self, store: Store, view: View, timings: Timings, label: str, watchdog: Watchdog, rng: random.Random
-    ) -> None:
+        self, store: Store, view: View, timings: Timings, label: str, watchdog: Watchdog, rng: random.Random,
+        others: Sequence[str] = (),
+    ) -> None:  # fmt: skip
         self._store = store
         self._view = view
         self._t = timings
         self._label = label
         self._watchdog = watchdog
         self._rng = rng
+        self._next_label = next_in_order(label, others)
+        self._former: str | None = None  # who led last, as far as we followed
         self.term: int | None = None
         self._lease: int | None = None
         self._good_ping = float("-inf")
@@ -71,6 +90,7 @@
         self._ended: set[int] = set()  # leases of earlier processes of ours that we tried to end, once each
         self.acquiring = False  # a try for the key is under way, so no promise can be given
         self.on_term: Callable[[int | None], None] = lambda term: None
+        self.other_candidates: Callable[[str], Awaitable[bool]] = _nobody
         self._changed = trio.Event()
         view.listeners.append(self._seen)
 
@@ -95,6 +115,8 @@
     def _seen(self, key: str, value: object, rev: int) -> None:
         if key != LEADER:
             return
+        if value is not None:
+            self._former = self.leader_label()
         if self.term is not None and (value is None and rev > self.term or value is not None and rev > self.term):
             # The key went or changed hands; act no more, whatever our own clock says.
             log.info("the leader key of term %d is gone", self.term)
@@ -182,6 +204,7 @@
                 await changed.wait()
             return
         await trio.sleep(self._rng.random() * C.ACQUIRE_JITTER_S)
+        await self._defer()
         if self._view.leader() is not None:
             return
         self.acquiring = True
@@ -194,6 +217,16 @@
         finally:
             self.acquiring = False
 
+    async def _defer(self) -> None:
+        """Let others try for the key first, if this controller comes right before the former leader.
+
+        Workers whose controller does not answer go on to the next one in order, and each that does not answer either
+        costs them up to 5 s of their lease. With the former leader down, a leader right before it would, should it
+        freeze or end as well, be two unreachable controllers away from the next: most of a lease. Any other is one."""
+        former = self._former
+        if former is not None and former == self._next_label and await self.other_candidates(former):
+            await trio.sleep(C.ACQUIRE_DEFER_S)
+
     async def _end_former(self) -> bool:
         """A process that is back at once finds the key of its former self, which is dead for certain, or one that a
         request of its former self took after its end. Nobody pings it: ending it spares the wait for its lease."""
@@ -242,6 +275,10 @@
                 return
             if not await self._view.barrier():
                 await trio.sleep(C.RETRY_S / 5)
+        if trio.current_time() - sent_at >= self._t.validity_s:
+            # Guards against a process that stood still during the last read and would begin a term that is over.
+            await self._store.revoke(lease, timeout)
+            return
         self.term, self._lease = term, lease
         self._good_ping = sent_at
         self.since = trio.current_time()
--- a/sorrelsill/node.py
+++ b/sorrelsill/node.py
@@ -49,7 +49,10 @@
         self.store = Store(make_client(settings.services.state), facts.state, facts.nodes)
         self.view = View(self.store)
         self.watchdog = Watchdog(self.timings.stall_s, self.timings.self_release_s)
-        self.elector = Elector(self.store, self.view, self.timings, settings.label, self.watchdog, rng)
+        self.elector = Elector(
+            self.store, self.view, self.timings, settings.label, self.watchdog, rng,
+            [member.label for member in settings.members],
+        )  # fmt: skip
         self.elector.acquire_after = trio.current_time() + (C.PROMISE_S if settings.members else 0.0)
         self._time_of_day = time_of_day
         self.cancellations = Cancellations(
@@ -75,6 +78,7 @@
         self.counts: dict[str, int] = {}
         self.elector.on_term = self._on_term
         self.elector.deaf = self._deaf
+        self.elector.other_candidates = self.standstill.other_candidates
         self.standstill.on_bound = self._on_bound
         self.standstill.on_cancelled = self._on_cancelled
         self.view.listeners.append(self._on_key)
@@ -303,7 +307,8 @@
                 return Reply(200, _encode({"epoch": report.epoch, "orders": self._halts(report, now)}))
             # Only a report that is newer than all before makes the connection the machine's own: not a late copy.
             return Reply(200, _encode({"epoch": ledger.term, "orders": orders}), owner=report.host)
-        label = self.elector.leader_label()
+        # Guards against a process that stood still: its view may name a leader that has ended since.
+        label = self.elector.leader_label() if self._fresh() else None
         if label in self._labels:
             return Reply(421, _encode({"upstream": label}))
         return Reply(421, _encode({}))
--- a/sorrelsill/peers/standstill.py
+++ b/sorrelsill/peers/standstill.py
@@ -39,6 +39,7 @@
         self._cancellations = cancellations
         self._elector = elector
         self._clients = [client(m.addr) for m in members]
+        self._labels = [m.label for m in members]
         self._held: dict[int, float] = {}  # peer -> until when its promise holds for us
         self._failing_peers: dict[int, float] = {}  # peer -> when it last said that it lacks the store too
         self.on_bound: Callable[[float], None] = lambda until: None
@@ -82,6 +83,28 @@
         known = self._cancellations.tell(asked, trio.current_time())
         return orjson.dumps({"promised": promised, "failing": failing, "known": known})
 
+    async def other_candidates(self, former: str) -> bool:
+        """Whether a controller of this version, other than the `former` leader, answers at this moment."""
+        found = False
+
+        async def ask(client: Client) -> None:
+            nonlocal found
+            body = orjson.dumps({"promise": False, **self._cancellations.ask(trio.current_time())})
+            try:
+                status, raw = await client.request("POST", "/promise", body, C.ACQUIRE_DEFER_S)
+                answer = orjson.loads(raw) if status == 200 else {}
+            except (NotSent, NoAnswer, orjson.JSONDecodeError):
+                return
+            if isinstance(answer, dict) and "known" in answer:  # the version before this one sends no such field
+                found = True
+                nursery.cancel_scope.cancel()
+
+        async with trio.open_nursery() as nursery:
+            for label, client in zip(self._labels, self._clients, strict=True):
+                if label != former:
+                    nursery.start_soon(ask, client)
+        return found
+
     async def run(self) -> None:
         while True:
             if self._failing() and not self._elector.acquiring:
--- a/sorrelsill/standins/cloud.py
+++ b/sorrelsill/standins/cloud.py
@@ -35,6 +35,10 @@
         self.on_return: Callable[[str], None] = lambda name: None
         self.outage = False
         self.never_boots: set[int] = set()  # machine numbers that stay booting
+        self.boot_times: Callable[[int], float] = lambda number: 1.0  # of the published boot time, by machine number
+        self.rented: list[tuple[float, int]] = []  # when, how many
+        self.calls = 0
+        self.paid: dict[str, float] = {}  # machine -> seconds until it was returned
         self._count = 0
 
     def add(self, flavour: str, zone: str, spot: bool) -> str:
@@ -50,13 +54,16 @@
         while True:
             now = trio.current_time()
             for item in list(self.machines.values()):
-                up = item["number"] not in self.never_boots and now - item["born"] >= FLAVOUR["bootS"]  # type: ignore[operator]
+                up = item["number"] not in self.never_boots and now - item["born"] >= (
+                    FLAVOUR["bootS"] * self.boot_times(item["number"])  # type: ignore[operator]
+                )
                 if item["phase"] == "booting" and up:
                     item["phase"] = "running"
                     self._boot(item["uid"], item["flavour"], item["region"], item["reclaimable"])
             await trio.sleep(0.25)
 
     async def handle(self, src: str, request: Request) -> Reply:
+        self.calls += 1
         if self.outage:
             return Reply(503, _encode({"error": "trouble"}))
         body = _decode(request.body) if request.body else {}
@@ -64,7 +71,9 @@
             return Reply(200, _encode({"flavours": [FLAVOUR]}))
         if request.path == "/rentals/return":
             for name in body["hosts"]:
-                if self.machines.pop(name, None) is not None:
+                machine = self.machines.pop(name, None)
+                if machine is not None:
+                    self.paid[name] = trio.current_time() - machine["born"]
                     self.on_return(name)
             return Reply(200, _encode({}))
         if request.method == "GET":
@@ -80,4 +89,5 @@
                 return Reply(503, _encode({"error": "no capacity"}))
             names = [self.add(body["flavour"], body["region"], body["reclaimable"]) for _ in range(count)]
             self.done[body["hireRef"]] = names
+            self.rented.append((trio.current_time(), count))
         return Reply(200, _encode({"hosts": self.done[body["hireRef"]]}))
--- a/sorrelsill/standins/network.py
+++ b/sorrelsill/standins/network.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from sorrelsill.http import Client, NoAnswer, NotSent, Reply, Request
+from sorrelsill.http import Client, MaySend, NoAnswer, NotSent, Reply, Request, always
 
 Handler = Callable[[str, Request], Awaitable[Reply]]
 
@@ -38,6 +38,9 @@
         # Seconds after which a request is delivered to nobody's use, or None: its sender never gets an answer.
         self.late: Callable[[str, str, Request], float | None] = lambda src, dst, request: None
         self.copy: Callable[[str, str, Request], None] = lambda src, dst, request: None  # sees all that is sent
+        # Between connecting and writing: what a test does there happens after the sender's decision.
+        self.on_connected: Callable[[str, str, Request], None] = lambda src, dst, request: None
+        self.sent: Callable[[str, str, Request], None] = lambda src, dst, request: None  # what was really written
 
     def cut(self, a: str, b: str, both: bool = True) -> None:
         self._cuts.add((a, b))
@@ -85,7 +88,7 @@
         if handler is not None and dst not in self.down:
             await handler(src, request)
 
-    async def send(self, src: str, dst: str, request: Request, timeout: float) -> Reply:
+    async def send(self, src: str, dst: str, request: Request, timeout: float, may_send: MaySend = always) -> Reply:
         if dst in self.down or dst not in self.handlers or (src, dst) in self.refused:
             await trio.sleep(self.latency)
             raise NotSent(f"{dst} refuses")
@@ -93,6 +96,11 @@
         item = _Held(src, dst, request, sender)
         with trio.move_on_after(timeout):
             await trio.sleep(self.latency)
+            self.on_connected(src, dst, request)
+            await trio.lowlevel.checkpoint()
+            if not may_send():
+                raise NotSent(f"{src} is not entitled to send to {dst} any more")
+            self.sent(src, dst, request)
             self.copy(src, dst, request)
             delay = self.late(src, dst, request)
             if delay is not None:
@@ -116,7 +124,9 @@
         super().__init__(dst)
         self._net, self._src = net, src
 
-    async def request(self, method: str, target: str, body: bytes = b"", timeout: float = 1.5) -> tuple[int, bytes]:
+    async def request(
+        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always
+    ) -> tuple[int, bytes]:
         path, _, query = target.partition("?")
-        reply = await self._net.send(self._src, self.addr, Request(method, path, query, body), timeout)
+        reply = await self._net.send(self._src, self.addr, Request(method, path, query, body), timeout, may_send)
         return reply.status, reply.body
--- a/sorrelsill/standins/world.py
+++ b/sorrelsill/standins/world.py
@@ -26,6 +26,7 @@
 )
 from sorrelsill.standins import production
 from sorrelsill.standins.cloud import FakeCloud
+from sorrelsill.standins.freeze import Gate, GatedTasks
 from sorrelsill.standins.gangs import Gangs
 from sorrelsill.standins.network import FakeNet
 from sorrelsill.standins.store import FakeStore
@@ -53,13 +54,18 @@
 class World:
     def __init__(
         self, nursery: trio.Nursery, seed: int, teams: list[Team], txn_ops: int = 16, coming: NextLimits | None = None,
-        old: bool = False,
+        old: bool = False, gated: GatedTasks | None = None,
     ) -> None:  # fmt: skip
         self.coming = coming
+        self._gated = gated or GatedTasks()
+        self._gates: dict[str, Gate] = {}
+        self.request_cost_s = 0.0  # processor time of a controller for each request
+        self._processors: dict[str, trio.Lock] = {}
         self.may_refuse = 0  # transactions that the store may refuse as too large in this story
         self.nursery = nursery
         self.rng = random.Random(seed)
         self.net = FakeNet(nursery)
+        self.net.sent = self._check_entitled
         self.store = FakeStore(txn_ops=txn_ops)
         self.value_kb, self.txn_ops = self.store.value_kb, txn_ops  # as the settings tell
         self.cloud = FakeCloud(self._boot)
@@ -68,6 +74,8 @@
         self.nodes: dict[str, Node] = {}
         self._scopes: dict[str, trio.CancelScope] = {}
         self.workers: dict[str, FakeWorker] = {}
+        self.ever_up: set[str] = set()  # machines that came up
+        self.on_boot: Callable[[str], None] = lambda name: None
         self.specs: dict[str, dict[str, Any]] = {}
         self.accepted: set[str] = set()
         self.over: dict[str, str] = {}  # what users were told: uid -> done or cancelled
@@ -105,11 +113,17 @@
         else:
             node = Node(settings, Operator(), rng, self.net.client(label), trio.current_time)
 
+        gate = self._gates[label] = Gate()
+        self._processors[label] = trio.Lock()
+
         async def users(src: str, request: Request) -> Reply:
-            return await node.handle(request)
+            await self._compute(label)
+            reply: Reply = await gate.under(node.handle, request)
+            return reply
 
         async def peers(src: str, request: Request) -> Reply:
-            return await node.handle_peer(request)
+            reply: Reply = await gate.under(node.handle_peer, request)
+            return reply
 
         self.nodes[label] = node
         self.net.handlers[label], self.net.handlers[f"{label}:peer"] = users, peers
@@ -117,15 +131,49 @@
         scope = self._scopes[label] = trio.CancelScope()
 
         async def run() -> None:
+            self._gated.put_under(gate)
             with scope:
-                await node.run()
+                await gate.under(node.run)
 
         self.nursery.start_soon(run)
         return node
 
+    async def _compute(self, label: str) -> None:
+        """A request uses the controller's only processor: everything else of it waits meanwhile."""
+        if not self.request_cost_s:
+            return
+        gate = self._gates[label]
+        async with self._processors[label]:
+            gate.freeze()
+            await trio.sleep(self.request_cost_s)
+            gate.thaw()
+
+    def freeze(self, label: str, for_s: float) -> None:
+        """The controller stands still as a whole; clocks and everything else go on."""
+        gate = self._gates[label]
+        gate.freeze()
+
+        async def later() -> None:
+            await trio.sleep(for_s)
+            gate.thaw()
+
+        self.nursery.start_soon(later)
+
+    def frozen(self, label: str) -> bool:
+        """Whether the controller stands still."""
+        return self._gates[label].frozen
+
+    def _check_entitled(self, src: str, dst: str, request: Request) -> None:
+        """Only a leader within its validity may command workers, rent or return machines."""
+        node = self.nodes.get(src)
+        acts = request.path == "/commands" or request.method == "POST" and request.path.startswith("/rentals")
+        if acts and isinstance(node, Node) and not node.elector.valid():
+            self.broken.append(f"not entitled: {src} sends {request.path} at {trio.current_time():.1f}")
+
     def kill(self, label: str) -> None:
         """Without a signal: from one moment to the next."""
         self._scopes[label].cancel()
+        self._gates[label].thaw()
         self.net.down |= {label, f"{label}:peer"}
 
     def leader(self) -> str | None:
@@ -147,6 +195,8 @@
         )  # fmt: skip
         worker.on_done = self.finished.add
         self.workers[name] = worker
+        self.ever_up.add(name)
+        self.on_boot(name)
         self.net.handlers[name] = worker.handle
         self.nursery.start_soon(worker.run)
         self.nursery.start_soon(worker.live)
@@ -366,15 +416,16 @@
 ) -> World:  # fmt: skip
     """Run a story on a virtual clock, and check at its end that no rule was broken on the way."""
     worlds: list[World] = []
+    gated = GatedTasks()
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            world = World(nursery, seed, teams or [Team("red"), Team("blue")], txn_ops, coming, old)
+            world = World(nursery, seed, teams or [Team("red"), Team("blue")], txn_ops, coming, old, gated)
             worlds.append(world)
             await tell(world)
             nursery.cancel_scope.cancel()
 
-    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
+    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0), instruments=[gated])
     assert not worlds[0].broken, worlds[0].broken
     assert len(worlds[0].store.refusals) <= worlds[0].may_refuse, worlds[0].store.refusals
     return worlds[0]
--- a/sorrelsill/store/view.py
+++ b/sorrelsill/store/view.py
@@ -253,6 +253,10 @@
                 self.loaded = False
                 await trio.sleep(C.RETRY_S)
 
+    def waiting(self) -> int:
+        """How many callers wait for a barrier."""
+        return len(self._waiting)
+
     async def barrier(self) -> bool:
         """After True the view holds every change committed before this call. One read serves all that
         wait; it begins after they came, at most at the node's rate of barriers."""
--- a/sorrelsill/stories/test_fleet.py
+++ b/sorrelsill/stories/test_fleet.py
@@ -9,7 +9,7 @@
 
 from sorrelsill import constants as C
 from sorrelsill.fleet import Catalog, Flavour
-from sorrelsill.http import Client, NoAnswer
+from sorrelsill.http import Client, MaySend, NoAnswer, always
 from sorrelsill.jobs import ShardSet, Spec, parse_spec
 from sorrelsill.placement import Placer
 from sorrelsill.settings import Objective, Team
@@ -186,7 +186,9 @@
 
     asked: list[float]
 
-    async def request(self, method: str, target: str, body: bytes = b"", timeout: float = 1.5) -> tuple[int, bytes]:
+    async def request(
+        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always
+    ) -> tuple[int, bytes]:
         self.asked.append(trio.current_time())
         await trio.sleep(timeout)
         raise NoAnswer("hangs")
--- a/sorrelsill/workers/push.py
+++ b/sorrelsill/workers/push.py
@@ -20,7 +20,7 @@
 from sorrelsill.workers.messages import BadReport, parse_report
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.ledger import Host, Ledger
+    from sorrelsill.workers.ledger import Attempt, Host, Ledger
 
 log = logging.getLogger(__name__)
 
@@ -98,7 +98,9 @@
                 return
             body = _encode({"epoch": ledger.term, "tenure": host.tenure, "orders": orders})
             try:
-                status, raw = await self._client(host.addr).request("POST", "/commands", body, C.PUSH_TIMEOUT_S)
+                status, raw = await self._client(host.addr).request(
+                    "POST", "/commands", body, C.PUSH_TIMEOUT_S, may_send=self._valid_for(attempts)
+                )
             except NotSent as error:
                 ledger.direct_answered(attempts)
                 self._later(host.name, str(error))
@@ -120,6 +122,10 @@
             if ledger.has_direct(host, True):
                 ledger.talk[host.name] = host
 
+    def _valid_for(self, starts: list[Attempt]) -> Callable[[], bool]:
+        """Whether commands may still go out: with starts only while the view of the jobs is fresh as well."""
+        return lambda: self._valid() and (not starts or self._fresh())
+
     async def _greet(self, ledger: Ledger, name: str, addr: str) -> None:
         try:
             status, raw = await self._client(addr).request("GET", "/status", b"", C.PUSH_TIMEOUT_S)
@@ -127,7 +133,9 @@
                 return
             tenure = parse_report(raw).tenure
             body = _encode({"epoch": ledger.term, "tenure": tenure, "orders": []})
-            status, raw = await self._client(addr).request("POST", "/commands", body, C.PUSH_TIMEOUT_S)
+            status, raw = await self._client(addr).request(
+                "POST", "/commands", body, C.PUSH_TIMEOUT_S, may_send=self._valid
+            )
             if status in (200, 409):
                 self._take(ledger, raw)
         except (NotSent, NoAnswer, BadReport) as error:
