--- a/sorrelsill/placement/engine.py
+++ b/sorrelsill/placement/engine.py
@@ -74,6 +74,7 @@
         self._room: dict[str, float] = {}  # ... of what is free on ordinary machines
         self.unplaced: dict[str, Unplaced] = {}
         self.guaranteed: set[str] = set()
+        self._guests: set[str] = set()  # teams without a guarantee that have work on machines
 
     def reset(self) -> None:
         """A new term begins."""
@@ -119,14 +120,16 @@
         return missed, job.submitted
 
     def _order(self, ledger: Ledger, now: float) -> list[str]:
-        def key(job: Job) -> tuple[int, int, int, int, int, float, float]:
+        def key(job: Job) -> tuple[int, int, int, int, int, int, float, float]:
             spec = job.spec
             missed, due = self.due(job, now)
             # The least work first: by their marks alone, in a burst all jobs share what room there is and all miss.
             work = 0.0 if spec.endless else (spec.shards - job.done.count) * spec.cpus * spec.expected_s
             guaranteed = 0 if job.spec.uid in self.guaranteed else 1
             aged = 0 if aged_out(job, now) else 1
-            return (min(spec.rank, 1), aged, guaranteed, spec.rank, missed, work, due)
+            # Guests come after all others of their rank: with the least work first, their many small jobs went before.
+            guest = 1 if self._is_guest(spec.team) else 0
+            return (min(spec.rank, 1), aged, guaranteed, spec.rank, guest, missed, work, due)
 
         return [j.spec.uid for j in sorted((j for j in ledger.jobs.values() if j.waiting > 0), key=key)]
 
@@ -153,6 +156,7 @@
                 self.guaranteed = self._find_guaranteed(ledger)
                 self._ordered = (now, ledger.version)
             self._left = self._order(ledger, now)
+            self._guests = {j.spec.team for j in ledger.jobs.values() if j.bound and self._is_guest(j.spec.team)}
             self.unplaced = {u: d for u, d in self.unplaced.items() if u in ledger.jobs}
             self._claims = {u: left for u, t in self._claims.items() if (left := [x for x in t if x > now])}
             self._reserved = {
@@ -184,7 +188,7 @@
     ) -> bool:  # fmt: skip
         spec = job.spec
         self.unplaced.pop(spec.uid, None)
-        if not ledger.settled(job) or job.not_before > now:
+        if not ledger.settled(job) or job.failures.next_trial_at > now:
             return True
         if spec.whole:
             self._place_group(ledger, job, hosts, full, now)
@@ -196,6 +200,8 @@
         while (index := job.next_shard()) is not None:
             if late():
                 return False
+            if job.trials_left() <= 0:
+                return True  # the next trial waits for the outcome of this one, and needs no more room
             if not self._under_limit(ledger, spec):
                 limited = True
                 job.note(f"waiting: the limit of {spec.team} is reached")
@@ -218,7 +224,7 @@
                 del self._reserved[host.name]
             if self._claims.get(spec.uid):
                 self._claims[spec.uid].pop(0)
-        if job.waiting > 0:
+        if job.waiting > 0 and not job.failures.suspect(len(job.bound)):
             claimed = self._claimed(job, now)
             self.unplaced[spec.uid] = Unplaced(job, max(0, job.waiting - claimed), limited)
             if not limited:
@@ -479,14 +485,27 @@
         victim = attempt.spec
         if victim is None or attempt.exited:
             return False
-        if victim.rank > job.spec.rank:
+        if victim.rank > job.spec.rank and (self._may_preempt(job) or self._yields(victim, job.spec)):
             return True
         return job.spec.uid in self.guaranteed and victim.team != job.spec.team and victim.uid not in self.guaranteed
 
+    def _may_preempt(self, job: Job) -> bool:
+        """Whether the job may take room from any lower work: others wait, so that low work gets done as well."""
+        return job.spec.rank == _PROD or job.spec.whole or job.spec.uid in self.guaranteed
+
+    def _yields(self, victim: Spec, claimant: Spec) -> bool:
+        """Guests, whose team has no guarantee, run on what nobody else needs: guards against their arrays filling all
+        machines while work of others with a deadline waits."""
+        return victim.team != claimant.team and self._is_guest(victim.team)
+
+    def _is_guest(self, team_name: str) -> bool:
+        team = self._teams.get(team_name)
+        return team is not None and not team.cpus and not team.gpus
+
     def _make_room(self, ledger: Ledger, job: Job, hosts: list[Host], now: float, patience: float = C.CLAIM_S) -> int:
         """Stop the least work that lets waiting tasks in; their room is awaited before more is stopped."""
         spec = job.spec
-        if spec.rank != _PROD and spec.uid not in self.guaranteed:
+        if not self._may_preempt(job) and not (self._guests - {spec.team}):
             return 0
         wanted = min(job.waiting - self._claimed(job, now), C.PREEMPT_PER_ROUND)
         kind = (spec.rank, spec.team, spec.uid in self.guaranteed, spec.cpus, spec.memory, spec.gpus, spec.spot)
--- /dev/null
+++ b/sorrelsill/stories/test_bad_nights.py
@@ -0,0 +1,317 @@
+"""Controllers that are all away, machines that come late or never, storms of polls, guests, and jobs that fail wherever
+they run."""
+
+import pytest
+import trio
+
+from sorrelsill import constants as C
+from sorrelsill.settings import Team
+from sorrelsill.standins import World, job, story
+from sorrelsill.standins.world import LABELS, LEASE_S
+
+from .test_failures import service
+
+GUARANTEED = [Team("red", cpus=40.0), Team("guests")]
+
+
+async def wait_for_steps(world: World, began: float, services: list[str], starts_before: int) -> dict[str, float]:
+    """Seconds from `began` until each step of a restart of all controllers."""
+    steps: dict[str, float] = {}
+
+    def note(step: str, reached: bool) -> None:
+        if reached and step not in steps:
+            steps[step] = trio.current_time() - began
+
+    while len(steps) < 6:
+        assert trio.current_time() - began < 90, steps
+        up = [node for label, node in world.nodes.items() if label not in world.net.down]
+        note("process up", bool(up))
+        note("view loaded", any(node.view.loaded for node in up))
+        label = world.leader()
+        note("leading", label is not None)
+        ledger = world.nodes[label].ledger if label is not None else None
+        note("machines confirmed", ledger is not None and not ledger.unheard and bool(ledger.ready))
+        note("first start", len(world.starts) > starts_before)
+        note("last service up", all(len(world.running(uid)) == 3 for uid in services))
+        await trio.sleep(0.01)
+    return steps
+
+
+@pytest.mark.parametrize("way", ["together", "one by one", "back and gone again"])
+def test_all_controllers_away_longer_than_a_lease(way: str) -> None:
+    """What was accepted is known and starts anew; users are answered as soon as one controller is up."""
+
+    async def tell(world: World) -> None:
+        await world.until_leader()
+        services = [f"run-s{number}" for number in range(4)]
+        for uid in services:
+            await world.submit(service(uid, shards=3))
+        await world.until(lambda: all(len(world.running(uid)) == 3 for uid in services), 90)
+        await world.submit(job("run-a", shards=8, expectedRunS=20.0))
+        await trio.sleep(3)
+        for label in LABELS:
+            world.kill(label)
+        await trio.sleep(2 * LEASE_S)
+        assert not any(worker.on for worker in world.workers.values())
+        starts = len(world.starts)
+        began = trio.current_time()
+        if way == "back and gone again":
+            for label in LABELS:
+                world.start(label)
+            await trio.sleep(0.7)
+            for label in LABELS:
+                world.kill(label)
+            await trio.sleep(5)
+            began = trio.current_time()
+        if way == "one by one":
+            world.start("n2")
+            world.nursery.start_soon(_start_later, world, {"n0": 6.0, "n1": 12.0})
+        else:
+            for label in LABELS:
+                world.start(label)
+        world.nursery.start_soon(_ask_soon, world, [*services, "run-a"])
+        steps = await wait_for_steps(world, began, services, starts)
+        print(f"{way}: " + ", ".join(f"{step} {at:.2f} s" for step, at in steps.items()))
+        assert steps["view loaded"] < 0.5
+        assert steps["leading"] < 2.6, "a promise of the former process, and the key"
+        assert steps["first start"] - steps["leading"] < 2.0
+        assert steps["last service up"] - steps["first start"] < 5.0
+        await world.calm()
+
+    story(tell)
+
+
+async def _ask_soon(world: World, uids: list[str]) -> None:
+    """Users are answered long before anybody leads."""
+    await trio.sleep(0.5)
+    assert world.leader() is None
+    for uid in uids:
+        status, _ = await world.ask("n2", "GET", f"/v2/runs/{uid}")
+        assert status == 200, f"{uid} is answered as soon as a controller is up"
+    assert (await world.ask("n2", "GET", "/v2/runs/run-never"))[0] == 404
+    uid = "run-early"
+    world.specs[uid] = job(uid, shards=1)
+    status, _ = await world.ask("n2", "POST", "/v2/runs", world.specs[uid])
+    assert status in (201, 503), "no machine types are known yet, or they are on record"
+
+
+async def _start_later(world: World, delays: dict[str, float]) -> None:
+    began = trio.current_time()
+    for label, delay_s in delays.items():
+        await trio.sleep_until(began + delay_s)
+        world.start(label)
+
+
+@pytest.mark.parametrize("new_leader", [False, True])
+def test_late_and_lost_machines_are_replaced_and_given_up_without_running_away(new_leader: bool) -> None:
+    """Half of the machines never come up, others take several times as long, and the list is 12 s late."""
+
+    async def tell(world: World) -> None:
+        cloud = world.cloud
+        cloud.lag_s = 12.0
+        cloud.never_boots = set(range(0, 400, 2))
+        cloud.boot_times = lambda number: 4.0 if number % 4 == 1 else 1.0
+        leader = await world.until_leader()
+        await world.submit(job("run-a", shards=24, vcpus=4.0, expectedRunS=40.0))
+        began = trio.current_time()
+        if new_leader:
+            await trio.sleep(25)
+            world.kill(leader)
+            await trio.sleep(1)
+            world.start(leader)
+        await world.until(lambda: len(world.running("run-a")) >= 20, 60)
+        print("twenty after", trio.current_time() - began)
+        await world.until_phase("run-a", "done", 240)
+        spent = trio.current_time() - began
+        print("spent", spent, "rented", sum(count for _, count in cloud.rented), "calls", cloud.calls)
+        assert spent < 180, f"done after {spent:.0f} s"
+        assert cloud.calls < 1.5 * spent + 10, "the cloud's rate"
+        rented = sum(count for _, count in cloud.rented)
+        assert rented <= 40, f"{rented} machines were rented for the work of 12"
+        await trio.sleep(90)
+        for name, machine in cloud.machines.items():
+            assert name in world.workers, f"{name} was never up and is paid for since {machine['born']:.0f} s"
+        lost = [seconds for name, seconds in cloud.paid.items() if name not in world.ever_up]
+        assert lost, "some never came up"
+        print("lost", sorted(lost))
+        assert max(lost) < 50, f"paid for {max(lost):.0f} s, with boots of 5 s"
+        await world.calm()
+
+    story(tell)
+
+
+def test_a_storm_of_polls_leaves_pings_reports_and_submissions_their_time() -> None:
+    """Each request costs a controller 2 ms of its only processor; 450 polls a second take most of it."""
+
+    async def tell(world: World) -> None:
+        await world.until_leader()
+        uids = [f"run-{number}" for number in range(10)]
+        for uid in uids:
+            await world.submit(job(uid, shards=2, vcpus=1.0, expectedRunS=200.0))
+        await world.until(lambda: all(len(world.running(uid)) == 2 for uid in uids), 60)
+        led, world.request_cost_s = len(world.led), 0.002
+        reads_before = len(world.store.requests)
+        statuses: dict[int, int] = {}
+        latencies: list[float] = []
+
+        async def poll(number: int) -> None:
+            uid = uids[number % 10] if number % 5 else f"run-never-{number}"
+            began = trio.current_time()
+            status, _ = await world.ask(LABELS[number % 3], "GET", f"/v2/runs/{uid}")
+            statuses[status] = statuses.get(status, 0) + 1
+            latencies.append(trio.current_time() - began)
+
+        async with trio.open_nursery() as nursery:
+            for number in range(9000):
+                nursery.start_soon(poll, number)
+                if number % 900 == 450:
+                    began = trio.current_time()
+                    uid = f"run-new-{number}"
+                    assert await world.submit(job(uid, shards=1, vcpus=1.0, expectedRunS=1.0)) in (200, 201)
+                    assert trio.current_time() - began < 0.3, "a submission keeps its latency"
+                    began = trio.current_time()
+                    assert (await world.cancel(uid))["phase"] in ("cancelled", "done")
+                    assert trio.current_time() - began < 0.5, "a cancellation keeps its latency"
+                await trio.sleep(1 / 450)
+        spent_s = 9000 / 450
+        assert len(world.led) == led, "pings keep their time"
+        assert all(len(world.running(uid)) == 2 for uid in uids), "reports are answered"
+        assert set(statuses) <= {200, 404, 503}, statuses
+        assert statuses[200] > 5000, statuses
+        assert max(latencies) < 1.6, "answered or refused within a user's patience"
+        assert len(world.store.requests) - reads_before < 500 * spent_s, "reads are shared"
+        world.request_cost_s = 0.0
+        await world.calm()
+
+    story(tell)
+
+
+def test_what_waits_in_a_storm_is_bounded_while_the_store_is_silent() -> None:
+    """Polls that find no place among those that wait are told at once to come back."""
+
+    async def tell(world: World) -> None:
+        await world.until_leader()
+        await world.submit(job("run-a", shards=1, expectedRunS=200.0))
+        follower = next(label for label in LABELS if label != world.leader())
+        at_once = {"run-a": 0, "run-never": 0}
+
+        async def poll(uid: str) -> None:
+            began = trio.current_time()
+            status, _ = await world.ask(follower, "GET", f"/v2/runs/{uid}")
+            assert status in (200, 404, 503)
+            at_once[uid] += status == 503 and trio.current_time() - began < 0.3
+
+        for uid, path in (("run-a", "/follow"), ("run-never", "/kv/")):
+            world.net.hold_request = lambda src, dst, r, path=path: src == follower and r.path.startswith(path)  # type: ignore[misc]
+            async with trio.open_nursery() as nursery:
+                for _ in range(3 * C.POLL_QUEUE):
+                    nursery.start_soon(poll, uid)
+            world.net.hold_request = lambda src, dst, request: False
+            world.net.release()
+            await trio.sleep(5)
+        assert at_once["run-a"] >= 2 * C.POLL_QUEUE
+        assert at_once["run-never"] >= 3 * C.POLL_QUEUE - C.LOOKUPS_AT_ONCE
+        await world.calm()
+
+    story(tell)
+
+
+def test_guests_give_their_room_to_work_with_a_deadline_within_seconds() -> None:
+    """A guest's array holds every machine that the cloud has; it loses the tasks that ran for the shortest time."""
+
+    async def tell(world: World) -> None:
+        world.cloud.capacity = 6
+        await world.until_leader()
+        await world.submit(
+            job("run-g", owner="guests", rank="best_effort", shards=200, vcpus=0.5, memoryGb=0.5, expectedRunS=40.0)
+        )
+        await world.until(lambda: len(world.running("run-g")) >= 96, 60)
+        await trio.sleep(5)
+        await world.submit(job("run-d", shards=10, vcpus=4.0, expectedRunS=10.0, dueS=60.0))
+        submitted = trio.current_time()
+        await world.until(lambda: len(world.running("run-d")) == 10, 4)
+        print(f"all of an array within {trio.current_time() - submitted:.1f} s")
+        await world.submit(service("run-s", shards=2, rank="prod", vcpus=4.0))
+        await world.until(lambda: len(world.running("run-s")) == 2, 3)
+        await world.calm()
+
+    story(tell, teams=[Team("red"), Team("guests")])
+
+
+def test_a_huge_array_and_a_swarm_starve_nobody_and_are_served() -> None:
+    async def tell(world: World) -> None:
+        world.cloud.capacity = 8
+        await world.until_leader()
+        await world.submit(
+            job("run-huge", owner="guests", rank="best_effort", shards=1500, vcpus=0.5, memoryGb=0.5, expectedRunS=3.0)
+        )
+        for number in range(60):
+            await world.submit(
+                job(f"run-w{number}", owner="guests", rank="best_effort", shards=1, vcpus=0.5, memoryGb=0.5,
+                    expectedRunS=10.0)
+            )  # fmt: skip
+            if number % 20 == 0:
+                uid = f"run-d{number}"
+                await world.submit(job(uid, shards=4, vcpus=2.0, expectedRunS=8.0, dueS=60.0))
+                began = trio.current_time()
+                await world.until_phase(uid, "done", 45)
+                assert trio.current_time() - began < 45
+        await world.until_phase("run-huge", "done", 240)
+        await world.calm()
+
+    story(tell, teams=GUARANTEED)
+
+
+def fail_jobs_with_a_mistake(world: World, mistaken: set[str], faulty: set[str]) -> None:
+    """Tasks of these jobs fail on every machine, and every task on these machines."""
+
+    def on(name: str) -> None:
+        world.workers[name].fail = lambda shard: shard.rpartition("/")[0] in mistaken or name in faulty
+
+    for name in list(world.workers):
+        on(name)
+    world.on_boot = on
+
+
+def test_jobs_that_fail_everywhere_cost_no_machine_its_name_and_are_tried_ever_less() -> None:
+    async def tell(world: World) -> None:
+        mistaken = {f"run-bad{number}" for number in range(5)}
+        fail_jobs_with_a_mistake(world, mistaken, set())
+        label = await world.until_leader()
+        await world.submit(job("run-good", shards=40, vcpus=1.0, expectedRunS=8.0))
+        for uid in sorted(mistaken):
+            await world.submit(job(uid, shards=12, vcpus=1.0, expectedRunS=8.0))
+        since = trio.current_time() + 10
+        await world.until_phase("run-good", "done", 150)
+        await trio.sleep(60)
+        ledger = world.nodes[label].ledger
+        assert ledger is not None
+        assert not any(host.faulty for host in ledger.hosts.values())
+        assert all(not ledger.jobs[uid].failures.accused for uid in mistaken)
+        late = [shard for at, shard, _ in world.starts if at > since and shard.rpartition("/")[0] in mistaken]
+        assert len(late) <= 8 * len(mistaken), f"{len(late)} tries in {trio.current_time() - since:.0f} s"
+        status, answer = await world.ask(label, "GET", "/v2/runs/run-bad0/why")
+        assert status == 200 and any("next try in" in note for note in answer["why"]), answer
+        for uid in sorted(mistaken):
+            assert (await world.cancel(uid))["phase"] == "cancelled"
+        await world.calm()
+
+    story(tell)
+
+
+def test_a_faulty_machine_is_found_beside_jobs_that_fail_everywhere() -> None:
+    async def tell(world: World) -> None:
+        world.cloud.capacity = 4
+        mistaken, faulty = {"run-bad"}, {"10.1.0.0:9000"}
+        fail_jobs_with_a_mistake(world, mistaken, faulty)
+        await world.until_leader()
+        await world.submit(job("run-bad", shards=8, vcpus=1.0))
+        for number in range(4):
+            await world.submit(job(f"run-{number}", shards=8, vcpus=2.0, expectedRunS=4.0))
+        for number in range(4):
+            await world.until_phase(f"run-{number}", "done", 120)
+        await world.until(lambda: not faulty & set(world.workers), 60)
+        assert (await world.cancel("run-bad"))["phase"] == "cancelled"
+        await world.calm()
+
+    story(tell)
--- a/sorrelsill/stories/test_groups.py
+++ b/sorrelsill/stories/test_groups.py
@@ -272,7 +272,7 @@
         await trio.sleep(2)
         assert leader.ledger is not None
         held = leader.ledger.groups["run-g"]
-        assert not held.avoid and not held.errors and not any(h.faulty for h in leader.ledger.hosts.values())
+        assert not held.avoid and not held.failures.failures and not any(h.faulty for h in leader.ledger.hosts.values())
         for worker in world.workers.values():
             worker.pull_rate = 1.0
         world.gangs.wait_s = 40.0
--- /dev/null
+++ b/sorrelsill/workers/failures.py
@@ -0,0 +1,53 @@
+"""Decides whether a failed task is the fault of its job or of its machine. Pure: time is given.
+
+A job that was submitted with a mistake fails on every machine. A faulty machine fails the tasks of jobs that succeed
+elsewhere. So a failure counts against a machine only once its job has succeeded on another one, and a job that has
+failed on several machines without any success is tried one task at a time, at a falling pace."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from sorrelsill import constants as C
+
+
+@dataclass(slots=True)
+class FailureHistory:
+    """The failures of one job in the present term, and what they say about it."""
+
+    succeeded: bool = False  # a task of it has completed, or a replica has run for long enough
+    machines: set[str] = field(default_factory=set)  # on which it failed since its last success
+    accused: set[str] = field(default_factory=set)  # machines that its failures counted against
+    failures: int = 0  # since its last success
+    trials: int = 0  # bursts of failures since its last success; tasks that fail together are one
+    next_trial_at: float = float("-inf")
+
+    def failed(self, machine: str, now: float) -> set[str]:
+        """Record a failed task. Returns the machines that this failure counts against."""
+        self.machines.add(machine)
+        self.failures += 1
+        if now >= self.next_trial_at:
+            self.trials += 1
+            self.next_trial_at = now + min(C.START_BACKOFF_MAX_S, C.START_BACKOFF_S * 2.0 ** (self.trials - 1))
+        return self._accuse({machine}) if self.succeeded else set()
+
+    def success(self, machine: str) -> set[str]:
+        """Record a success. Returns the machines that the failures before it now count against."""
+        self.succeeded = True
+        accused = self._accuse(self.machines - {machine})
+        self.machines.clear()
+        self.failures = 0
+        self.trials = 0
+        self.next_trial_at = float("-inf")
+        return accused
+
+    def suspect(self, others: int) -> bool:
+        """Whether the job itself is probably at fault; `others` of its tasks have not failed yet."""
+        return len(self.machines) >= C.SUSPECT_MACHINES and self.failures >= others
+
+    def _accuse(self, machines: set[str]) -> set[str]:
+        # A job that accuses many machines is no reliable witness: only some of its tasks may be at fault.
+        if len(self.accused | machines) > C.ACCUSED_MAX:
+            return set()
+        self.accused |= machines
+        return machines
--- a/sorrelsill/workers/ledger.py
+++ b/sorrelsill/workers/ledger.py
@@ -21,6 +21,7 @@
 from sorrelsill.jobs import ShardSet, Spec
 from sorrelsill.workers import groups
 from sorrelsill.workers import messages as M
+from sorrelsill.workers.failures import FailureHistory
 
 log = logging.getLogger(__name__)
 
@@ -99,7 +100,7 @@
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
     fetching: set[str] = field(default_factory=set)  # images that tasks on it wait for
     idle_since: float = 0.0
-    failed_jobs: set[str] = field(default_factory=set)
+    accused_by: set[str] = field(default_factory=set)  # jobs that failed here and succeeded elsewhere
     reports: bool = False  # has sent a report in this term
     seen_at: float = float("-inf")  # when it last reported; before its first report in this term, when it was first met
     overdue: bool = False  # its report is late, so it may hang or be cut off: no new work before the next one
@@ -147,7 +148,7 @@
     """A live job as the leader sees it."""
 
     __slots__ = (
-        "accepted", "avoid", "bound", "cursor", "done", "dirty_parts", "errors", "not_before", "old", "order",
+        "accepted", "avoid", "bound", "cursor", "done", "dirty_parts", "failures", "old", "order",
         "recorded_at", "requeued", "rev", "served_at", "shown_running", "spec", "split", "submitted", "why", "zones",
     )  # fmt: skip
 
@@ -164,8 +165,7 @@
         self.zones: dict[str, int] = {}
         self.cursor = 0
         self.requeued: list[int] = []
-        self.errors = 0
-        self.not_before = 0.0
+        self.failures = FailureHistory(succeeded=done.count > 0)
         self.avoid: dict[str, float] = {}
         self.dirty_parts: set[int] = set()  # of its finished tasks, `PART_SHARDS` to a part, what is not recorded yet
         self.split = spec.shards > C.CHUNK_SHARDS  # its finished tasks are kept beside its record
@@ -196,6 +196,11 @@
             self.cursor += 1
         return None
 
+    def trials_left(self) -> int:
+        """How many more of its tasks may be started now: few, if it seems to fail wherever it is tried."""
+        bound = len(self.bound)
+        return C.TRIAL_TASKS - bound if self.failures.suspect(bound) else self.spec.shards
+
     def running(self) -> int:
         """A task of a group that waits for the others does not run."""
         return sum(1 for a in self.bound.values() if a.phase in ("running", "saving"))
@@ -909,7 +914,7 @@
                     if job.done.add(index):
                         job.dirty_parts.add(index // C.PART_SHARDS)
                         self.dirty.add(attempt.uid)
-                job.errors = 0
+                self._accuse(job, job.failures.success(host.name))
             else:
                 attempt.clearable = True
             # Another attempt of the same task would be wasted: the result is there.
@@ -936,11 +941,32 @@
         job.note(f"task {attempt.index}: {cause} on {host.name}")
         job.avoid[host.name] = now + C.HOST_AVOID_S
         if cause == "error":
-            # A job failing on several machines is its own fault, a machine failing several jobs its own.
-            job.errors += 1
-            job.not_before = now + min(C.START_BACKOFF_MAX_S, C.START_BACKOFF_S * 2 ** min(job.errors, 8) / 2)
-            host.failed_jobs.add(attempt.uid)
-            if len(host.failed_jobs) >= C.HOST_ERRORS_SUSPECT:
+            self._failed(job, host, now)
+
+    def _failed(self, job: Job, host: Host, now: float) -> None:
+        """Guards against jobs that fail wherever they run: their failures must not cost machines their good name."""
+        failures = job.failures
+        if job.spec.endless:
+            for replica in job.bound.values():
+                if replica.running_since is not None and now - replica.running_since >= C.REPLICA_PROOF_S:
+                    self._accuse(job, failures.success(replica.host.name))
+                    break
+        self._accuse(job, failures.failed(host.name, now))
+        if failures.suspect(len(job.bound)):
+            # The other machines are not to blame: avoiding them all would leave it waiting beside free room.
+            job.avoid = {host.name: job.avoid[host.name]}
+            wait_s = max(0.0, failures.next_trial_at - now)
+            job.note(f"failed on all {len(failures.machines)} machines tried; next try in {wait_s:.0f} s")
+
+    def _accuse(self, job: Job, names: set[str]) -> None:
+        """The job failed on these machines and succeeded on another. A machine accused by several jobs is faulty."""
+        for name in names:
+            host = self.hosts.get(name)
+            if host is None:
+                continue
+            host.accused_by.add(job.spec.uid)
+            if len(host.accused_by) >= C.HOST_ERRORS_SUSPECT and not host.faulty:
+                log.info("%s is faulty: %s failed there and succeeded elsewhere", name, sorted(host.accused_by))
                 host.faulty = True
                 self.look(host)
 
