--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -48,17 +48,17 @@
 TRIAL_TASKS: Final = 1  # tasks; of a job that is probably at fault, tried at a time
 REPLICA_PROOF_S: Final = 20.0  # s; a replica that has run for this long shows that its service can run
 HOST_AVOID_S: Final = 120.0  # s; a machine that refused or failed a job's task is avoided for that job
-SWEEP_EVERY_S: Final = 0.25  # s; between two looks for machines silent past their lease
-SWEEP_TASKS: Final = 600  # tasks; given up as lost in one look, some 10 ms of work; the next look goes on from there
+EXPIRE_EVERY_S: Final = 0.25  # s; between two looks for machines silent past their lease
+EXPIRE_TASKS: Final = 600  # tasks; given up as lost in one look, some 10 ms of work; the next look goes on from there
 REPEAT_S: Final = 120.0  # s; a repeat of a direct start may come this late: its task is cleared only after it
-TOMBS: Final = 4096  # machines that are gone, remembered so that late copies of their reports are refused
+TOMBSTONES_KEPT: Final = 4096  # machines that are gone, remembered so that late copies of their reports are refused
 TRY_BITS: Final = 24  # bits; attempt number = term shifted by this, plus a counter: grows across terms
 
 PUSH_TIMEOUT_S: Final = 2.0  # s; for a worker's answer to orders sent straight to it
 PUSH_BACKOFF_S: Final = 2.0  # s; a machine that was not reached is left to its reports this long, twice as long ...
 PUSH_BACKOFF_MAX_S: Final = 16.0  # s; ... each time up to this: silence that lasts should cost ever less
 PUSH_AT_ONCE: Final = 96  # calls to workers in flight: dozens of machines that hang at once must not take all of them
-GREET_AT_ONCE: Final = 24  # greetings in flight; starts don't queue behind them
+PROBES_AT_ONCE: Final = 24  # greetings in flight; starts don't queue behind them
 OVERDUE_OF_REPORT: Final = 1.25  # ratio; the longest interval between reports, of the usual one ...
 OVERDUE_EXTRA_S: Final = 1.0  # s; ... and this on top: a machine silent for longer gets no new work and no calls
 PUSH_SOCKETS: Final = 0.25  # ratio; of the quota of sockets, for connections kept to workers
--- a/sorrelsill/node.py
+++ b/sorrelsill/controller.py
@@ -16,14 +16,23 @@
 from sorrelsill import constants as C
 from sorrelsill.fleet import Catalog, Cloud, FleetManager, parse_catalog
 from sorrelsill.http import Client, Reply, Request
-from sorrelsill.jobs import Admission, BadJob, Busy, Cancellations, Recorder, json_size, parse_record
+from sorrelsill.jobs import Admission, BadJob, Busy, Cancellations, RecordWriter, json_size, parse_record
 from sorrelsill.leadership import Elector, Watchdog
-from sorrelsill.peers import Standstill
+from sorrelsill.peers import DegradedMode
 from sorrelsill.placement import Placer
 from sorrelsill.settings import Operator, Settings, Timings
 from sorrelsill.store import CATALOG, LEADER, Condition, Put, Store, Unavailable, View
 from sorrelsill.store import Ambiguous as StoreAmbiguous
-from sorrelsill.workers import BadReport, Ledger, Pusher, Report, Superseded, halt, parse_report, tend
+from sorrelsill.workers import (
+    BadReport,
+    ClusterState,
+    Pusher,
+    Report,
+    Superseded,
+    enforce_gang_completeness,
+    parse_report,
+    stop_command,
+)
 
 log = logging.getLogger(__name__)
 
@@ -38,11 +47,15 @@
     return isinstance(final, dict) and final.get("p") == "cancelled"
 
 
-class Node:
+class Controller:
     def __init__(
-        self, settings: Settings, operator: Operator, rng: random.Random,
-        make_client: Callable[[str], Client] = Client, time_of_day: Callable[[], float] = time.time,
-    ) -> None:  # fmt: skip
+        self,
+        settings: Settings,
+        operator: Operator,
+        rng: random.Random,
+        make_client: Callable[[str], Client] = Client,
+        time_of_day: Callable[[], float] = time.time,
+    ) -> None:
         facts = settings.facts
         self.settings = settings
         self.timings = Timings.derive(facts.workers, operator)
@@ -50,9 +63,14 @@
         self.view = View(self.store)
         self.watchdog = Watchdog(self.timings.stall_s, self.timings.self_release_s)
         self.elector = Elector(
-            self.store, self.view, self.timings, settings.label, self.watchdog, rng,
+            self.store,
+            self.view,
+            self.timings,
+            settings.label,
+            self.watchdog,
+            rng,
             [member.label for member in settings.members],
-        )  # fmt: skip
+        )
         self.elector.acquire_after = trio.current_time() + (C.PROMISE_S if settings.members else 0.0)
         self._time_of_day = time_of_day
         self.cancellations = Cancellations(
@@ -61,12 +79,12 @@
         self.view.on_final = self._on_final
         self.admission = Admission(self.store, self.view, facts.teams, time_of_day)
         self.cloud = Cloud(make_client(settings.services.cloud), facts.cloud)
-        self.standstill = Standstill(self.store, self.elector, settings.members, make_client, self.cancellations)
+        self.degraded_mode = DegradedMode(self.store, self.elector, settings.members, make_client, self.cancellations)
         self.placer = Placer(facts.teams, facts.objectives, rng, operator.sample or C.SAMPLE, settings.hurried)
         self.tick_s = operator.tick_s or C.TICK_S
-        self.ledger: Ledger | None = None
+        self.cluster: ClusterState | None = None
         self.fleet: FleetManager | None = None
-        self.recorder: Recorder | None = None
+        self.record_writer: RecordWriter | None = None
         self.catalog: Catalog | None = None
         self._catalog_raw: Any = None
         self._catalog_saved: Any = None
@@ -77,10 +95,10 @@
         self._wake = trio.Event()
         self.counts: dict[str, int] = {}
         self.elector.on_term = self._on_term
-        self.elector.deaf = self._deaf
-        self.elector.other_candidates = self.standstill.other_candidates
-        self.standstill.on_bound = self._on_bound
-        self.standstill.on_cancelled = self._on_cancelled
+        self.elector.hears_no_worker = self._hears_no_worker
+        self.elector.other_candidates = self.degraded_mode.other_candidates
+        self.degraded_mode.on_bound = self._on_bound
+        self.degraded_mode.on_cancelled = self._on_cancelled
         self.view.listeners.append(self._on_key)
 
     # --- leadership changes, and what the view tells ---
@@ -88,30 +106,39 @@
     def _on_term(self, term: int | None) -> None:
         """Rebuild from the records; the machines' part comes with their reports, before anything is placed."""
         if term is None:
-            self.ledger = self.fleet = self.recorder = None
+            self.cluster = self.fleet = self.record_writer = None
             return
         now = trio.current_time()
         timings = self.timings
-        ledger = Ledger(
-            term, now, self.catalog or Catalog({}), timings.loss_s, timings.validity_s, timings.overdue_s,
+        cluster = ClusterState(
+            term,
+            now,
+            self.catalog or Catalog({}),
+            timings.loss_s,
+            timings.validity_s,
+            timings.overdue_s,
             self.settings.facts.workers.gang_peer_s,
-        )  # fmt: skip
-        ledger.renewed_by_others = min(now, self.elector.bound_until)
-        ledger.expect(self.view.roster())
-        self.ledger = ledger
+        )
+        cluster.renewed_by_others = min(now, self.elector.bound_until)
+        cluster.expect_machines(self.view.roster())
+        self.cluster = cluster
         whole = True
-        for uid, value, rev in self.view.jobs():
-            if not self._over(uid):
-                whole &= self._add_job(ledger, uid, value, rev)
+        for job_id, value, rev in self.view.jobs():
+            if not self._over(job_id):
+                whole &= self._add_job(cluster, job_id, value, rev)
         # With a damaged record among them, what its tasks use can't be told.
-        ledger.expect_over(self._lately_over() if whole else None)
-        self.recorder = Recorder(self.store, self.view, ledger, self.elector.valid)
-        self.recorder.on_superseded = lambda: self.elector.superseded(term + 1)
+        cluster.expect_ended_jobs(self._lately_over() if whole else None)
+        self.record_writer = RecordWriter(self.store, self.view, cluster, self.elector.valid)
+        self.record_writer.on_superseded = lambda: self.elector.superseded(term + 1)
         self.fleet = FleetManager(
-            self.cloud, ledger, self.elector.valid, lambda: list(self.placer.unplaced.values()),
-            self.settings.hurried, self.settings.facts.cloud.list_lag_s,
+            self.cloud,
+            cluster,
+            self.elector.valid,
+            lambda: list(self.placer.unplaced.values()),
+            self.settings.hurried,
+            self.settings.facts.cloud.list_lag_s,
             {o.workload for o in self.settings.facts.objectives if o.kind == "wait" and o.workload},
-        )  # fmt: skip
+        )
         self.fleet.on_catalog = self._on_catalog
         self.fleet.on_drain = lambda: self._wake.set()
         self.placer.reset()
@@ -126,12 +153,12 @@
         if ended is None:
             return None
         out = []
-        for uid, value in ended:
-            final = self.view.final(uid)
+        for job_id, value in ended:
+            final = self.view.final(job_id)
             if isinstance(final, dict) and final.get("p") == "done":
                 continue
             try:
-                spec, done, _ = parse_record(value, self.view.chunks(uid))
+                spec, done, _ = parse_record(value, self.view.chunks(job_id))
             except (BadJob, ValueError, TypeError):
                 return None
             left = spec.shards - done.count
@@ -139,24 +166,24 @@
         return out
 
     def _on_bound(self, until: float) -> None:
-        if self.ledger is not None:
-            self.ledger.renewed_by_others = max(self.ledger.renewed_by_others, until)
+        if self.cluster is not None:
+            self.cluster.renewed_by_others = max(self.cluster.renewed_by_others, until)
 
-    def _on_final(self, uid: str, value: Any) -> None:
-        if self.ledger is not None:
-            self.ledger.end_job(uid)  # its record may be followed later than its final state
+    def _on_final(self, job_id: str, value: Any) -> None:
+        if self.cluster is not None:
+            self.cluster.end_job(job_id)  # its record may be followed later than its final state
         if _cancelled(value):
-            self.cancellations.learn(uid, trio.current_time())
+            self.cancellations.learn(job_id, trio.current_time())
 
-    def _on_cancelled(self, uids: list[str]) -> None:
+    def _on_cancelled(self, job_ids: list[str]) -> None:
         """A peer told us: they are over, as committed, though our view doesn't show it yet."""
-        for uid in uids:
-            if self.ledger is not None:
-                self.ledger.end_job(uid)
+        for job_id in job_ids:
+            if self.cluster is not None:
+                self.cluster.end_job(job_id)
 
-    def _over(self, uid: str) -> bool:
+    def _over(self, job_id: str) -> bool:
         """Whether the job is known to be over, whatever an older record says."""
-        return self.view.final(uid) is not None or self.cancellations.known(uid)
+        return self.view.final(job_id) is not None or self.cancellations.known(job_id)
 
     def _on_key(self, key: str, value: Any, rev: int) -> None:
         if key == CATALOG and value is not None:
@@ -165,48 +192,48 @@
                 self._catalog_saved = value
             except ValueError as error:
                 log.error("stored catalog: %s", error)
-        ledger = self.ledger
-        if ledger is None or not key.startswith(_JOB):
+        cluster = self.cluster
+        if cluster is None or not key.startswith(_JOB):
             return
-        uid = key[len(_JOB) :]
-        job = ledger.jobs.get(uid)
+        job_id = key[len(_JOB) :]
+        job = cluster.jobs.get(job_id)
         if value is None:
             if job is not None:
-                ledger.end_job(uid)
+                cluster.end_job(job_id)
                 self._wake.set()
         elif job is not None:
             job.rev = max(job.rev, rev)
-        elif not self._over(uid):
-            self._add_job(ledger, uid, value, rev)
+        elif not self._over(job_id):
+            self._add_job(cluster, job_id, value, rev)
             self._wake.set()
 
-    def _deaf(self) -> bool:
+    def _hears_no_worker(self) -> bool:
         limit = C.DEAF_REPORTS * self.settings.facts.workers.report_s + C.DEAF_EXTRA_S
-        return self.ledger is not None and self.ledger.deaf(trio.current_time(), limit)
+        return self.cluster is not None and self.cluster.hears_no_worker(trio.current_time(), limit)
 
     def _fresh(self) -> bool:
         """Whether the view of the jobs is recent enough to start anything on it."""
         return trio.current_time() - self.view.fresh_at < C.VIEW_STALE_S
 
     def _news(self) -> None:
-        if self.ledger is not None and self.ledger.wake_placing:
+        if self.cluster is not None and self.cluster.wake_placing:
             self._wake.set()
 
-    def _add_job(self, ledger: Ledger, uid: str, value: Any, rev: int) -> bool:
+    def _add_job(self, cluster: ClusterState, job_id: str, value: Any, rev: int) -> bool:
         try:
-            spec, done, why = parse_record(value, self.view.chunks(uid))
+            spec, done, why = parse_record(value, self.view.chunks(job_id))
             accepted = float(value.get("t") or 0.0)
         except (BadJob, ValueError, TypeError) as error:
             # Guards against one damaged record stopping all the others.
-            log.error("record of %s: %s", uid, error)
+            log.error("record of %s: %s", job_id, error)
             return False
         now = trio.current_time()
         age = max(0.0, self._time_of_day() - accepted)
-        job = ledger.add_job(spec, done, rev, rev <= ledger.term, now - age, why, accepted)
+        job = cluster.add_job(spec, done, rev, rev <= cluster.term, now - age, why, accepted)
         # What the record says already need not be written again: after a takeover that would be one write a job.
         running = value.get("r")
         job.shown_running = running if isinstance(running, int) else 0
-        job.split |= bool(self.view.chunk_keys(uid))
+        job.split |= bool(self.view.chunk_keys(job_id))
         if job.split and value.get("d"):
             # Written by the version before this one, which knows of no parts beside the record of a smaller job: what
             # it adds stands only there, and has to go into the parts before the record leaves it out.
@@ -220,8 +247,8 @@
     def _set_catalog(self, raw: Any, catalog: Catalog) -> None:
         self.catalog = catalog
         self.admission.catalog = catalog
-        if self.ledger is not None:
-            self.ledger.set_catalog(catalog)
+        if self.cluster is not None:
+            self.cluster.set_catalog(catalog)
 
     # --- routes ---
 
@@ -233,14 +260,14 @@
             return await self._users(lambda: self._submit(request)) if method == "POST" else Reply(405)
         match = _RUN.match(path)
         if match:
-            uid, action = match[1], match[2]
+            job_id, action = match[1], match[2]
             if action == "/cancel":
-                return await self._users(lambda: self.admission.cancel(uid)) if method == "POST" else Reply(405)
+                return await self._users(lambda: self.admission.cancel(job_id)) if method == "POST" else Reply(405)
             if method != "GET":
                 return Reply(405)
             if action == "/why":
-                return await self._users(lambda: self.admission.why(uid))
-            return await self._users(lambda: self.admission.poll(uid))
+                return await self._users(lambda: self.admission.why(job_id))
+            return await self._users(lambda: self.admission.poll(job_id))
         match = _TEAM.match(path)
         if match:
             if method != "GET":
@@ -284,29 +311,29 @@
             return Reply(400, _encode({"error": str(error)}))
         self._count("reports")
         log.debug("report: %s", report)
-        ledger = self.ledger
+        cluster = self.cluster
         now = trio.current_time()
-        acting = ledger is not None and self.elector.valid()
-        if acting or self.standstill.active():
+        acting = cluster is not None and self.elector.valid()
+        if acting or self.degraded_mode.active():
             if not self._may_renew(now):
                 # What was cancelled meanwhile is not certain to be known here: the next controller may know.
                 self._count("not_renewed")
                 return Reply(503)
-            orders: list[dict[str, Any]] | None = []
-            if ledger is not None:
+            commands: list[dict[str, Any]] | None = []
+            if cluster is not None:
                 try:
-                    orders = ledger.on_report(report, now, acting, self._fresh())
+                    commands = cluster.on_report(report, now, acting, self._fresh())
                 except Superseded as error:
                     self.elector.superseded(error.token)
                     return Reply(421, _encode({}))
-                if orders is None:
+                if commands is None:
                     return Reply(503)
                 self._news()
-            if ledger is None or not acting:
+            if cluster is None or not acting:
                 # Nobody leads and nobody can: the worker's own token; its lease goes on and nothing else does.
-                return Reply(200, _encode({"epoch": report.epoch, "orders": self._halts(report, now)}))
+                return Reply(200, _encode({"epoch": report.token, "orders": self._stop_commands(report, now)}))
             # Only a report that is newer than all before makes the connection the machine's own: not a late copy.
-            return Reply(200, _encode({"epoch": ledger.term, "orders": orders}), owner=report.host)
+            return Reply(200, _encode({"epoch": cluster.term, "orders": commands}), owner=report.machine)
         # Guards against a process that stood still: its view may name a leader that has ended since.
         label = self.elector.leader_label() if self._fresh() else None
         if label in self._labels:
@@ -318,43 +345,43 @@
         self.cancellations.followed(self.view.followed_since, self.view.fresh_at)
         return self.cancellations.may_renew(now)
 
-    def _halts(self, report: Report, now: float) -> list[dict[str, Any]]:
+    def _stop_commands(self, report: Report, now: float) -> list[dict[str, Any]]:
         """In a standstill: tasks of jobs known to be cancelled still have to go. Halting them is always right,
         whoever leads next, and a worker takes it from any controller that names its token. A view that was read anew
         not long ago lacks what was cancelled before, so what is not live in it is halted as well."""
         unknown = self.view.fresh_at > float("-inf") and self.cancellations.suspect_unknown(now)
         out = []
-        for item in report.shards:
-            uid = item.shard.rpartition("/")[0]
-            over = self.cancellations.known(uid) or _cancelled(self.view.final(uid))
-            if item.phase != "exited" and (over or unknown and self.view.job(uid) is None):
-                out.append(halt(item.shard, item.tryNo, 0.0))
+        for item in report.tasks:
+            job_id = item.task_id.rpartition("/")[0]
+            over = self.cancellations.known(job_id) or _cancelled(self.view.final(job_id))
+            if item.phase != "exited" and (over or unknown and self.view.job(job_id) is None):
+                out.append(stop_command(item.task_id, item.attempt_number, 0.0))
         return out
 
     def ready(self) -> bool:
         """Able to serve. If all lack the store, staying ready and answering 503 beats a refused connection."""
         if not self.view.loaded:
             return False
-        return self.store.failing_for() < C.READY_STORE_S or self.standstill.others_fail_too()
+        return self.store.failing_for() < C.READY_STORE_S or self.degraded_mode.others_fail_too()
 
     def state(self) -> dict[str, Any]:
         """For operators: what this controller believes."""
-        ledger = self.ledger
+        cluster = self.cluster
         return {
             "label": self.settings.label,
             "leader": self.settings.label if self.elector.valid() else self.elector.leader_label(),
             "leading": self.elector.valid(),
             "term": self.elector.term,
-            "standstill": self.standstill.active(),
+            "standstill": self.degraded_mode.active(),
             "store_failing_s": round(self.store.failing_for(), 2),
-            "jobs": len(ledger.jobs) if ledger else None,
-            "hosts": len(ledger.hosts) if ledger else None,
-            "unheard": len(ledger.unheard) if ledger else None,
-            "unplaced": sum(u.count for u in self.placer.unplaced.values()) if ledger else None,
-            "groups": len(ledger.groups) if ledger else None,
-            "groups_waiting": sum(1 for j in ledger.groups.values() if not j.running()) if ledger else None,
+            "jobs": len(cluster.jobs) if cluster else None,
+            "hosts": len(cluster.machines) if cluster else None,
+            "unheard": len(cluster.unconfirmed) if cluster else None,
+            "unplaced": sum(u.count for u in self.placer.unplaced.values()) if cluster else None,
+            "groups": len(cluster.groups) if cluster else None,
+            "groups_waiting": sum(1 for j in cluster.groups.values() if not j.running()) if cluster else None,
             "refused": self.store.refused,
-            "set_aside": self.recorder.set_aside if self.recorder else 0,
+            "set_aside": self.record_writer.set_aside if self.record_writer else 0,
             "counts": self.counts,
         }
 
@@ -368,7 +395,7 @@
             return Reply(404)
         if request.method != "POST":
             return Reply(405)
-        return Reply(200, self.standstill.answer(request.body), kind="application/json")
+        return Reply(200, self.degraded_mode.answer(request.body), kind="application/json")
 
     # --- loops ---
 
@@ -378,7 +405,7 @@
             nursery.start_soon(self.view.run_barriers)
             nursery.start_soon(self.admission.run)
             nursery.start_soon(self.elector.run)
-            nursery.start_soon(self.standstill.run)
+            nursery.start_soon(self.degraded_mode.run)
             self._nursery = nursery
             nursery.start_soon(self._loop, "place", self._place, self.tick_s)
             nursery.start_soon(self._loop, "record", self._record, C.WRITER_TICK_S)
@@ -398,27 +425,27 @@
         with trio.move_on_after(1.0):
             await self._wake.wait()
         self._wake = trio.Event()
-        ledger = self.ledger
-        if ledger is None or not self.elector.valid():
+        cluster = self.cluster
+        if cluster is None or not self.elector.valid():
             return
         now = trio.current_time()
-        lost = ledger.sweep(now)
-        for host in lost:
-            log.info("%s is silent past its lease: its work is lost", host.name)
-        ledger.drain(now)
-        tend(ledger)
-        ledger.wake_placing = False
-        if not self.placer.round(ledger, now, trio.current_time, C.ROUND_BUDGET_S) or lost:
+        lost = cluster.expire_leases(now)
+        for machine in lost:
+            log.info("%s is silent past its lease: its work is lost", machine.name)
+        cluster.drain(now)
+        enforce_gang_completeness(cluster)
+        cluster.wake_placing = False
+        if not self.placer.round(cluster, now, trio.current_time, C.ROUND_BUDGET_S) or lost:
             self._wake.set()
-        self.pusher.start_due(ledger, self._nursery)
-        for name in ledger.unheard:
-            self.pusher.greet(ledger, name, ledger.unheard_addr.get(name, ""), self._nursery)
+        self.pusher.start_due(cluster, self._nursery)
+        for name in cluster.unconfirmed:
+            self.pusher.probe(cluster, name, cluster.unconfirmed_addresses.get(name, ""), self._nursery)
         # A round's work is charged: leave as much time to answering as it took.
         await trio.sleep(max(0.0, trio.current_time() - now))
 
     async def _record(self) -> None:
-        if self.recorder is not None:
-            await self.recorder.step()
+        if self.record_writer is not None:
+            await self.record_writer.step()
         if self._catalog_raw is not None and self._catalog_raw != self._catalog_saved and self.elector.valid():
             raw = self._catalog_raw
             if json_size(raw) > self.store.value_bytes:
--- a/sorrelsill/fleet/boot_times.py
+++ b/sorrelsill/fleet/boot_times.py
@@ -44,5 +44,5 @@
 
 
 def _published_s(machine_type: str, catalog: Catalog) -> float:
-    kind = catalog.flavours.get(machine_type)
+    kind = catalog.machine_types.get(machine_type)
     return kind.boot_s if kind is not None else C.MIN_CHARGE_S
--- a/sorrelsill/fleet/catalog.py
+++ b/sorrelsill/fleet/catalog.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Flavour:
+class MachineType:
     sku: str
     cpus: float
     gpus: float
@@ -28,18 +28,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Catalog:
-    flavours: dict[str, Flavour]
+    machine_types: dict[str, MachineType]
 
     @property
     def zones(self) -> list[str]:
-        return sorted({z for f in self.flavours.values() for z in f.regions})
+        return sorted({z for f in self.machine_types.values() for z in f.regions})
 
 
 def parse_catalog(answer: Any) -> Catalog:
     """ValueError if the answer is not a catalog."""
     try:
-        flavours = [
-            Flavour(
+        machine_types = [
+            MachineType(
                 sku=str(f["sku"]),
                 cpus=float(f["vcpus"]),
                 gpus=float(f.get("gpus") or 0),
@@ -55,6 +55,6 @@
         ]
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"not a catalog: {error!r}") from None
-    if not flavours:
+    if not machine_types:
         raise ValueError("not a catalog: no machine types")
-    return Catalog({f.sku: f for f in flavours})
+    return Catalog({f.sku: f for f in machine_types})
--- a/sorrelsill/fleet/consolidate.py
+++ b/sorrelsill/fleet/consolidate.py
@@ -8,23 +8,23 @@
 from sorrelsill import constants as C
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import Spec
-    from sorrelsill.workers import Host, Job
+    from sorrelsill.jobs import JobSpec
+    from sorrelsill.workers import Job, Machine
 
 
 class _Room:
     """What would be left on a machine."""
 
-    def __init__(self, host: Host) -> None:
-        self.host = host
-        self.cpus = host.cap_cpus - host.cpus
-        self.gpus = host.cap_gpus - host.gpus
-        self.memory = host.cap_memory - host.memory
+    def __init__(self, machine: Machine) -> None:
+        self.machine = machine
+        self.cpus = machine.cap_cpus - machine.cpus
+        self.gpus = machine.cap_gpus - machine.gpus
+        self.memory = machine.cap_memory - machine.memory
 
-    def fits(self, spec: Spec) -> bool:
+    def fits(self, spec: JobSpec) -> bool:
         return self.cpus + 1e-6 >= spec.cpus and self.gpus + 1e-6 >= spec.gpus and self.memory + 1e-6 >= spec.memory
 
-    def take(self, spec: Spec, sign: int = 1) -> None:
+    def take(self, spec: JobSpec, sign: int = 1) -> None:
         self.cpus -= sign * spec.cpus
         self.gpus -= sign * spec.gpus
         self.memory -= sign * spec.memory
@@ -33,101 +33,104 @@
 class _Plan:
     """What is moved where, machine by machine."""
 
-    def __init__(self, usable: list[Host], jobs: dict[str, Job]) -> None:
+    def __init__(self, usable: list[Machine], jobs: dict[str, Job]) -> None:
         self.jobs = jobs
         self.rooms = sorted((_Room(h) for h in usable), key=lambda r: r.cpus)
         self.zones: dict[str, dict[str, int]] = {}  # job -> zone -> tasks
         self.gone: set[str] = set()  # machines that are emptied
         self.targets: set[str] = set()  # machines that are moved to: these stay
 
-    def move(self, host: Host) -> bool:
+    def move(self, machine: Machine) -> bool:
         """Find a place for everything on a machine, or change nothing."""
-        made: list[tuple[_Room, Spec]] = []
-        tasks = [a for a in host.attempts.values() if a.spec is not None]
+        made: list[tuple[_Room, JobSpec]] = []
+        tasks = [a for a in machine.attempts.values() if a.spec is not None]
         for attempt in sorted(tasks, key=lambda a: -(a.spec.cpus if a.spec is not None else 0.0)):
-            spec, job = attempt.spec, self.jobs.get(attempt.uid)
-            room = self._room_for(host, spec, job) if spec is not None and job is not None else None
+            spec, job = attempt.spec, self.jobs.get(attempt.job_id)
+            room = self._room_for(machine, spec, job) if spec is not None and job is not None else None
             if room is None or spec is None:
                 for taken, moved in made:
-                    self._shift(moved, taken.host.zone, host.zone)
+                    self._shift(moved, taken.machine.zone, machine.zone)
                     taken.take(moved, -1)
                 return False
-            self._shift(spec, host.zone, room.host.zone)
+            self._shift(spec, machine.zone, room.machine.zone)
             room.take(spec)
             made.append((room, spec))
-        self.gone.add(host.name)
-        self.targets.update(room.host.name for room, _ in made)
+        self.gone.add(machine.name)
+        self.targets.update(room.machine.name for room, _ in made)
         return True
 
-    def _shift(self, spec: Spec, source: str, target: str) -> None:
-        zone = self.zones.setdefault(spec.uid, dict(self.jobs[spec.uid].zones))
+    def _shift(self, spec: JobSpec, source: str, target: str) -> None:
+        zone = self.zones.setdefault(spec.job_id, dict(self.jobs[spec.job_id].zones))
         zone[source] = zone.get(source, 0) - 1
         zone[target] = zone.get(target, 0) + 1
 
-    def _room_for(self, host: Host, spec: Spec, job: Job) -> _Room | None:
+    def _room_for(self, machine: Machine, spec: JobSpec, job: Job) -> _Room | None:
         if spec.one_zone:
             return None
-        zone = self.zones.setdefault(spec.uid, dict(job.zones))
+        zone = self.zones.setdefault(spec.job_id, dict(job.zones))
         for room in self.rooms:
-            target = room.host
-            left = 1 if target.zone == host.zone else 0
+            target = room.machine
+            left = 1 if target.zone == machine.zone else 0
             if (
-                target is not host
+                target is not machine
                 and target.name not in self.gone
                 and room.fits(spec)
                 and target.allows(spec)
-                and spec.bundle in target.images
+                and spec.image in target.images
                 and zone.get(target.zone, 0) + 1 - left <= spec.zone_limit
                 and job.avoid.get(target.name, 0.0) <= 0.0
             ):
                 return room
         return None
 
-    def spares(self, spare: Spec | None, zones: list[str]) -> bool:
+    def spares(self, spare: JobSpec | None, zones: list[str]) -> bool:
         """Whether room for one more service is still ready in every zone."""
         if spare is None:
             return True
         slots = dict.fromkeys(zones, 0)
         for room in self.rooms:
-            if room.host.name not in self.gone and room.host.zone in slots and room.host.allows(spare):
+            if room.machine.name not in self.gone and room.machine.zone in slots and room.machine.allows(spare):
                 more = int(min(room.cpus / max(spare.cpus, 0.1), room.memory / max(spare.memory, 0.1)) + 1e-6)
-                slots[room.host.zone] += max(0, more)
+                slots[room.machine.zone] += max(0, more)
         return all(n >= spare.zone_limit for n in slots.values())
 
 
 def machines_to_drain(
-    hosts: Iterable[Host],
+    machines: Iterable[Machine],
     jobs: dict[str, Job],
     now: float,
-    price: Callable[[Host], float],
-    spare: Spec | None,
+    price: Callable[[Machine], float],
+    spare: JobSpec | None,
     zones: list[str],
     most: int = 1,
-) -> list[Host]:
+) -> list[Machine]:
     """Machines whose services fit on others that hold their images, dearest for what they carry first.
     Room for one more service stays ready in every zone, or a machine would be rented again at once."""
-    usable = [h for h in hosts if h.usable()]
-    found: list[tuple[float, Host]] = []
-    for host in usable:
-        tasks = [a for a in host.attempts.values() if a.spec is not None]
-        if host.spot or not tasks or any(not a.exited for a in host.attempts.values() if a.spec is None):
+    usable = [h for h in machines if h.usable()]
+    found: list[tuple[float, Machine]] = []
+    for machine in usable:
+        tasks = [a for a in machine.attempts.values() if a.spec is not None]
+        if machine.spot or not tasks or any(not a.exited for a in machine.attempts.values() if a.spec is None):
             continue
         if any(
-            a.stop or a.spec is None or not a.spec.endless or a.running_since is None
+            a.stop
+            or a.spec is None
+            or not a.spec.endless
+            or a.running_since is None
             or now - a.running_since < C.SETTLED_S
             for a in tasks
-        ):  # fmt: skip
+        ):
             continue
-        found.append((host.cpus / max(price(host), 1e-9), host))
+        found.append((machine.cpus / max(price(machine), 1e-9), machine))
     found.sort(key=lambda item: item[0])
     plan = _Plan(usable, jobs)
-    out: list[Host] = []
-    for _, host in found[: C.DRAIN_TRIES * most]:
+    out: list[Machine] = []
+    for _, machine in found[: C.DRAIN_TRIES * most]:
         if len(out) == most:
             break
-        if host.name in plan.targets or not plan.move(host):
+        if machine.name in plan.targets or not plan.move(machine):
             continue
         if not plan.spares(spare, zones):
             break
-        out.append(host)
+        out.append(machine)
     return out
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -21,9 +21,9 @@
 from sorrelsill.store.budget import Bucket
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import Spec
+    from sorrelsill.jobs import JobSpec
     from sorrelsill.placement import Unplaced
-    from sorrelsill.workers import Host, Ledger
+    from sorrelsill.workers import ClusterState, Machine
 
 log = logging.getLogger(__name__)
 
@@ -85,11 +85,17 @@
     """One per term: what is rented and on its way, which offers were refused, which returns are due."""
 
     def __init__(
-        self, cloud: Cloud, ledger: Ledger, valid: Callable[[], bool], demand: Callable[[], list[Unplaced]],
-        hurried: bool, lag_s: float, prompt: set[str],
-    ) -> None:  # fmt: skip
+        self,
+        cloud: Cloud,
+        cluster: ClusterState,
+        valid: Callable[[], bool],
+        demand: Callable[[], list[Unplaced]],
+        hurried: bool,
+        lag_s: float,
+        prompt: set[str],
+    ) -> None:
         self._cloud = cloud
-        self._ledger = ledger
+        self._ledger = cluster
         self._valid = valid
         self._demand = demand
         self._hurried = hurried
@@ -117,9 +123,9 @@
     async def step(self) -> None:
         """One action at the most; what is most urgent goes first."""
         now = trio.current_time()
-        if not self._ledger.catalog.flavours or now - self._catalog_at > C.CATALOG_EVERY_S:
+        if not self._ledger.catalog.machine_types or now - self._catalog_at > C.CATALOG_EVERY_S:
             await self._read_catalog()
-            if not self._ledger.catalog.flavours:
+            if not self._ledger.catalog.machine_types:
                 return
         self._forget_arrived(now)
         self._report_use(now)
@@ -159,11 +165,11 @@
             while True:
                 target = f"/rentals?page={C.LIST_PAGE}" + (f"&from={last}" if last else "")
                 answer = await self._cloud.call("GET", target)
-                hosts = answer.get("hosts") or []
-                for item in hosts:
+                machines = answer.get("hosts") or []
+                for item in machines:
                     last = str(item["uid"])
                     found[last] = item
-                if not answer.get("hasNext") or not hosts:
+                if not answer.get("hasNext") or not machines:
                     break
         except (CloudError, KeyError, TypeError) as error:
             log.info("machine list: %s", error)
@@ -176,7 +182,7 @@
         self._lists += 1
         for name, item in found.items():
             phase = item.get("phase")
-            host = self._ledger.hosts.get(name)
+            machine = self._ledger.machines.get(name)
             if phase == "failed":
                 self._ledger.gone_for_certain(name, now, "machine failed")
                 self.pending.pop(name, None)
@@ -188,7 +194,7 @@
                 self._returned[name] = now
                 continue  # gone; the list will say so later
             age = float(item.get("ageS") or 0.0)
-            if host is None and name not in self.pending and name not in self._give_back:
+            if machine is None and name not in self.pending and name not in self._give_back:
                 self.pending[name] = Pending(
                     name, str(item.get("flavour")), str(item.get("region")), bool(item.get("reclaimable")), now - age
                 )
@@ -201,9 +207,9 @@
         for name, pending in list(self.pending.items()):
             if name not in found and now - pending.since > patience:
                 del self.pending[name]
-        for name, host in list(self._ledger.hosts.items()):
-            if name not in found and host.lost and now - host.seen_at > patience:
-                self._ledger.drop(host)
+        for name, machine in list(self._ledger.machines.items()):
+            if name not in found and machine.lost and now - machine.seen_at > patience:
+                self._ledger.drop(machine)
 
     def _report_use(self, now: float) -> None:
         """For operators who ask where the money goes: machines, room and use by kind."""
@@ -211,30 +217,32 @@
             return
         self._reported_at = now
         kinds: dict[tuple[str, bool], list[float]] = {}
-        for host in self._ledger.hosts.values():
-            row = kinds.setdefault((host.flavour, host.spot), [0, 0, 0, 0, 0])
+        for machine in self._ledger.machines.values():
+            row = kinds.setdefault((machine.machine_type, machine.spot), [0, 0, 0, 0, 0])
             row[0] += 1
-            row[1] += host.cap_cpus
-            for a in host.attempts.values():
+            row[1] += machine.cap_cpus
+            for a in machine.attempts.values():
                 if a.spec is not None:
                     row[2 if a.phase == "running" else 3] += a.spec.cpus
         for p in self.pending.values():
-            kinds.setdefault((p.flavour, p.spot), [0, 0, 0, 0, 0])[4] += 1
-        for (flavour, spot), row in sorted(kinds.items()):
+            kinds.setdefault((p.machine_type, p.spot), [0, 0, 0, 0, 0])[4] += 1
+        for (machine_type, spot), row in sorted(kinds.items()):
             log.debug(
                 "use: %s%s %d machines, %g CPUs, %g running, %g not yet; %d coming",
-                flavour, " spot" if spot else "", *row,
-            )  # fmt: skip
-        waiting = [(u.job.spec.uid, u.count, u.job.spec.expected_s) for u in self._demand()]
+                machine_type,
+                " spot" if spot else "",
+                *row,
+            )
+        waiting = [(u.job.spec.job_id, u.count, u.job.spec.expected_s) for u in self._demand()]
         log.debug("waiting: %s", waiting)
 
     # --- returning ---
 
     def _forget_arrived(self, now: float) -> None:
-        for name in [n for n in self.pending if n in self._ledger.hosts]:
+        for name in [n for n in self.pending if n in self._ledger.machines]:
             arrived = self.pending.pop(name)
             if arrived.ours:
-                self._boots.note(arrived.flavour, now - arrived.since)
+                self._boots.note(arrived.machine_type, now - arrived.since)
         self.refused = {o: t for o, t in self.refused.items() if t > now}
 
     def _choose_returns(self, now: float) -> None:
@@ -244,38 +252,41 @@
         awaited = [(u.job.spec, u.zone) for u in self._demand() if u.job.spec.whole and not u.limited]
         free, kept = self._group_room()
         room: dict[str, int] | None = None  # worked out only if a machine could go, since it walks all of them
-        for host in self._ledger.hosts.values():
-            if host.name in self._give_back:
+        for machine in self._ledger.machines.values():
+            if machine.name in self._give_back:
                 continue
-            if host.lost:
-                if now - host.seen_at > self._ledger.loss_s + C.SILENT_RETURN_S:
-                    self._give_back[host.name] = "silent"
+            if machine.lost:
+                if now - machine.seen_at > self._ledger.loss_s + C.SILENT_RETURN_S:
+                    self._give_back[machine.name] = "silent"
                 continue
-            if host.live or host.unknown or host.evict_at is not None or not host.synced:
+            if machine.live or machine.unknown or machine.evict_at is not None or not machine.synced:
                 continue
-            if any(not a.clearable for a in host.attempts.values()):
+            if any(not a.clearable for a in machine.attempts.values()):
                 continue  # a result that is not recorded yet
-            if host.faulty:
-                self._start_return(host, "faulty")
-            elif host.draining:
-                self._start_return(host, "drained")
-            elif now - max(host.idle_since, self._ledger.started) > self._patience(host):
-                if any(zone in (None, host.zone) and host.allows(spec) for spec, zone in awaited):
+            if machine.faulty:
+                self._start_return(machine, "faulty")
+            elif machine.draining:
+                self._start_return(machine, "drained")
+            elif now - max(machine.idle_since, self._ledger.started) > self._patience(machine):
+                if any(zone in (None, machine.zone) and machine.allows(spec) for spec, zone in awaited):
                     continue
-                if kept and not host.spot:
-                    if host.zone == max(sorted(free), key=lambda z: free[z]) and free[host.zone] - host.cap_cpus < kept:
+                if kept and not machine.spot:
+                    if (
+                        machine.zone == max(sorted(free), key=lambda z: free[z])
+                        and free[machine.zone] - machine.cap_cpus < kept
+                    ):
                         continue
-                    free[host.zone] -= host.cap_cpus
-                if spare is not None and host.allows(spare):
+                    free[machine.zone] -= machine.cap_cpus
+                if spare is not None and machine.allows(spare):
                     if room is None:
                         room = self._spare_room(spare)
-                    mine = self._spare_on(host, spare)
-                    if room.get(host.zone, 0) - mine < spare.zone_limit:
+                    mine = self._spare_on(machine, spare)
+                    if room.get(machine.zone, 0) - mine < spare.zone_limit:
                         continue  # giving it back would leave too little room ready
-                    room[host.zone] -= mine
-                self._start_return(host, "idle")
+                    room[machine.zone] -= mine
+                self._start_return(machine, "idle")
         for name, pending in self.pending.items():
-            if name in self._ledger.unheard:
+            if name in self._ledger.unconfirmed:
                 continue
             up = self._running_since.get(name)
             if given_up(pending, self._boots, self._ledger.catalog, now, self._ledger.started):
@@ -283,32 +294,32 @@
             elif up is not None and now - up > 2 * C.SILENT_RETURN_S:
                 self._give_back.setdefault(name, "up but silent")
 
-    def _patience(self, host: Host) -> float:
+    def _patience(self, machine: Machine) -> float:
         """How long a machine may idle: it is paid for its first minute anyway."""
         if self._hurried:
             return C.IDLE_RETURN_HURRIED_S
-        kind = self._ledger.catalog.flavours.get(host.flavour)
+        kind = self._ledger.catalog.machine_types.get(machine.machine_type)
         return C.IDLE_OF_BOOT * (kind.boot_s if kind is not None else C.MIN_CHARGE_S)
 
-    def _start_return(self, host: Host, why: str) -> None:
-        host.returning = True
-        self._ledger.look(host)
-        self._give_back[host.name] = why
+    def _start_return(self, machine: Machine, why: str) -> None:
+        machine.returning = True
+        self._ledger.reindex(machine)
+        self._give_back[machine.name] = why
 
     async def _return(self) -> None:
         """Nothing is bound to what goes back; that was decided without an await in between."""
         names = []
         for name in list(self._give_back):
-            host = self._ledger.hosts.get(name)
-            if host is not None and (host.live or host.unknown):
+            machine = self._ledger.machines.get(name)
+            if machine is not None and (machine.live or machine.unknown):
                 # It came back to life, with work: it stays.
-                host.returning = False
-                self._ledger.look(host)
+                machine.returning = False
+                self._ledger.reindex(machine)
                 del self._give_back[name]
                 continue
-            if host is not None:
-                host.returning = True
-                self._ledger.look(host)
+            if machine is not None:
+                machine.returning = True
+                self._ledger.reindex(machine)
             names.append(name)
         names = names[: C.RETURN_MAX]
         if not names:
@@ -329,30 +340,30 @@
     def _consolidate(self, now: float) -> None:
         """In quiet times, a few machines at a time: their services move to fuller ones and they go back. One at a time
         was too slow for hundreds, and so was waiting for a moment when none is coming up: there is none."""
-        ledger = self._ledger
+        cluster = self._ledger
         if self._hurried or self._open or now - self._drained_at < C.DRAIN_EVERY_S:
             return
-        few = int(C.DRAIN_SHARE * len(ledger.ready))
-        if len(self.pending) > few or ledger.unheard:
+        few = int(C.DRAIN_SHARE * len(cluster.ready))
+        if len(self.pending) > few or cluster.unconfirmed:
             return
-        if any(u.count for u in self._demand()) or any(h.draining for h in ledger.hosts.values()):
+        if any(u.count for u in self._demand()) or any(h.draining for h in cluster.machines.values()):
             return
         self._drained_at = now
         spare = self._spare_spec()
         zones = sorted(self._spare_room(spare)) if spare is not None else []
-        hosts = machines_to_drain(ledger.ready.values(), ledger.jobs, now, self._price, spare, zones, max(1, few))
-        for host in hosts:
-            log.info("draining %s: its services fit elsewhere", host.name)
-            host.draining = True
-            ledger.look(host)
-            for attempt in list(host.attempts.values()):
-                ledger.stop(attempt, "moved to a fuller machine", hurry=True)
-        if hosts:
+        machines = machines_to_drain(cluster.ready.values(), cluster.jobs, now, self._price, spare, zones, max(1, few))
+        for machine in machines:
+            log.info("draining %s: its services fit elsewhere", machine.name)
+            machine.draining = True
+            cluster.reindex(machine)
+            for attempt in list(machine.attempts.values()):
+                cluster.stop(attempt, "moved to a fuller machine", hurry=True)
+        if machines:
             self.on_drain()
 
-    def _price(self, host: Host) -> float:
-        kind = self._ledger.catalog.flavours.get(host.flavour)
-        return kind.cost(host.spot) if kind is not None else 0.0
+    def _price(self, machine: Machine) -> float:
+        kind = self._ledger.catalog.machine_types.get(machine.machine_type)
+        return kind.cost(machine.spot) if kind is not None else 0.0
 
     # --- renting ---
 
@@ -373,26 +384,26 @@
                         spec.cpus,
                         spec.gpus,
                         spec.memory,
-                        spec.flavours,
+                        spec.machine_types,
                         spec.zone or item.zone,
                         spec.spot,
                         spec.zone_limit if spec.scatter else None,
                         dict(job.zones),
                         patient,
-                    )  # fmt: skip
+                    )
                 )
         return out + self._spare_needs() + self._group_needs() + (self._headroom() if self._hurried else [])
 
     def _headroom(self) -> list[Need]:
         """Where time counts, whole machines ahead of the work: in a burst of arrays a boot costs more than their run.
         What is coming up is filled first, by the plan."""
-        kinds = list(self._ledger.catalog.flavours.values())
+        kinds = list(self._ledger.catalog.machine_types.values())
         if not kinds:
             return []
         used = free = 0.0
-        for host in self._ledger.ready.values():
-            used += host.cpus
-            free += host.cap_cpus - host.cpus
+        for machine in self._ledger.ready.values():
+            used += machine.cpus
+            free += machine.cap_cpus - machine.cpus
         kind = min(kinds, key=lambda f: f.cost(False) / max(f.cpus, 0.1))
         missing = int((C.HEADROOM * used - free) / max(kind.cpus, 0.1))
         return [Need(missing, kind.cpus, 0.0, kind.memory, None, None, True, None)] if missing > 0 else []
@@ -404,7 +415,7 @@
             return {}, 0.0
         free = dict.fromkeys(self._ledger.catalog.zones, 0.0) | self._ledger.ordinary_room()
         for p in self._counted_on(trio.current_time()):
-            kind = self._ledger.catalog.flavours.get(p.flavour)
+            kind = self._ledger.catalog.machine_types.get(p.machine_type)
             if kind is not None and not p.spot:
                 free[p.zone] = free.get(p.zone, 0.0) + kind.cpus
         return free, kept
@@ -415,34 +426,34 @@
             return []
         zone = max(sorted(free), key=lambda z: free[z])
         groups = [s for name in self._prompt if (s := self._ledger.largest_group.get(name)) is not None]
-        spec = max(groups, key=lambda s: (s.cpus, s.uid))
+        spec = max(groups, key=lambda s: (s.cpus, s.job_id))
         missing = math.ceil((kept - free[zone]) / max(spec.cpus, 0.1))
         if missing <= 0:
             return []
-        return [Need(missing, spec.cpus, spec.gpus, spec.memory, spec.flavours, zone, False, None)]
+        return [Need(missing, spec.cpus, spec.gpus, spec.memory, spec.machine_types, zone, False, None)]
 
-    def _spare_spec(self) -> Spec | None:
+    def _spare_spec(self) -> JobSpec | None:
         """The largest live service of a class whose tasks should start within seconds: room for one more of
         it is kept ready, since a machine takes far longer to boot."""
         jobs = [j.spec for j in self._ledger.jobs.values() if j.spec.endless and j.spec.workload in self._prompt]
-        return max(jobs, key=lambda s: (s.zone_limit * s.cpus, s.uid), default=None)
+        return max(jobs, key=lambda s: (s.zone_limit * s.cpus, s.job_id), default=None)
 
-    def _spare_room(self, spec: Spec) -> dict[str, int]:
+    def _spare_room(self, spec: JobSpec) -> dict[str, int]:
         """Tasks of this kind that could start at once, by zone: in free room or in place of lesser work."""
         room: dict[str, int] = {z: 0 for z in self._ledger.catalog.zones if spec.zone in (None, z)}
-        for host in self._ledger.ready.values():
-            if host.allows(spec):
-                room[host.zone] = room.get(host.zone, 0) + self._spare_on(host, spec)
+        for machine in self._ledger.ready.values():
+            if machine.allows(spec):
+                room[machine.zone] = room.get(machine.zone, 0) + self._spare_on(machine, spec)
         for p in self._counted_on(trio.current_time()):
-            kind = self._ledger.catalog.flavours.get(p.flavour)
-            if kind is not None and not p.spot and (spec.flavours is None or p.flavour in spec.flavours):
+            kind = self._ledger.catalog.machine_types.get(p.machine_type)
+            if kind is not None and not p.spot and (spec.machine_types is None or p.machine_type in spec.machine_types):
                 room[p.zone] = room.get(p.zone, 0) + int(kind.cpus // max(spec.cpus, 0.1))
         return room
 
     @staticmethod
-    def _spare_on(host: Host, spec: Spec) -> int:
-        cpus, memory = host.cap_cpus, host.cap_memory
-        for attempt in host.attempts.values() if host.live else ():
+    def _spare_on(machine: Machine, spec: JobSpec) -> int:
+        cpus, memory = machine.cap_cpus, machine.cap_memory
+        for attempt in machine.attempts.values() if machine.live else ():
             kept = attempt.spec
             if kept is not None and (kept.rank <= spec.rank or kept.whole):
                 cpus -= kept.cpus
@@ -454,7 +465,7 @@
         if spec is None:
             return []
         return [
-            Need(spec.zone_limit - have, spec.cpus, spec.gpus, spec.memory, spec.flavours, zone, False, None)
+            Need(spec.zone_limit - have, spec.cpus, spec.gpus, spec.memory, spec.machine_types, zone, False, None)
             for zone, have in sorted(self._spare_room(spec).items())
             if have < spec.zone_limit
         ]
@@ -468,11 +479,11 @@
         need = boot + pull + spec.expected_s * C.ESTIMATE_SLACK + C.PATIENCE_S
         return item.job.submitted + spec.due_s - now > need
 
-    def _lead_time(self, spec: Spec) -> tuple[float, float]:
+    def _lead_time(self, spec: JobSpec) -> tuple[float, float]:
         """Boot and fetch of the quickest machine type that fits."""
-        kinds = [f for f in self._ledger.catalog.flavours.values() if f.fits(spec.cpus, spec.gpus, spec.memory)]
+        kinds = [f for f in self._ledger.catalog.machine_types.values() if f.fits(spec.cpus, spec.gpus, spec.memory)]
         boot = min((f.boot_s for f in kinds), default=0.0)
-        return boot, max((spec.bundle_gb / f.pull_rate for f in kinds), default=0.0)
+        return boot, max((spec.image_gb / f.pull_rate for f in kinds), default=0.0)
 
     def _enough(self, item: Unplaced, now: float) -> int:
         """How many more tasks at once meet the deadline: machines beyond that cost without use."""
@@ -491,13 +502,19 @@
             return
         self._planned_at = now
         in_zone: dict[str, int] = {}
-        for host in self._ledger.hosts.values():
-            in_zone[host.zone] = in_zone.get(host.zone, 0) + 1
+        for machine in self._ledger.machines.values():
+            in_zone[machine.zone] = in_zone.get(machine.zone, 0) + 1
         for p in self.pending.values():
             in_zone[p.zone] = in_zone.get(p.zone, 0) + 1
         wanted = plan(
-            self.needs(now), self._counted_on(now), self._ledger.catalog, self.refused, now, in_zone, self._hurried,
-        )  # fmt: skip
+            self.needs(now),
+            self._counted_on(now),
+            self._ledger.catalog,
+            self.refused,
+            now,
+            in_zone,
+            self._hurried,
+        )
         for offer, count in sorted(wanted.items(), key=lambda i: -i[1]):
             self._counter += 1
             ref = f"r-{self._ledger.term}-{self._counter}"
@@ -518,10 +535,14 @@
         if not due:
             return
         rental = due[0]
-        flavour, zone, spot = rental.offer
+        machine_type, zone, spot = rental.offer
         body = {
-            "hireRef": rental.ref, "flavour": flavour, "region": zone, "reclaimable": spot, "howMany": rental.count,
-        }  # fmt: skip
+            "hireRef": rental.ref,
+            "flavour": machine_type,
+            "region": zone,
+            "reclaimable": spot,
+            "howMany": rental.count,
+        }
         rental.tries += 1
         try:
             answer = await self._cloud.call("POST", "/rentals", body, self._valid)
@@ -539,14 +560,14 @@
                 self._open.remove(rental)
             else:
                 rental.next_at = now + min(5.0, C.RETRY_S * 2**rental.tries)
-            log.info("renting %d %s in %s: %s", rental.count, flavour, zone, error)
+            log.info("renting %d %s in %s: %s", rental.count, machine_type, zone, error)
             return
         now = trio.current_time()
         self._open.remove(rental)
         for name in names:
-            if name not in self._ledger.hosts:
-                self.pending[name] = Pending(name, flavour, zone, spot, now, ours=True)
+            if name not in self._ledger.machines:
+                self.pending[name] = Pending(name, machine_type, zone, spot, now, ours=True)
         self._refusals.pop(rental.offer, None)
         if len(names) < rental.count:
             self._refuse(rental.offer, now)
-        log.info("rented %d of %d %s in %s, spot %s", len(names), rental.count, flavour, zone, spot)
+        log.info("rented %d of %d %s in %s, spot %s", len(names), rental.count, machine_type, zone, spot)
--- a/sorrelsill/fleet/rentals.py
+++ b/sorrelsill/fleet/rentals.py
@@ -17,7 +17,7 @@
     """A machine that was rented and has not reported yet."""
 
     name: str
-    flavour: str
+    machine_type: str
     zone: str
     spot: bool
     since: float
@@ -33,7 +33,7 @@
     cpus: float
     gpus: float
     memory: float
-    flavours: frozenset[str] | None
+    machine_types: frozenset[str] | None
     zone: str | None
     spot: bool
     per_zone: int | None  # most tasks of these that may go to one zone
@@ -50,16 +50,21 @@
 
 
 def plan(
-    needs: list[Need], pending: list[Pending], catalog: Catalog, refused: dict[Offer, float], now: float,
-    in_zone: dict[str, int], hurried: bool = False,
-) -> dict[Offer, int]:  # fmt: skip
+    needs: list[Need],
+    pending: list[Pending],
+    catalog: Catalog,
+    refused: dict[Offer, float],
+    now: float,
+    in_zone: dict[str, int],
+    hurried: bool = False,
+) -> dict[Offer, int]:
     """Machines to rent: first-fit into what is already on its way, then the cheapest offer per task; where time
     counts and not money, an ordinary one first, since a task lost with a spot machine makes its whole job late."""
     bins = []
     for p in pending:
-        kind = catalog.flavours.get(p.flavour)
+        kind = catalog.machine_types.get(p.machine_type)
         if kind is not None:
-            bins.append(_Bin((p.flavour, p.zone, p.spot), kind.cpus, kind.gpus, kind.memory))
+            bins.append(_Bin((p.machine_type, p.zone, p.spot), kind.cpus, kind.gpus, kind.memory))
     wanted: dict[Offer, int] = {}
     for need in needs:
         zones = dict(need.zones)
@@ -72,7 +77,7 @@
             offer = _best_offer(need, catalog, refused, now, zones, in_zone, wanted, hurried)
             if offer is None:
                 break
-            kind = catalog.flavours[offer[0]]
+            kind = catalog.machine_types[offer[0]]
             b = _Bin(offer, kind.cpus, kind.gpus, kind.memory)
             put = _fill(need, b, left, zones)
             if put == 0:
@@ -87,7 +92,7 @@
 
 def _allows(need: Need, offer: Offer) -> bool:
     return (
-        (need.flavours is None or offer[0] in need.flavours)
+        (need.machine_types is None or offer[0] in need.machine_types)
         and (need.zone is None or need.zone == offer[1])
         and (need.spot or not offer[2])
     )
@@ -117,11 +122,17 @@
 
 
 def _best_offer(
-    need: Need, catalog: Catalog, refused: dict[Offer, float], now: float, zones: dict[str, int],
-    in_zone: dict[str, int], wanted: dict[Offer, int], hurried: bool,
-) -> Offer | None:  # fmt: skip
+    need: Need,
+    catalog: Catalog,
+    refused: dict[Offer, float],
+    now: float,
+    zones: dict[str, int],
+    in_zone: dict[str, int],
+    wanted: dict[Offer, int],
+    hurried: bool,
+) -> Offer | None:
     best: tuple[tuple[bool, float, int, str], Offer] | None = None
-    for kind in catalog.flavours.values():
+    for kind in catalog.machine_types.values():
         most = _capacity(need, kind.cpus, kind.gpus, kind.memory)
         if most <= 0:
             continue
@@ -146,7 +157,7 @@
 def counted_on(pending: list[Pending], boots: BootTimes, catalog: Catalog, now: float) -> list[Pending]:
     """The machines on their way that the plan may count on. Late ones are replaced, the latest first, but only a part
     of them: when all are late, further rentals would be late as well and cost as much."""
-    late = [p for p in pending if now - p.since > boots.late_after_s(p.flavour, catalog)]
+    late = [p for p in pending if now - p.since > boots.late_after_s(p.machine_type, catalog)]
     late.sort(key=lambda p: p.since)
     replaced = min(len(late), max(C.LATE_REPLACED_MIN, math.ceil(C.LATE_REPLACED_SHARE * len(late))))
     left_out = {p.name for p in late[:replaced]}
@@ -156,5 +167,5 @@
 def given_up(pending: Pending, boots: BootTimes, catalog: Catalog, now: float, leading_since: float) -> bool:
     """Whether the machine will most likely never come up. `leading_since` guards against a new leader that takes every
     machine that has not reported to it yet for one that never came up: only the list's word reaches further back."""
-    limit = boots.give_up_after_s(pending.flavour, catalog)
+    limit = boots.give_up_after_s(pending.machine_type, catalog)
     return max(pending.booted_for, now - max(pending.since, leading_since)) > limit
--- a/sorrelsill/fleet/test_boot_times.py
+++ b/sorrelsill/fleet/test_boot_times.py
@@ -1,9 +1,9 @@
 """When a machine on its way is late, replaced and given up."""
 
 from sorrelsill import constants as C
-from sorrelsill.fleet import BootTimes, Catalog, Flavour, Pending, counted_on, given_up
+from sorrelsill.fleet import BootTimes, Catalog, MachineType, Pending, counted_on, given_up
 
-KIND = Flavour("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
+KIND = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
 CATALOG = Catalog({"c8": KIND})
 
 
--- a/sorrelsill/http/client.py
+++ b/sorrelsill/http/client.py
@@ -59,9 +59,13 @@
         self._idle: list[_Conn] = []
 
     async def request(
-        self, method: str, target: str, body: bytes = b"", timeout: float = C.STORE_TIMEOUT_S,
+        self,
+        method: str,
+        target: str,
+        body: bytes = b"",
+        timeout: float = C.STORE_TIMEOUT_S,
         may_send: MaySend = always,
-    ) -> tuple[int, bytes]:  # fmt: skip
+    ) -> tuple[int, bytes]:
         """Status and body, or NotSent or NoAnswer."""
         conn: _Conn | None = None
         sent = False
--- a/sorrelsill/jobs/__init__.py
+++ b/sorrelsill/jobs/__init__.py
@@ -2,10 +2,10 @@
 
 from sorrelsill.jobs.admission import Admission, Busy
 from sorrelsill.jobs.cancellations import Cancellations
-from sorrelsill.jobs.messages import GANG, RANKS, SWEEP, BadJob, Spec, parse_spec, valid_uid
-from sorrelsill.jobs.recorder import Recorder
+from sorrelsill.jobs.messages import GANG, RANKS, SWEEP, BadJob, JobSpec, parse_spec, valid_job_id
+from sorrelsill.jobs.record_writer import RecordWriter
 from sorrelsill.jobs.records import (
-    ShardSet,
+    TaskSet,
     chunk_value,
     final_record,
     impossible,
@@ -16,7 +16,23 @@
 )
 
 __all__ = [
-    "GANG", "RANKS", "SWEEP", "Admission", "BadJob", "Busy", "Cancellations", "Recorder", "ShardSet", "Spec",
-    "chunk_value", "final_record", "impossible", "json_size", "new_record", "parse_record", "parse_spec",
-    "record_value", "valid_uid",
-]  # fmt: skip
+    "GANG",
+    "RANKS",
+    "SWEEP",
+    "Admission",
+    "BadJob",
+    "Busy",
+    "Cancellations",
+    "RecordWriter",
+    "TaskSet",
+    "JobSpec",
+    "chunk_value",
+    "final_record",
+    "impossible",
+    "json_size",
+    "new_record",
+    "parse_record",
+    "parse_spec",
+    "record_value",
+    "valid_job_id",
+]
--- a/sorrelsill/jobs/admission.py
+++ b/sorrelsill/jobs/admission.py
@@ -15,7 +15,7 @@
 
 from sorrelsill import constants as C
 from sorrelsill.fleet import Catalog
-from sorrelsill.jobs.messages import BadJob, Spec, parse_spec, valid_uid
+from sorrelsill.jobs.messages import BadJob, JobSpec, parse_spec, valid_job_id
 from sorrelsill.jobs.records import final_record, impossible, json_size, new_record, parse_record
 from sorrelsill.settings import Team
 from sorrelsill.store import (
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Waiting:
-    spec: Spec
+    spec: JobSpec
     deadline: float
     done: trio.Event = field(default_factory=trio.Event)
     answer: Answer | None = None
@@ -61,9 +61,9 @@
     return found if isinstance(found, int) else 0
 
 
-def _state(uid: str, value: Any) -> dict[str, Any]:
+def _state(job_id: str, value: Any) -> dict[str, Any]:
     done, running = _count(value, "n"), _count(value, "r")
-    return {"uid": uid, "phase": "running" if running else "pending", "done": done, "running": running}
+    return {"uid": job_id, "phase": "running" if running else "pending", "done": done, "running": running}
 
 
 def _out_of_date(as_of: float) -> bool:
@@ -98,7 +98,7 @@
         except BadJob as error:
             # A known job's repeat may be sent by a client gone wrong; it is still malformed.
             return 400, {"error": str(error)}
-        known = self._known(spec.uid)
+        known = self._known(spec.job_id)
         if known is not None:
             return 200, known
         if len(self._queue) >= C.ADMIT_QUEUE:
@@ -111,18 +111,18 @@
         if waiting.answer is None:
             raise Busy("the state service did not take the job in time")
         # Other controllers may have told more since the read or write that the answer rests on.
-        known = self._known(spec.uid)
+        known = self._known(spec.job_id)
         if known is not None:
             return 200, known
         if waiting.answer[0] in (200, 201) and _out_of_date(waiting.as_of):
-            return await self.poll(spec.uid)
+            return await self.poll(spec.job_id)
         return waiting.answer
 
-    def _known(self, uid: str) -> dict[str, Any] | None:
+    def _known(self, job_id: str) -> dict[str, Any] | None:
         """What is known of a job without asking; enough to say that it was accepted."""
-        final = self._view.final(uid)
+        final = self._view.final(job_id)
         if final is not None:
-            return {"uid": uid, "phase": final["p"], "done": final.get("n", 0), "running": 0}
+            return {"uid": job_id, "phase": final["p"], "done": final.get("n", 0), "running": 0}
         return None
 
     async def run(self) -> None:
@@ -152,21 +152,21 @@
         todo: dict[str, list[_Waiting]] = {}
         for waiting in batch:
             if waiting.deadline > now:
-                todo.setdefault(waiting.spec.uid, []).append(waiting)
+                todo.setdefault(waiting.spec.job_id, []).append(waiting)
         # A repeat is looked up before it is judged: the limits may have changed since it was accepted.
-        for uid in list(todo):
-            spec = todo[uid][0].spec
+        for job_id in list(todo):
+            spec = todo[job_id][0].spec
             if self.catalog is None or impossible(spec, self._teams, self.catalog) or self._too_long(spec):
-                await self._judge(uid, todo.pop(uid))
+                await self._judge(job_id, todo.pop(job_id))
         for _ in range(3):
             if not todo:
                 return
             conditions: list[Condition] = []
             writes: list[Put | Remove] = []
             records = {u: new_record(g[0].spec, self._time_of_day()) for u, g in todo.items()}
-            for uid in todo:
-                conditions += [Condition(job_key(uid), 0), Condition(final_key(uid), 0)]
-                writes.append(Put(job_key(uid), records[uid]))
+            for job_id in todo:
+                conditions += [Condition(job_key(job_id), 0), Condition(final_key(job_id), 0)]
+                writes.append(Put(job_key(job_id), records[job_id]))
             sent_at = trio.current_time()
             try:
                 txn = await self._store.multi(conditions, writes)
@@ -177,8 +177,8 @@
                     for group in todo.values():
                         await self._admit(group)
                 else:
-                    for uid in [u for u, g in todo.items() if self._too_long(g[0].spec)]:
-                        await self._judge(uid, todo.pop(uid))
+                    for job_id in [u for u, g in todo.items() if self._too_long(g[0].spec)]:
+                        await self._judge(job_id, todo.pop(job_id))
                 return
             except Unavailable as error:
                 if error.throttled and trio.current_time() < now + C.ADMIT_DEADLINE_S / 2:
@@ -187,49 +187,49 @@
                 return
             except Ambiguous:
                 # It may have been written: what stands there now is an accepted job, whoever wrote it.
-                for uid, group in todo.items():
-                    await self._settle(uid, group)
+                for job_id, group in todo.items():
+                    await self._settle(job_id, group)
                 return
             if txn.ok:
-                for uid, group in todo.items():
-                    self._view.apply(job_key(uid), records[uid], txn.rev, True)
+                for job_id, group in todo.items():
+                    self._view.apply(job_key(job_id), records[job_id], txn.rev, True)
                     for waiting in group:
-                        waiting.tell((201, {"uid": uid, "phase": "pending"}), sent_at)
+                        waiting.tell((201, {"uid": job_id, "phase": "pending"}), sent_at)
                 return
             for key in txn.failed:
-                uid = key.rsplit("/", 1)[-1]
-                if uid in todo:
-                    await self._settle(uid, todo.pop(uid))
+                job_id = key.rsplit("/", 1)[-1]
+                if job_id in todo:
+                    await self._settle(job_id, todo.pop(job_id))
 
-    def _too_long(self, spec: Spec) -> bool:
+    def _too_long(self, spec: JobSpec) -> bool:
         return json_size(new_record(spec, self._time_of_day())) > self._store.value_bytes
 
-    async def _lookup(self, uid: str) -> dict[str, Any] | None:
+    async def _lookup(self, job_id: str) -> dict[str, Any] | None:
         """The job's state by direct reads, or None if it was never accepted at the first read."""
-        for key in (job_key(uid), final_key(uid)):
+        for key in (job_key(job_id), final_key(job_id)):
             found = await self._store.get(key)
             if found is not None:
                 value = found[0]
                 if isinstance(value, dict) and "p" in value:
-                    self._view.remember_final(uid, value)
-                    return {"uid": uid, "phase": value["p"], "done": value.get("n", 0), "running": 0}
-                return _state(uid, value)
+                    self._view.remember_final(job_id, value)
+                    return {"uid": job_id, "phase": value["p"], "done": value.get("n", 0), "running": 0}
+                return _state(job_id, value)
         return None
 
-    async def _settle(self, uid: str, group: list[_Waiting]) -> bool:
+    async def _settle(self, job_id: str, group: list[_Waiting]) -> bool:
         asked_at = trio.current_time()
         try:
-            state = await self._lookup(uid)
+            state = await self._lookup(job_id)
         except (Unavailable, Ambiguous):
             return False
         for waiting in group if state is not None else []:
             waiting.tell((200, state or {}), asked_at)
         return state is not None
 
-    async def _judge(self, uid: str, group: list[_Waiting]) -> None:
+    async def _judge(self, job_id: str, group: list[_Waiting]) -> None:
         asked_at = trio.current_time()
         try:
-            state = await self._lookup(uid)
+            state = await self._lookup(job_id)
         except (Unavailable, Ambiguous):
             return
         for waiting in group:
@@ -246,10 +246,10 @@
 
     # --- polls ---
 
-    async def poll(self, uid: str) -> Answer:
-        if not valid_uid(uid):
+    async def poll(self, job_id: str) -> Answer:
+        if not valid_job_id(job_id):
             return 404, {"error": "no such job"}
-        known = self._known(uid)
+        known = self._known(job_id)
         if known is not None:
             return 200, known
         if self._store.failing_for() > C.READY_STORE_S / 2:
@@ -262,33 +262,33 @@
             if not await self._view.barrier():
                 raise Busy("the state service does not answer")
             _check_age(asked_at)
-            known = self._known(uid)
+            known = self._known(job_id)
             if known is not None:
                 return 200, known
-            live = self._view.job(uid)
+            live = self._view.job(job_id)
             if live is not None:
-                return 200, _state(uid, live[0])
+                return 200, _state(job_id, live[0])
             # Not live after the barrier: over long ago, or never accepted when the poll came.
-            found = await self._read_final(uid)
+            found = await self._read_final(job_id)
             _check_age(asked_at)
             if found is not None:
-                self._view.remember_final(uid, found[0])
-                return 200, self._known(uid) or {}
+                self._view.remember_final(job_id, found[0])
+                return 200, self._known(job_id) or {}
             # Accepted during the read: another controller may have told so by now.
-            live = self._view.job(uid)
+            live = self._view.job(job_id)
             if live is not None:
-                return 200, _state(uid, live[0])
+                return 200, _state(job_id, live[0])
             return 404, {"error": "no such job"}
         raise Busy("the state service is slow")
 
-    async def _read_final(self, uid: str) -> tuple[Any, int] | None:
+    async def _read_final(self, job_id: str) -> tuple[Any, int] | None:
         """A direct read, one for each poll. Guards against storms of questions about jobs that nobody submitted: they
         must not use up the requests that submissions need."""
         if self._lookups >= C.LOOKUPS_AT_ONCE:
             raise Busy("too many polls are waiting")
         self._lookups += 1
         try:
-            return await self._store.get(final_key(uid))
+            return await self._store.get(final_key(job_id))
         except (Unavailable, Ambiguous) as error:
             raise Busy(str(error)) from None
         finally:
@@ -296,12 +296,12 @@
 
     # --- for operators and teams ---
 
-    async def why(self, uid: str) -> Answer:
+    async def why(self, job_id: str) -> Answer:
         """Why the job's tasks stopped or wait: the newest notes."""
-        status, answer = await self.poll(uid)
+        status, answer = await self.poll(job_id)
         if status == 200:
-            live = self._view.job(uid)
-            value = self._view.final(uid) or (live[0] if live is not None else {})
+            live = self._view.job(job_id)
+            value = self._view.final(job_id) or (live[0] if live is not None else {})
             answer["why"] = [str(w) for w in value.get("w") or []]
         return status, answer
 
@@ -314,61 +314,67 @@
             raise Busy("the state service does not answer")
         _check_age(asked_at)
         mine = sorted(
-            ((uid, value) for uid, value, _ in self._view.jobs() if value["s"].get("owner") == name and uid > after),
+            (
+                (job_id, value)
+                for job_id, value, _ in self._view.jobs()
+                if value["s"].get("owner") == name and job_id > after
+            ),
             key=lambda item: item[0],
         )
-        page = [{**_state(uid, value), "workload": value["s"].get("workload")} for uid, value in mine[: C.TEAM_PAGE]]
+        page = [
+            {**_state(job_id, value), "workload": value["s"].get("workload")} for job_id, value in mine[: C.TEAM_PAGE]
+        ]
         return 200, {"runs": page, "hasNext": len(mine) > len(page)}
 
     # --- cancel ---
 
-    async def cancel(self, uid: str) -> Answer:
-        if not valid_uid(uid):
+    async def cancel(self, job_id: str) -> Answer:
+        if not valid_job_id(job_id):
             return 404, {"error": "no such job"}
         try:
             with trio.move_on_after(C.ADMIT_DEADLINE_S):
-                return await self._cancel(uid)
+                return await self._cancel(job_id)
         except (Unavailable, Ambiguous) as error:
             raise Busy(str(error)) from None
         raise Busy("the state service is slow")
 
-    def _end_of(self, uid: str, value: Any) -> dict[str, Any]:
+    def _end_of(self, job_id: str, value: Any) -> dict[str, Any]:
         """The final record of a job that its user cancels now."""
         count = _count(value, "n")
         try:
             spec, done, why = parse_record(value, [])
         except (BadJob, ValueError, TypeError) as error:
             # Guards against a damaged record that could never be cancelled: whoever leads can't read it either.
-            log.error("cancelling %s, whose record is damaged: %s", uid, error)
+            log.error("cancelling %s, whose record is damaged: %s", job_id, error)
             return {"p": "cancelled", "n": count, "o": None}
         if done.size == count and not spec.endless:
             # Every task is done and recorded; only the move to the final key is missing.
             return final_record("done", spec, count, why, self._store.small_bytes)
         return final_record("cancelled", spec, count, [*why, "cancelled by its user"], self._store.small_bytes)
 
-    async def _cancel(self, uid: str) -> Answer:
+    async def _cancel(self, job_id: str) -> Answer:
         while True:
-            final = self._view.final(uid)
+            final = self._view.final(job_id)
             if final is None:
-                found = await self._store.get(final_key(uid))
+                found = await self._store.get(final_key(job_id))
                 final = found[0] if found is not None else None
                 if final is not None:
-                    self._view.remember_final(uid, final)
+                    self._view.remember_final(job_id, final)
             if final is not None:
-                return 200, {"uid": uid, "phase": final["p"]}
-            live = await self._store.get(job_key(uid))
+                return 200, {"uid": job_id, "phase": final["p"]}
+            live = await self._store.get(job_key(job_id))
             if live is None:
-                final = await self._store.get(final_key(uid))
+                final = await self._store.get(final_key(job_id))
                 if final is None:
                     return 404, {"error": "no such job"}
                 continue
             value, rev = live
-            record = self._end_of(uid, value)
-            chunks = [Remove(key) for key in self._view.chunk_keys(uid)]
-            writes: list[Put | Remove] = [Remove(job_key(uid)), Put(final_key(uid), record)]
+            record = self._end_of(job_id, value)
+            chunks = [Remove(key) for key in self._view.chunk_keys(job_id)]
+            writes: list[Put | Remove] = [Remove(job_key(job_id)), Put(final_key(job_id), record)]
             room = max(0, self._store.txn_ops - 2)
-            txn = await self._store.multi([Condition(job_key(uid), rev)], [*writes, *chunks[:room]])
+            txn = await self._store.multi([Condition(job_key(job_id), rev)], [*writes, *chunks[:room]])
             if txn.ok:
-                self._view.apply(job_key(uid), None, txn.rev, False)
-                self._view.remember_final(uid, record)
-                return 200, {"uid": uid, "phase": record["p"]}
+                self._view.apply(job_key(job_id), None, txn.rev, False)
+                self._view.remember_final(job_id, record)
+                return 200, {"uid": job_id, "phase": record["p"]}
--- a/sorrelsill/jobs/cancellations.py
+++ b/sorrelsill/jobs/cancellations.py
@@ -41,11 +41,11 @@
 
     # --- our own knowledge ---
 
-    def learn(self, uid: str, now: float) -> bool:
+    def learn(self, job_id: str, now: float) -> bool:
         """True if it is new."""
-        if uid in self._learnt:
+        if job_id in self._learnt:
             return False
-        self._learnt[uid] = now
+        self._learnt[job_id] = now
         # Kept by time and not by number: found by reading, the cache of final states pushed out by chance what still
         # had to be halted.
         keep = now - C.CANCELLED_KEPT * self._cancel_s
@@ -54,8 +54,8 @@
             self._whole_since = max(self._whole_since, oldest[1])
         return True
 
-    def known(self, uid: str) -> bool:
-        return uid in self._learnt
+    def known(self, job_id: str) -> bool:
+        return job_id in self._learnt
 
     def followed(self, since: float, fresh_at: float) -> None:
         """What our own view proves."""
@@ -100,7 +100,7 @@
         if not _is_age(back):
             return {}
         since = max(now - back, self._whole_since)
-        named = [uid for uid, at in self._learnt.items() if at >= since]
+        named = [job_id for job_id, at in self._learnt.items() if at >= since]
         if len(named) > C.CANCELLED_NAMED:
             return {}
         return {
@@ -115,12 +115,12 @@
         if not isinstance(told, dict) or not _is_age(told.get("back")):
             return []
         named = told.get("cancelled")
-        if not isinstance(named, list) or not all(isinstance(uid, str) for uid in named):
+        if not isinstance(named, list) or not all(isinstance(job_id, str) for job_id in named):
             return []
         # It was made between sending and now: each moment is taken where it proves least.
         drift = 1 - C.CLOCK_DRIFT * 2
         since = now - told["back"] * drift
-        new = [uid for uid in named if self.learn(uid, now)]
+        new = [job_id for job_id in named if self.learn(job_id, now)]
         base = self._base(now)
         before = max(self._covered[peer], base)
         if since <= before:
--- a/sorrelsill/jobs/messages.py
+++ b/sorrelsill/jobs/messages.py
@@ -21,10 +21,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Spec:
+class JobSpec:
     """A job's description, immutable for its whole life."""
 
-    uid: str
+    job_id: str
     workload: str
     team: str
     shape: str
@@ -33,13 +33,13 @@
     cpus: float
     gpus: float
     memory: float
-    flavours: frozenset[str] | None
+    machine_types: frozenset[str] | None
     zone: str | None
     one_zone: bool
     scatter: bool
     spot: bool
-    bundle: str
-    bundle_gb: float
+    image: str
+    image_gb: float
     expected_s: float
     snapshot_s: float
     snapshot_cost_s: float
@@ -61,8 +61,8 @@
         return (self.shards + 1) // 2 if self.scatter else self.shards
 
 
-def valid_uid(uid: object) -> bool:
-    return isinstance(uid, str) and _UID.match(uid) is not None
+def valid_job_id(job_id: object) -> bool:
+    return isinstance(job_id, str) and _UID.match(job_id) is not None
 
 
 def _number(raw: dict[str, Any], name: str, least: float = 0.0, above: bool = False) -> float:
@@ -100,17 +100,34 @@
 
 
 _KEPT = (
-    "uid", "workload", "owner", "shape", "rank", "shards", "vcpus", "gpus", "memoryGb", "bundle", "sizeGb",
-    "flavours", "region", "oneZone", "scatter", "reclaimable", "expectedRunS", "snapshotEveryS", "snapshotCostS",
+    "uid",
+    "workload",
+    "owner",
+    "shape",
+    "rank",
+    "shards",
+    "vcpus",
+    "gpus",
+    "memoryGb",
+    "bundle",
+    "sizeGb",
+    "flavours",
+    "region",
+    "oneZone",
+    "scatter",
+    "reclaimable",
+    "expectedRunS",
+    "snapshotEveryS",
+    "snapshotCostS",
     "dueS",
-)  # fmt: skip
+)
 
 
-def parse_spec(raw: object) -> Spec:
+def parse_spec(raw: object) -> JobSpec:
     """Check every field; unknown ones are ignored and not kept."""
     if not isinstance(raw, dict):
         raise BadJob("body: must be a map")
-    if not valid_uid(raw.get("uid")):
+    if not valid_job_id(raw.get("uid")):
         raise BadJob("uid: must look like run-000412")
     shape = raw.get("shape")
     if shape not in (SWEEP, STANDING, GANG):
@@ -125,8 +142,8 @@
     if zone is not None and (not isinstance(zone, str) or not zone):
         raise BadJob("region: must be null or a name")
     due = None if raw.get("dueS") is None else _number(raw, "dueS")
-    return Spec(
-        uid=raw["uid"],
+    return JobSpec(
+        job_id=raw["uid"],
         workload=_text(raw, "workload"),
         team=_text(raw, "owner"),
         shape=shape,
@@ -135,13 +152,13 @@
         cpus=_number(raw, "vcpus"),
         gpus=_number(raw, "gpus"),
         memory=_number(raw, "memoryGb"),
-        flavours=_flavours(raw),
+        machine_types=_flavours(raw),
         zone=zone,
         one_zone=_flag(raw, "oneZone"),
         scatter=_flag(raw, "scatter"),
         spot=_flag(raw, "reclaimable"),
-        bundle=_text(raw, "bundle"),
-        bundle_gb=_number(raw, "sizeGb"),
+        image=_text(raw, "bundle"),
+        image_gb=_number(raw, "sizeGb"),
         expected_s=_number(raw, "expectedRunS"),
         snapshot_s=_number(raw, "snapshotEveryS"),
         snapshot_cost_s=_number(raw, "snapshotCostS"),
--- a/sorrelsill/jobs/recorder.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -35,7 +35,7 @@
 )
 
 if TYPE_CHECKING:
-    from sorrelsill.workers import Attempt, Host, Job, Ledger
+    from sorrelsill.workers import Attempt, ClusterState, Job, Machine
 
 log = logging.getLogger(__name__)
 
@@ -62,13 +62,13 @@
         )
 
 
-class Recorder:
+class RecordWriter:
     """One per term. A step writes what is due; whatever is not committed stays due."""
 
-    def __init__(self, store: Store, view: View, ledger: Ledger, valid: Callable[[], bool]) -> None:
+    def __init__(self, store: Store, view: View, cluster: ClusterState, valid: Callable[[], bool]) -> None:
         self._store = store
         self._view = view
-        self._ledger = ledger
+        self._ledger = cluster
         self._valid = valid
         self._alone = 0  # steps in which each change goes by itself, after a refusal
         self._aside: dict[str, float] = {}  # changes that were refused alone: until when they are left out
@@ -137,34 +137,34 @@
         """Machines that may hold work, many to a key. Each write carries the revision of what it replaces: found by
         reading, a removal that was carried out late or twice could undo a later entry of the same term, and the next
         leader would not have waited for that machine."""
-        ledger = self._ledger
+        cluster = self._ledger
         bases: dict[str, str] = {}  # key of a part -> a machine of it
-        add: dict[str, dict[str, Host]] = {}
-        for name in list(ledger.gone):
-            host = ledger.hosts.get(name)
-            if host is not None and host.synced:
-                ledger.gone.discard(name)
+        add: dict[str, dict[str, Machine]] = {}
+        for name in list(cluster.gone):
+            machine = cluster.machines.get(name)
+            if machine is not None and machine.synced:
+                cluster.gone.discard(name)
             elif not any(name in value for value, _ in self._view.roster_parts(name).values()):
-                ledger.gone.discard(name)
+                cluster.gone.discard(name)
             else:
                 bases[roster_key(name)] = name
-        for name, host in list(ledger.to_roster.items()):
-            if not host.synced or host.rostered or host.returning:
-                del ledger.to_roster[name]
+        for name, machine in list(cluster.to_roster.items()):
+            if not machine.synced or machine.rostered or machine.returning:
+                del cluster.to_roster[name]
             else:
                 bases[roster_key(name)] = name
-                add.setdefault(roster_key(name), {})[name] = host
+                add.setdefault(roster_key(name), {})[name] = machine
         for base, one in sorted(bases.items()):
-            hosts = add.get(base, {})
+            machines = add.get(base, {})
             parts = self._view.roster_parts(one)
-            entries = {n: {"f": h.flavour, "a": h.addr, "z": h.zone, "s": h.spot} for n, h in hosts.items()}
+            entries = {n: {"f": h.machine_type, "a": h.addr, "z": h.zone, "s": h.spot} for n, h in machines.items()}
             values = {key: value for key, (value, _) in parts.items()}
             # Further keys only once the store refuses longer values: a leader of the former version that finds a
             # machine in two of them never takes it for heard.
-            write = next_write(base, values, entries, ledger.gone, self._store.value_bytes)
+            write = next_write(base, values, entries, cluster.gone, self._store.value_bytes)
             if write is None:
                 # Without an entry a machine gets no work: that must not go unseen.
-                log.error("roster part %s: entries of %d machines fit no value", base, len(hosts))
+                log.error("roster part %s: entries of %d machines fit no value", base, len(machines))
                 continue
             size = json_size(write.value) + len(write.key) + 50
             if not self._takes(batch, write.key) or not batch.room(max(1, len(parts)), 1, size):
@@ -176,35 +176,35 @@
             batch.writes.append(Put(write.key, write.value))
             batch.size += size
             batch.units.append(write.key)
-            added = [(hosts[n], hosts[n].tenure) for n in write.added if n in hosts]
+            added = [(machines[n], machines[n].session) for n in write.added if n in machines]
             batch.after.append(partial(self._rostered, write, added))
 
-    def _rostered(self, write: RosterWrite, added: list[tuple[Host, int]], rev: int) -> None:
+    def _rostered(self, write: RosterWrite, added: list[tuple[Machine, int]], rev: int) -> None:
         """A part of the roster is committed: its machines may be given work, unless they changed meanwhile. Machines
         that are gone stay due until they stand in no part any more."""
-        ledger = self._ledger
+        cluster = self._ledger
         self._view.apply(write.key, write.value, rev, True)
-        for host, tenure in added:
-            ledger.to_roster.pop(host.name, None)
-            if host.synced and host.tenure == tenure:
-                host.rostered = True
-                ledger.look(host)
-                ledger.wake_placing = True
-            elif host.synced:
-                ledger.to_roster[host.name] = host
+        for machine, session in added:
+            cluster.to_roster.pop(machine.name, None)
+            if machine.synced and machine.session == session:
+                machine.rostered = True
+                cluster.reindex(machine)
+                cluster.wake_placing = True
+            elif machine.synced:
+                cluster.to_roster[machine.name] = machine
 
     def _due(self) -> tuple[list[Job], list[Job], list[Job]]:
         """Jobs that are over, that begin or stop to run, and whose progress is due. That is for display, and its
         results stay on the workers until they are recorded, so it is gathered: found on a measured day, writing each
         job at each change used up the store's rate, and submissions waited. With many jobs it is gathered longer."""
-        ledger = self._ledger
-        ledger.dirty.intersection_update(ledger.jobs)
+        cluster = self._ledger
+        cluster.dirty.intersection_update(cluster.jobs)
         now = trio.current_time()
-        pace = max(C.PROGRESS_EVERY_S, len(ledger.dirty) / (C.PROGRESS_SHARE * self._store.writes.rate))
+        pace = max(C.PROGRESS_EVERY_S, len(cluster.dirty) / (C.PROGRESS_SHARE * self._store.writes.rate))
         over: list[Job] = []
         turned: list[Job] = []
         progress: list[Job] = []
-        for job in (ledger.jobs[uid] for uid in ledger.dirty):
+        for job in (cluster.jobs[job_id] for job_id in cluster.dirty):
             if job.done.count == job.spec.shards and not job.spec.endless:
                 over.append(job)
             elif bool(job.shown_running) != any(a.phase == "running" for a in job.bound.values()):
@@ -217,28 +217,28 @@
 
     def _records(self, batch: _Batch, due: list[Job]) -> None:
         for job in due:
-            if self._takes(batch, job.spec.uid) and not self._record(batch, job):
+            if self._takes(batch, job.spec.job_id) and not self._record(batch, job):
                 return
 
     def _record(self, batch: _Batch, job: Job) -> bool:
-        ledger, spec, store = self._ledger, job.spec, self._store
-        uid = spec.uid
-        results = ledger.unrecorded(uid)
+        cluster, spec, store = self._ledger, job.spec, self._store
+        job_id = spec.job_id
+        results = cluster.unrecorded(job_id)
         if job.done.count == spec.shards and not spec.endless:
             # What finds no room of its parts is removed later, as an orphan.
-            parts_gone = [Remove(key) for key in self._view.chunk_keys(uid)][: max(0, batch.ops - 3)]
+            parts_gone = [Remove(key) for key in self._view.chunk_keys(job_id)][: max(0, batch.ops - 3)]
             if not batch.room(1, 2 + len(parts_gone), 500):
                 return False
             record = final_record("done", spec, spec.shards, job.why, store.small_bytes)
-            batch.conditions.append(Condition(job_key(uid), job.rev))
-            batch.writes += [Remove(job_key(uid)), Put(final_key(uid), record), *parts_gone]
+            batch.conditions.append(Condition(job_key(job_id), job.rev))
+            batch.writes += [Remove(job_key(job_id)), Put(final_key(job_id), record), *parts_gone]
             batch.size += json_size(record) + 300
-            batch.units.append(uid)
+            batch.units.append(job_id)
 
             def finished(rev: int) -> None:
-                self._view.remember_final(uid, record)
-                self._view.apply(job_key(uid), None, rev, False)
-                ledger.end_job(uid)
+                self._view.remember_final(job_id, record)
+                self._view.apply(job_key(job_id), None, rev, False)
+                cluster.end_job(job_id)
                 _clear(results)
 
             batch.after.append(finished)
@@ -263,17 +263,17 @@
         # The record goes last, with or after all its parts, as it may leave out what it held itself before.
         last = fits and numbers >= job.dirty_parts
         if not puts and not last:
-            ledger.dirty.discard(uid)  # nothing of it can be written
+            cluster.dirty.discard(job_id)  # nothing of it can be written
             return True
         if not batch.room(1, last + len(puts), size):
             return False
-        batch.conditions.append(Condition(job_key(uid), job.rev))
-        batch.writes += [Put(job_key(uid), value), *puts] if last else puts
+        batch.conditions.append(Condition(job_key(job_id), job.rev))
+        batch.writes += [Put(job_key(job_id), value), *puts] if last else puts
         batch.size += size
-        batch.units.append(uid)
+        batch.units.append(job_id)
         whole = numbers >= job.dirty_parts
         if whole:
-            ledger.dirty.discard(uid)
+            cluster.dirty.discard(job_id)
             job.recorded_at = trio.current_time()
         job.dirty_parts.difference_update(numbers)
 
@@ -283,12 +283,12 @@
             if last:
                 job.shown_running = running
                 job.rev = max(job.rev, rev)
-                self._view.apply(job_key(uid), value, rev, True)
+                self._view.apply(job_key(job_id), value, rev, True)
             if whole:
                 _clear(results)
 
         def undone() -> None:
-            ledger.dirty.add(uid)
+            cluster.dirty.add(job_id)
             job.dirty_parts.update(numbers)
 
         batch.after.append(written)
@@ -303,7 +303,7 @@
     def _parts(self, job: Job, most: int) -> tuple[list[Put], set[int]]:
         """Finished tasks of a split job that are not written yet, and the numbers of the small parts that they cover:
         in keys that the version before this one reads as well, as long as the store takes values of that length."""
-        uid, done = job.spec.uid, job.done
+        job_id, done = job.spec.job_id, job.done
         puts: list[Put] = []
         numbers: set[int] = set()
         for number in sorted(job.dirty_parts):
@@ -314,22 +314,22 @@
             chunk = number // _PARTS_OF_CHUNK
             text = chunk_value(done, chunk)
             if json_size(text) <= self._store.value_bytes:
-                puts.append(Put(chunk_key(uid, chunk), text))
+                puts.append(Put(chunk_key(job_id, chunk), text))
                 first = chunk * _PARTS_OF_CHUNK
                 numbers.update(job.dirty_parts & set(range(first, first + _PARTS_OF_CHUNK)))
             else:
-                puts.append(Put(part_key(uid, number), chunk_value(done, number, C.PART_SHARDS)))
+                puts.append(Put(part_key(job_id, number), chunk_value(done, number, C.PART_SHARDS)))
                 numbers.add(number)
         return puts, numbers
 
     def _orphans(self, batch: _Batch) -> None:
         """Parts of jobs that are over, out of what room is left."""
-        for uid in self._view.orphans():
-            keys = self._view.chunk_keys(uid)[: max(0, batch.ops - len(batch.writes))]
-            unit = f"parts of {uid}"
+        for job_id in self._view.orphans():
+            keys = self._view.chunk_keys(job_id)[: max(0, batch.ops - len(batch.writes))]
+            unit = f"parts of {job_id}"
             if not keys or not self._takes(batch, unit) or not batch.room(1, len(keys), 100 * len(keys)):
                 return
-            batch.conditions.append(Condition(job_key(uid), 0))
+            batch.conditions.append(Condition(job_key(job_id), 0))
             batch.writes += [Remove(key) for key in keys]
             batch.size += 100 * len(keys)
             batch.units.append(unit)
--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -9,11 +9,11 @@
 
 from sorrelsill import constants as C
 from sorrelsill.fleet import Catalog
-from sorrelsill.jobs.messages import BadJob, Spec, parse_spec
+from sorrelsill.jobs.messages import BadJob, JobSpec, parse_spec
 from sorrelsill.settings import Team
 
 
-class ShardSet:
+class TaskSet:
     """Finished tasks of a job: a bit each, written as ranges or, where that is shorter, as base64."""
 
     __slots__ = ("_bits", "count", "size")
@@ -73,7 +73,7 @@
         self.add(index)
 
 
-def new_record(spec: Spec, accepted: float) -> dict[str, Any]:
+def new_record(spec: JobSpec, accepted: float) -> dict[str, Any]:
     """`accepted` is the time of day; it only orders jobs and their deadlines, no rule rests on it."""
     return {"s": spec.raw, "d": "", "n": 0, "r": 0, "t": round(accepted, 3)}
 
@@ -99,7 +99,7 @@
 
 
 def record_value(
-    spec: Spec, done: ShardSet, running: int, why: list[str], accepted: float, inline: bool = True
+    spec: JobSpec, done: TaskSet, running: int, why: list[str], accepted: float, inline: bool = True
 ) -> dict[str, Any]:
     """The live record. Very large jobs keep their finished tasks in chunks beside it (not `inline`)."""
     text = done.encode(0, spec.shards) if inline else ""
@@ -109,29 +109,29 @@
     return value
 
 
-def chunk_value(done: ShardSet, number: int, size: int = C.CHUNK_SHARDS) -> str:
+def chunk_value(done: TaskSet, number: int, size: int = C.CHUNK_SHARDS) -> str:
     start = number * size
     return done.encode(start, min(done.size, start + size))
 
 
-def final_record(phase: str, spec: Spec, done: int, why: list[str], limit: int) -> dict[str, Any]:
+def final_record(phase: str, spec: JobSpec, done: int, why: list[str], limit: int) -> dict[str, Any]:
     """What is kept for ever."""
     return with_notes({"p": phase, "n": done, "o": spec.team}, why, limit)
 
 
-def parse_record(value: Any, chunks: list[tuple[int, Any]]) -> tuple[Spec, ShardSet, list[str]]:
+def parse_record(value: Any, chunks: list[tuple[int, Any]]) -> tuple[JobSpec, TaskSet, list[str]]:
     """A live record back to its parts; BadJob or ValueError if it is damaged."""
     if not isinstance(value, dict):
         raise BadJob("record: must be a map")
     spec = parse_spec(value.get("s"))
-    done = ShardSet(spec.shards)
+    done = TaskSet(spec.shards)
     done.merge(str(value.get("d") or ""), 0)
     for start, text in chunks:
         done.merge(str(text), start)
     return spec, done, [str(w) for w in value.get("w") or []]
 
 
-def impossible(spec: Spec, teams: dict[str, Team], catalog: Catalog) -> str | None:
+def impossible(spec: JobSpec, teams: dict[str, Team], catalog: Catalog) -> str | None:
     """Why a job can never run (422), or None."""
     team = teams.get(spec.team)
     if team is None:
@@ -141,11 +141,11 @@
         return f"needs more than the limit of {team.cpus_max:g} CPUs of {spec.team}"
     if team.gpus_max and spec.gpus * count > team.gpus_max + 1e-9:
         return f"needs more than the limit of {team.gpus_max:g} GPUs of {spec.team}"
-    for flavour in catalog.flavours.values():
+    for machine_type in catalog.machine_types.values():
         if (
-            (spec.flavours is None or flavour.sku in spec.flavours)
-            and (spec.zone is None or spec.zone in flavour.regions)
-            and flavour.fits(spec.cpus, spec.gpus, spec.memory)
+            (spec.machine_types is None or machine_type.sku in spec.machine_types)
+            and (spec.zone is None or spec.zone in machine_type.regions)
+            and machine_type.fits(spec.cpus, spec.gpus, spec.memory)
         ):
             return None
     return "a task fits no allowed machine type"
--- a/sorrelsill/leadership/elector.py
+++ b/sorrelsill/leadership/elector.py
@@ -69,9 +69,15 @@
     """The loop that keeps, loses and takes the key."""
 
     def __init__(
-        self, store: Store, view: View, timings: Timings, label: str, watchdog: Watchdog, rng: random.Random,
+        self,
+        store: Store,
+        view: View,
+        timings: Timings,
+        label: str,
+        watchdog: Watchdog,
+        rng: random.Random,
         others: Sequence[str] = (),
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._store = store
         self._view = view
         self._t = timings
@@ -86,7 +92,7 @@
         self.since = float("-inf")  # when we learnt of our term
         self.bound_until = float("-inf")  # a promise to a peer: no acquiring and no acting before this
         self.acquire_after = float("-inf")  # a fresh process waits out what it may have promised before
-        self.deaf: Callable[[], bool] = lambda: False  # whether we lead but hear no worker any more
+        self.hears_no_worker: Callable[[], bool] = lambda: False  # whether we lead but hear no worker any more
         self._ended: set[int] = set()  # leases of earlier processes of ours that we tried to end, once each
         self.acquiring = False  # a try for the key is under way, so no promise can be given
         self.on_term: Callable[[int | None], None] = lambda term: None
@@ -153,7 +159,7 @@
             log.error("yielding: loops stalled or exited: %s", ", ".join(out))
             await self._yield(lease)
             return
-        if self.valid() and self.deaf():
+        if self.valid() and self.hears_no_worker():
             # Only while valid: one that stood still itself heard nobody either; its pings tell whether it still leads.
             # Guards against a leader that reaches the store but not the workers: their leases would all run out.
             log.error("yielding: no worker is heard any more")
--- a/sorrelsill/metrics.py
+++ b/sorrelsill/metrics.py
@@ -23,8 +23,8 @@
     registry = CollectorRegistry()
     leading = Gauge("sorrelsill_leader_status", "1 on the leader, 0 on followers", registry=registry)
     leading.set(1 if state["leading"] else 0)
-    standstill = Gauge("sorrelsill_standstill", "1 while promises let leases go on", registry=registry)
-    standstill.set(1 if state["standstill"] else 0)
+    degraded_mode = Gauge("sorrelsill_standstill", "1 while promises let leases go on", registry=registry)
+    degraded_mode.set(1 if state["standstill"] else 0)
     for name in _GAUGES:
         if state[name] is not None:
             Gauge(f"sorrelsill_{name}", f"{name} as this controller believes", registry=registry).set(state[name])
--- a/sorrelsill/peers/__init__.py
+++ b/sorrelsill/peers/__init__.py
@@ -1,5 +1,5 @@
 """Controller to controller: promises that let workers' leases go on while nobody can lead."""
 
-from sorrelsill.peers.standstill import Standstill
+from sorrelsill.peers.degraded_mode import DegradedMode
 
-__all__ = ["Standstill"]
+__all__ = ["DegradedMode"]
--- a/sorrelsill/peers/standstill.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -30,11 +30,15 @@
 log = logging.getLogger(__name__)
 
 
-class Standstill:
+class DegradedMode:
     def __init__(
-        self, store: Store, elector: Elector, members: list[Member], client: Callable[[str], Client],
+        self,
+        store: Store,
+        elector: Elector,
+        members: list[Member],
+        client: Callable[[str], Client],
         cancellations: Cancellations,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._store = store
         self._cancellations = cancellations
         self._elector = elector
@@ -43,7 +47,7 @@
         self._held: dict[int, float] = {}  # peer -> until when its promise holds for us
         self._failing_peers: dict[int, float] = {}  # peer -> when it last said that it lacks the store too
         self.on_bound: Callable[[float], None] = lambda until: None
-        self.on_cancelled: Callable[[list[str]], None] = lambda uids: None
+        self.on_cancelled: Callable[[list[str]], None] = lambda job_ids: None
 
     def active(self) -> bool:
         """Whether leases may be renewed right now: every member, ourselves included, is bound."""
--- a/sorrelsill/placement/engine.py
+++ b/sorrelsill/placement/engine.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 
 from sorrelsill import constants as C
-from sorrelsill.jobs import Spec
+from sorrelsill.jobs import JobSpec
 from sorrelsill.placement import groups
 from sorrelsill.settings import Objective, Team
-from sorrelsill.workers import Attempt, Host, Job, Ledger, group_loss
+from sorrelsill.workers import Attempt, ClusterState, Job, Machine, group_loss
 
 log = logging.getLogger(__name__)
 
@@ -38,10 +38,10 @@
 
     __slots__ = ("current", "groups", "replicas")
 
-    def __init__(self, warm: list[Host], others: list[Host]) -> None:
+    def __init__(self, warm: list[Machine], others: list[Machine]) -> None:
         self.groups = (warm, others)
         self.replicas: dict[str, int] | None = None  # machine -> replicas there, of a job that is to be spread out
-        self.current: Host | None = None  # the last one chosen; its image serves all tasks that still fit
+        self.current: Machine | None = None  # the last one chosen; its image serves all tasks that still fit
 
 
 class Placer:
@@ -89,11 +89,11 @@
 
     # --- order and shares ---
 
-    def _find_guaranteed(self, ledger: Ledger) -> set[str]:
+    def _find_guaranteed(self, cluster: ClusterState) -> set[str]:
         """Jobs that fit into their team's guarantee together with the team's earlier unfinished ones."""
         used: dict[str, tuple[float, float]] = {}
         inside = set()
-        for job in sorted(ledger.jobs.values(), key=lambda j: j.submitted):
+        for job in sorted(cluster.jobs.values(), key=lambda j: j.submitted):
             team = self._teams.get(job.spec.team)
             if team is None:
                 continue
@@ -102,7 +102,7 @@
             gpus += job.spec.gpus * job.spec.shards
             used[team.name] = cpus, gpus
             if cpus <= team.cpus + 1e-6 and gpus <= team.gpus + 1e-6:
-                inside.add(job.spec.uid)
+                inside.add(job.spec.job_id)
         return inside
 
     def due(self, job: Job, now: float) -> tuple[int, float]:
@@ -119,270 +119,284 @@
             missed += 1
         return missed, job.submitted
 
-    def _order(self, ledger: Ledger, now: float) -> list[str]:
+    def _order(self, cluster: ClusterState, now: float) -> list[str]:
         def key(job: Job) -> tuple[int, int, int, int, int, int, float, float]:
             spec = job.spec
             missed, due = self.due(job, now)
             # The least work first: by their marks alone, in a burst all jobs share what room there is and all miss.
             work = 0.0 if spec.endless else (spec.shards - job.done.count) * spec.cpus * spec.expected_s
-            guaranteed = 0 if job.spec.uid in self.guaranteed else 1
+            guaranteed = 0 if job.spec.job_id in self.guaranteed else 1
             aged = 0 if aged_out(job, now) else 1
             # Guests come after all others of their rank: with the least work first, their many small jobs went before.
             guest = 1 if self._is_guest(spec.team) else 0
             return (min(spec.rank, 1), aged, guaranteed, spec.rank, guest, missed, work, due)
 
-        return [j.spec.uid for j in sorted((j for j in ledger.jobs.values() if j.waiting > 0), key=key)]
+        return [j.spec.job_id for j in sorted((j for j in cluster.jobs.values() if j.waiting > 0), key=key)]
 
-    def _under_limit(self, ledger: Ledger, spec: Spec, count: int = 1) -> bool:
+    def _under_limit(self, cluster: ClusterState, spec: JobSpec, count: int = 1) -> bool:
         team = self._teams.get(spec.team)
         if team is None:
             return False
         if not team.cpus_max and not team.gpus_max:
             return True
-        unseen_cpus, unseen_gpus = ledger.unseen(spec.team)
-        cpus = ledger.team_cpus.get(spec.team, 0.0) + unseen_cpus + spec.cpus * count
-        gpus = ledger.team_gpus.get(spec.team, 0.0) + unseen_gpus + spec.gpus * count
+        unseen_cpus, unseen_gpus = cluster.unaccounted(spec.team)
+        cpus = cluster.team_cpus.get(spec.team, 0.0) + unseen_cpus + spec.cpus * count
+        gpus = cluster.team_gpus.get(spec.team, 0.0) + unseen_gpus + spec.gpus * count
         return (not team.cpus_max or cpus <= team.cpus_max + 1e-6) and (
             not team.gpus_max or gpus <= team.gpus_max + 1e-6
         )
 
     # --- a round ---
 
-    def round(self, ledger: Ledger, now: float, clock: Callable[[], float], budget: float) -> bool:
+    def round(self, cluster: ClusterState, now: float, clock: Callable[[], float], budget: float) -> bool:
         """Place what fits. False if the budget ran out before all jobs were seen."""
         begun = clock()
         if not self._left:
-            if now - self._ordered[0] >= C.ORDER_EVERY_S or self._ordered[1] != ledger.version:
-                self.guaranteed = self._find_guaranteed(ledger)
-                self._ordered = (now, ledger.version)
-            self._left = self._order(ledger, now)
-            self._guests = {j.spec.team for j in ledger.jobs.values() if j.bound and self._is_guest(j.spec.team)}
-            self.unplaced = {u: d for u, d in self.unplaced.items() if u in ledger.jobs}
+            if now - self._ordered[0] >= C.ORDER_EVERY_S or self._ordered[1] != cluster.version:
+                self.guaranteed = self._find_guaranteed(cluster)
+                self._ordered = (now, cluster.version)
+            self._left = self._order(cluster, now)
+            self._guests = {j.spec.team for j in cluster.jobs.values() if j.bound and self._is_guest(j.spec.team)}
+            self.unplaced = {u: d for u, d in self.unplaced.items() if u in cluster.jobs}
             self._claims = {u: left for u, t in self._claims.items() if (left := [x for x in t if x > now])}
             self._reserved = {
-                host: (uid, until)
-                for host, (uid, until) in self._reserved.items()
-                if until > now and (job := ledger.jobs.get(uid)) is not None and job.waiting
+                machine: (job_id, until)
+                for machine, (job_id, until) in self._reserved.items()
+                if until > now and (job := cluster.jobs.get(job_id)) is not None and job.waiting
             }
             self._held = {
-                host: held for host, held in self._held.items()
-                if held[2] > now and (job := ledger.jobs.get(held[0])) is not None and job.waiting
-            }  # fmt: skip
-            self._warm_until = {u: t for u, t in self._warm_until.items() if u in ledger.jobs}
-        self._find_spare(ledger)
-        hosts = list(ledger.ready.values())
+                machine: held
+                for machine, held in self._held.items()
+                if held[2] > now and (job := cluster.jobs.get(held[0])) is not None and job.waiting
+            }
+            self._warm_until = {u: t for u, t in self._warm_until.items() if u in cluster.jobs}
+        self._find_spare(cluster)
+        machines = list(cluster.ready.values())
         full: set[tuple[object, ...]] = set()
         while self._left:
-            job = ledger.jobs.get(self._left[0])
+            job = cluster.jobs.get(self._left[0])
             if job is not None and job.waiting > 0:
-                if not self._place_job(ledger, job, hosts, full, now, lambda: clock() - begun > budget):
+                if not self._place_job(cluster, job, machines, full, now, lambda: clock() - begun > budget):
                     return False
             elif job is not None:
-                self.unplaced.pop(job.spec.uid, None)
+                self.unplaced.pop(job.spec.job_id, None)
             self._left.pop(0)
         return True
 
     def _place_job(
-        self, ledger: Ledger, job: Job, hosts: list[Host], full: set[tuple[object, ...]], now: float,
+        self,
+        cluster: ClusterState,
+        job: Job,
+        machines: list[Machine],
+        full: set[tuple[object, ...]],
+        now: float,
         late: Callable[[], bool],
-    ) -> bool:  # fmt: skip
+    ) -> bool:
         spec = job.spec
-        self.unplaced.pop(spec.uid, None)
-        if not ledger.settled(job) or job.failures.next_trial_at > now:
+        self.unplaced.pop(spec.job_id, None)
+        if not cluster.settled(job) or job.failures.next_trial_at > now:
             return True
         if spec.whole:
-            self._place_group(ledger, job, hosts, full, now)
+            self._place_group(cluster, job, machines, full, now)
             return not late()
         limited = False
-        sign = (spec.flavours, spec.zone, spec.cpus, spec.gpus, spec.memory, spec.spot)
+        sign = (spec.machine_types, spec.zone, spec.cpus, spec.gpus, spec.memory, spec.spot)
         plain = not (spec.scatter or spec.one_zone or job.avoid)
         pool: _Pool | None = None
-        while (index := job.next_shard()) is not None:
+        while (index := job.next_task()) is not None:
             if late():
                 return False
             if job.trials_left() <= 0:
                 return True  # the next trial waits for the outcome of this one, and needs no more room
-            if not self._under_limit(ledger, spec):
+            if not self._under_limit(cluster, spec):
                 limited = True
                 job.note(f"waiting: the limit of {spec.team} is reached")
                 break
-            host = None
+            machine = None
             if not (plain and sign in full):
                 if pool is None:
-                    pool = self._pool(ledger, spec)
-                host = self._pick(job, pool, now)
-            if host is None:
+                    pool = self._pool(cluster, spec)
+                machine = self._pick(job, pool, now)
+            if machine is None:
                 if plain:
                     full.add(sign)
                 break
-            if self._slow_start(ledger, job, host) and self._await_warm(ledger, job, hosts, now):
+            if self._slow_start(cluster, job, machine) and self._await_warm(cluster, job, machines, now):
                 break
-            ledger.bind(job, index, host, now)
-            if not host.spot and host.zone in self._room:
-                self._room[host.zone] -= spec.cpus
-            if self._reserved.get(host.name, ("", 0.0))[0] == spec.uid:
-                del self._reserved[host.name]
-            if self._claims.get(spec.uid):
-                self._claims[spec.uid].pop(0)
+            cluster.bind(job, index, machine, now)
+            if not machine.spot and machine.zone in self._room:
+                self._room[machine.zone] -= spec.cpus
+            if self._reserved.get(machine.name, ("", 0.0))[0] == spec.job_id:
+                del self._reserved[machine.name]
+            if self._claims.get(spec.job_id):
+                self._claims[spec.job_id].pop(0)
         if job.waiting > 0 and not job.failures.suspect(len(job.bound)):
             claimed = self._claimed(job, now)
-            self.unplaced[spec.uid] = Unplaced(job, max(0, job.waiting - claimed), limited)
+            self.unplaced[spec.job_id] = Unplaced(job, max(0, job.waiting - claimed), limited)
             if not limited:
                 job.note("waiting: no room on the machines it may use")
-                self._make_room(ledger, job, hosts, now)
+                self._make_room(cluster, job, machines, now)
                 if aged_out(job, now):
-                    self._hold(ledger, job, now)
+                    self._hold(cluster, job, now)
         return True
 
     def _place_group(
-        self, ledger: Ledger, job: Job, hosts: list[Host], full: set[tuple[object, ...]], now: float
+        self, cluster: ClusterState, job: Job, machines: list[Machine], full: set[tuple[object, ...]], now: float
     ) -> None:
         """All tasks at once, under one attempt number, or none: nothing is bound before all have their place."""
         spec = job.spec
-        if job.bound or ledger.alive(spec.uid):
+        if job.bound or cluster.alive(spec.job_id):
             return  # what is left of the last start is ending; its places and its zone are not free before
-        if not self._under_limit(ledger, spec, job.waiting):
-            self.unplaced[spec.uid] = Unplaced(job, job.waiting, True)
+        if not self._under_limit(cluster, spec, job.waiting):
+            self.unplaced[spec.job_id] = Unplaced(job, job.waiting, True)
             job.note(f"waiting: the limit of {spec.team} is reached")
             return
-        sign = ("group", spec.flavours, spec.zone, spec.cpus, spec.gpus, spec.memory, spec.spot, spec.shards)
-        mine = any(uid == spec.uid for uid, _ in self._reserved.values())
-        if sign in full and not mine and not self._holds(spec.uid):
-            self.unplaced[spec.uid] = Unplaced(job, job.waiting, False, spec.zone)
+        sign = ("group", spec.machine_types, spec.zone, spec.cpus, spec.gpus, spec.memory, spec.spot, spec.shards)
+        mine = any(job_id == spec.job_id for job_id, _ in self._reserved.values())
+        if sign in full and not mine and not self._holds(spec.job_id):
+            self.unplaced[spec.job_id] = Unplaced(job, job.waiting, False, spec.zone)
             return
-        room = [h for h in (ledger.free if spec.cpus > 0 else ledger.ready).values() if self._may(job, h, now)]
-        zones = [z for z in ledger.catalog.zones if spec.zone in (None, z)]
+        room = [h for h in (cluster.free if spec.cpus > 0 else cluster.ready).values() if self._may(job, h, now)]
+        zones = [z for z in cluster.catalog.zones if spec.zone in (None, z)]
         seatings = groups.seat(spec, room, zones)
         if seatings and not seatings[0].short:
-            try_no = ledger.next_try()
-            places = [s.host for s in seatings[0].seats for _ in range(s.count)]
-            for index, host in enumerate(places):
-                ledger.bind(job, index, host, now, try_no)
-                if not host.spot and host.zone in self._room:
-                    self._room[host.zone] -= spec.cpus
+            attempt_number = cluster.next_attempt_number()
+            places = [s.machine for s in seatings[0].seats for _ in range(s.count)]
+            for index, machine in enumerate(places):
+                cluster.bind(job, index, machine, now, attempt_number)
+                if not machine.spot and machine.zone in self._room:
+                    self._room[machine.zone] -= spec.cpus
             log.debug(
-                "group %s: %d tasks on %d machines in %s, %.2f s after submission, image %s", spec.uid, spec.shards,
-                len(seatings[0].seats), seatings[0].zone, now - job.submitted, "cold" if seatings[0].cold else "held",
-            )  # fmt: skip
-            self._release(spec.uid)
+                "group %s: %d tasks on %d machines in %s, %.2f s after submission, image %s",
+                spec.job_id,
+                spec.shards,
+                len(seatings[0].seats),
+                seatings[0].zone,
+                now - job.submitted,
+                "cold" if seatings[0].cold else "held",
+            )
+            self._release(spec.job_id)
             return
         full.add(sign)
         job.note("waiting: the whole group does not fit at once")
         if self._claimed(job, now):
             return  # room is being made
-        if seatings and not self._make_room_group(ledger, job, seatings, hosts, now):
-            self._hold_group(job, seatings, hosts, now)
+        if seatings and not self._make_room_group(cluster, job, seatings, machines, now):
+            self._hold_group(job, seatings, machines, now)
         best = seatings[0] if seatings else None
         if not self._claimed(job, now):
-            self.unplaced[spec.uid] = Unplaced(
+            self.unplaced[spec.job_id] = Unplaced(
                 job,
                 best.short if best is not None else job.waiting,
                 False,
                 best.zone if best is not None else spec.zone,
             )
 
-    def _find_spare(self, ledger: Ledger) -> None:
+    def _find_spare(self, cluster: ClusterState) -> None:
         """Room that is kept for groups that should start within seconds, where money counts: other work that has no
         higher rank leaves it free. Where time counts there is headroom for all."""
-        self._spare = 0.0 if self._hurried else ledger.group_spare(self._start_within)
-        self._room = ledger.ordinary_room() if self._spare else {}
+        self._spare = 0.0 if self._hurried else cluster.group_spare(self._start_within)
+        self._room = cluster.ordinary_room() if self._spare else {}
         self._spare_zone = max(sorted(self._room), key=lambda z: self._room[z], default="")
 
-    def _spares(self, job: Job, host: Host, now: float) -> bool:
+    def _spares(self, job: Job, machine: Machine, now: float) -> bool:
         """Whether a task may go there without taking that room. What has waited too long may take it, or an array
         could wait for ever where the cloud has no more machines to give."""
         spec = job.spec
         return (
             not self._spare
-            or host.spot
+            or machine.spot
             or spec.rank == _PROD
             or spec.whole
-            or host.zone != self._spare_zone
-            or self._room[host.zone] - spec.cpus >= self._spare
+            or machine.zone != self._spare_zone
+            or self._room[machine.zone] - spec.cpus >= self._spare
             or aged_out(job, now)
         )
 
-    def _release(self, uid: str) -> None:
+    def _release(self, job_id: str) -> None:
         """The job has its places: what was kept for it is free for others."""
-        self._claims.pop(uid, None)
-        self._reserved = {h: r for h, r in self._reserved.items() if r[0] != uid}
-        self._held = {h: r for h, r in self._held.items() if r[0] != uid}
+        self._claims.pop(job_id, None)
+        self._reserved = {h: r for h, r in self._reserved.items() if r[0] != job_id}
+        self._held = {h: r for h, r in self._held.items() if r[0] != job_id}
 
-    def _holds(self, uid: str) -> bool:
-        return any(held[0] == uid for held in self._held.values())
+    def _holds(self, job_id: str) -> bool:
+        return any(held[0] == job_id for held in self._held.values())
 
     def _make_room_group(
-        self, ledger: Ledger, job: Job, seatings: list[groups.Seating], hosts: list[Host], now: float
+        self, cluster: ClusterState, job: Job, seatings: list[groups.Seating], machines: list[Machine], now: float
     ) -> bool:
         """Stop lesser work if that lets the whole group in; the machines are reserved until it is gone."""
         spec = job.spec
-        if not any(host.live for host in hosts):
+        if not any(machine.live for machine in machines):
             return False
-        kind = ("group", spec.rank, spec.team, spec.uid in self.guaranteed, spec.cpus, spec.shards, spec.spot)
+        kind = ("group", spec.rank, spec.team, spec.job_id in self.guaranteed, spec.cpus, spec.shards, spec.spot)
         if self._barren.get(kind, float("-inf")) > now:
             return False
         may = [
-            h for h in self._rng.sample(hosts, min(len(hosts), C.PREEMPT_SAMPLE * C.GROUP_SAMPLES))
+            h
+            for h in self._rng.sample(machines, min(len(machines), C.PREEMPT_SAMPLE * C.GROUP_SAMPLES))
             if h.live and h.usable() and h.allows(spec) and self._open_to(job, h, now)
-        ]  # fmt: skip
+        ]
         found = groups.room_for(
-            spec, seatings, may, lambda h, more: self._victims(ledger, job, h, now, groups.capacity(h, spec) + more)
+            spec, seatings, may, lambda h, more: self._victims(cluster, job, h, now, groups.capacity(h, spec) + more)
         )
         if found is None:
             self._barren[kind] = now + C.BARREN_S
             return False
         seating, victims = found
-        log.debug("room for %s in %s: %s", spec.uid, seating.zone, [f"{a.shard} on {a.host.name}" for a in victims])
+        log.debug(
+            "room for %s in %s: %s", spec.job_id, seating.zone, [f"{a.task_id} on {a.machine.name}" for a in victims]
+        )
         wait = C.CLAIM_S
         for attempt in victims:
-            ledger.stop(attempt, f"making room for {spec.uid}", hurry=spec.rank == _PROD)
+            cluster.stop(attempt, f"making room for {spec.job_id}", hurry=spec.rank == _PROD)
             wait = max(wait, C.CLAIM_S + attempt.wind_down)
-        self._claims[spec.uid] = [now + wait] * spec.shards
+        self._claims[spec.job_id] = [now + wait] * spec.shards
         for s in seating.seats:
-            self._reserved[s.host.name] = (spec.uid, now + wait)
+            self._reserved[s.machine.name] = (spec.job_id, now + wait)
         return True
 
-    def _hold_group(self, job: Job, seatings: list[groups.Seating], hosts: list[Host], now: float) -> None:
+    def _hold_group(self, job: Job, seatings: list[groups.Seating], machines: list[Machine], now: float) -> None:
         """Keep machines filling up for a group, or small tasks would take each gap for ever: for one that should start
         within seconds at once, for others once they waited too long; few at a time, so that arrays go on too."""
         spec = job.spec
-        if self._holds(spec.uid) or not (spec.workload in self._start_within or aged_out(job, now)):
+        if self._holds(spec.job_id) or not (spec.workload in self._start_within or aged_out(job, now)):
             return
-        if len(self._held) >= C.GROUP_HOLD_SHARE * len(hosts):
+        if len(self._held) >= C.GROUP_HOLD_SHARE * len(machines):
             return
-        may = [h for h in hosts if h.allows(spec) and self._open_to(job, h, now) and h.name not in self._held]
-        for host in groups.worth_holding(spec, seatings, may):
-            self._held[host.name] = (spec.uid, spec.rank, now + C.GROUP_HOLD_S)
+        may = [h for h in machines if h.allows(spec) and self._open_to(job, h, now) and h.name not in self._held]
+        for machine in groups.worth_holding(spec, seatings, may):
+            self._held[machine.name] = (spec.job_id, spec.rank, now + C.GROUP_HOLD_S)
 
-    def _open_to(self, job: Job, host: Host, now: float) -> bool:
+    def _open_to(self, job: Job, machine: Machine, now: float) -> bool:
         """Whether nothing keeps the job off a machine that it may use: room made for others, or its own bad luck."""
-        holder, until = self._reserved.get(host.name, (job.spec.uid, 0.0))
-        held, rank, till = self._held.get(host.name, (job.spec.uid, 0, 0.0))
+        holder, until = self._reserved.get(machine.name, (job.spec.job_id, 0.0))
+        held, rank, till = self._held.get(machine.name, (job.spec.job_id, 0, 0.0))
         return (
-            (holder == job.spec.uid or until <= now)
-            and (held == job.spec.uid or till <= now or job.spec.rank < rank)
-            and job.avoid.get(host.name, 0.0) <= now
+            (holder == job.spec.job_id or until <= now)
+            and (held == job.spec.job_id or till <= now or job.spec.rank < rank)
+            and job.avoid.get(machine.name, 0.0) <= now
         )
 
-    def choose(self, ledger: Ledger, job: Job, now: float) -> Host | None:
+    def choose(self, cluster: ClusterState, job: Job, now: float) -> Machine | None:
         """Best fit for one task among a sample of the machines."""
-        return self._pick(job, self._pool(ledger, job.spec), now)
+        return self._pick(job, self._pool(cluster, job.spec), now)
 
     @staticmethod
-    def _pool(ledger: Ledger, spec: Spec) -> _Pool:
+    def _pool(cluster: ClusterState, spec: JobSpec) -> _Pool:
         """Nothing is asked of the machines here: with hundreds of them, those that are looked at are few."""
         return _Pool(
-            list(ledger.holders.get(spec.bundle, {}).values()),
-            list((ledger.free if spec.cpus > 0 else ledger.ready).values()),
+            list(cluster.holders.get(spec.image, {}).values()),
+            list((cluster.free if spec.cpus > 0 else cluster.ready).values()),
         )
 
-    def _pick(self, job: Job, pool: _Pool, now: float) -> Host | None:
+    def _pick(self, job: Job, pool: _Pool, now: float) -> Machine | None:
         """Best fit among a sample, first of the machines with the image; what no longer fits is sifted out. Further
         tasks go where the last one went as long as they fit, since one fetch serves them all."""
         if pool.replicas is None and self._spreads(job):
             pool.replicas = {}
             for attempt in job.bound.values():
-                pool.replicas[attempt.host.name] = pool.replicas.get(attempt.host.name, 0) + 1
+                pool.replicas[attempt.machine.name] = pool.replicas.get(attempt.machine.name, 0) + 1
         spread = pool.replicas
         if spread is None and pool.current is not None and self._may(job, pool.current, now):
             return pool.current
@@ -404,96 +418,109 @@
                     return best
         return None
 
-    def _hold(self, ledger: Ledger, job: Job, now: float) -> None:
+    def _hold(self, cluster: ClusterState, job: Job, now: float) -> None:
         """Keep one machine for a job that has waited too long, until enough of it is free: small tasks of others
         would take its pieces for ever. For one job at a time."""
         if any(
-            until > now and uid in ledger.jobs and aged_out(ledger.jobs[uid], now)
-            for uid, until in self._reserved.values()
+            until > now and job_id in cluster.jobs and aged_out(cluster.jobs[job_id], now)
+            for job_id, until in self._reserved.values()
         ):
             return
         spec = job.spec
         fitting = [
-            h for h in ledger.ready.values()
-            if h.allows(spec) and h.name not in self._reserved and job.avoid.get(h.name, 0.0) <= now
-            and h.cap_cpus + 1e-6 >= spec.cpus and h.cap_memory + 1e-6 >= spec.memory and h.cap_gpus + 1e-6 >= spec.gpus
+            h
+            for h in cluster.ready.values()
+            if h.allows(spec)
+            and h.name not in self._reserved
+            and job.avoid.get(h.name, 0.0) <= now
+            and h.cap_cpus + 1e-6 >= spec.cpus
+            and h.cap_memory + 1e-6 >= spec.memory
+            and h.cap_gpus + 1e-6 >= spec.gpus
             and (not spec.scatter or job.zones.get(h.zone, 0) < spec.zone_limit)
             and not (spec.one_zone and any(n > 0 and z != h.zone for z, n in job.zones.items()))
-        ]  # fmt: skip
+        ]
         if fitting:
-            held = max(fitting, key=lambda h: h.cap_cpus - h.cpus - sum(
-                a.spec.cpus for a in h.attempts.values() if a.spec is not None and a.spec.endless))  # fmt: skip
-            self._reserved[held.name] = (spec.uid, now + C.AGED_HOLD_S)
+            held = max(
+                fitting,
+                key=lambda h: (
+                    h.cap_cpus
+                    - h.cpus
+                    - sum(a.spec.cpus for a in h.attempts.values() if a.spec is not None and a.spec.endless)
+                ),
+            )
+            self._reserved[held.name] = (spec.job_id, now + C.AGED_HOLD_S)
 
-    def _may(self, job: Job, host: Host, now: float) -> bool:
+    def _may(self, job: Job, machine: Machine, now: float) -> bool:
         spec = job.spec
-        if not host.room_for(spec) or not host.allows(spec) or not host.usable():
+        if not machine.room_for(spec) or not machine.allows(spec) or not machine.usable():
             return False
-        if spec.one_zone and any(n > 0 and z != host.zone for z, n in job.zones.items()):
+        if spec.one_zone and any(n > 0 and z != machine.zone for z, n in job.zones.items()):
             return False
-        if spec.scatter and job.zones.get(host.zone, 0) + 1 > spec.zone_limit:
+        if spec.scatter and job.zones.get(machine.zone, 0) + 1 > spec.zone_limit:
             return False
         # Without the reservation small tasks take what is freed piece by piece, and more is stopped for nothing.
-        return self._open_to(job, host, now) and self._spares(job, host, now)
+        return self._open_to(job, machine, now) and self._spares(job, machine, now)
 
     def _spreads(self, job: Job) -> bool:
         """Replicas that should start within seconds go to many machines: each then holds the image for the next ones,
         and one that fails takes few along. They fetch side by side, so it takes no longer than on one machine."""
         return job.spec.endless and job.spec.workload in self._start_within
 
-    def _score(self, job: Job, host: Host, spread: dict[str, int] | None = None) -> float:
+    def _score(self, job: Job, machine: Machine, spread: dict[str, int] | None = None) -> float:
         """Lower is better: the image is there, the machine is left fuller, the zones stay even."""
         spec = job.spec
-        score = (host.cap_cpus - host.cpus - spec.cpus) / max(host.cap_cpus, 1e-9)
-        if spec.bundle not in host.images:
+        score = (machine.cap_cpus - machine.cpus - spec.cpus) / max(machine.cap_cpus, 1e-9)
+        if spec.image not in machine.images:
             # Its own replicas' fetch is no reason to join them, or a new image would never reach more than one machine.
-            joins = spec.bundle in host.fetching and not (spread and spread.get(host.name))
+            joins = spec.image in machine.fetching and not (spread and spread.get(machine.name))
             score += C.FETCH_WEIGHT * (0.5 if joins else 1.0)
         if spread is not None:
-            score += C.SPREAD_WEIGHT * spread.get(host.name, 0)
+            score += C.SPREAD_WEIGHT * spread.get(machine.name, 0)
         # Money asks for spot machines first, which leaves the ordinary ones to work that needs them. Where only time
         # counts, a task lost with its machine makes its whole job late, so what is paid for anyway is used first.
-        if spec.spot and host.spot == self._hurried:
+        if spec.spot and machine.spot == self._hurried:
             score += C.ORDINARY_WEIGHT
-        return score + C.ZONE_WEIGHT * job.zones.get(host.zone, 0) / spec.shards
+        return score + C.ZONE_WEIGHT * job.zones.get(machine.zone, 0) / spec.shards
 
-    def _slow_start(self, ledger: Ledger, job: Job, host: Host) -> bool:
+    def _slow_start(self, cluster: ClusterState, job: Job, machine: Machine) -> bool:
         """Whether fetching the image on this machine alone makes the start too late for its class's aim."""
         within = self._start_within.get(job.spec.workload)
-        kind = ledger.catalog.flavours.get(host.flavour)
-        if within is None or kind is None or job.spec.bundle in host.images or job.spec.rank != _PROD:
+        kind = cluster.catalog.machine_types.get(machine.machine_type)
+        if within is None or kind is None or job.spec.image in machine.images or job.spec.rank != _PROD:
             return False
-        return fetch_exceeds(job.spec.bundle_gb, kind.pull_rate, within)
+        return fetch_exceeds(job.spec.image_gb, kind.pull_rate, within)
 
-    def _await_warm(self, ledger: Ledger, job: Job, hosts: list[Host], now: float) -> bool:
+    def _await_warm(self, cluster: ClusterState, job: Job, machines: list[Machine], now: float) -> bool:
         """Make room on machines that hold the image already; True while that room is awaited. Only for that:
         found on a measured day, room that had been freed elsewhere was refused again and again."""
-        uid = job.spec.uid
-        if uid not in self._warm_until:
-            warm = list(ledger.holders.get(job.spec.bundle, {}).values())
-            made = self._make_room(ledger, job, warm, now, C.WARM_CLAIM_S) if warm else 0
-            self._warm_until[uid] = now + C.WARM_CLAIM_S if made else now
-        return now < self._warm_until[uid]
+        job_id = job.spec.job_id
+        if job_id not in self._warm_until:
+            warm = list(cluster.holders.get(job.spec.image, {}).values())
+            made = self._make_room(cluster, job, warm, now, C.WARM_CLAIM_S) if warm else 0
+            self._warm_until[job_id] = now + C.WARM_CLAIM_S if made else now
+        return now < self._warm_until[job_id]
 
     def _claimed(self, job: Job, now: float) -> int:
-        return sum(1 for until in self._claims.get(job.spec.uid, ()) if until > now)
+        return sum(1 for until in self._claims.get(job.spec.job_id, ()) if until > now)
 
     # --- preemption ---
 
-    def _may_stop(self, ledger: Ledger, job: Job, attempt: Attempt) -> bool:
+    def _may_stop(self, cluster: ClusterState, job: Job, attempt: Attempt) -> bool:
         """By higher rank, or to give a team its guarantee out of what another runs beyond its own."""
         victim = attempt.spec
         if victim is None or attempt.exited:
             return False
         if victim.rank > job.spec.rank and (self._may_preempt(job) or self._yields(victim, job.spec)):
             return True
-        return job.spec.uid in self.guaranteed and victim.team != job.spec.team and victim.uid not in self.guaranteed
+        return (
+            job.spec.job_id in self.guaranteed and victim.team != job.spec.team and victim.job_id not in self.guaranteed
+        )
 
     def _may_preempt(self, job: Job) -> bool:
         """Whether the job may take room from any lower work: others wait, so that low work gets done as well."""
-        return job.spec.rank == _PROD or job.spec.whole or job.spec.uid in self.guaranteed
+        return job.spec.rank == _PROD or job.spec.whole or job.spec.job_id in self.guaranteed
 
-    def _yields(self, victim: Spec, claimant: Spec) -> bool:
+    def _yields(self, victim: JobSpec, claimant: JobSpec) -> bool:
         """Guests, whose team has no guarantee, run on what nobody else needs: guards against their arrays filling all
         machines while work of others with a deadline waits."""
         return victim.team != claimant.team and self._is_guest(victim.team)
@@ -502,73 +529,86 @@
         team = self._teams.get(team_name)
         return team is not None and not team.cpus and not team.gpus
 
-    def _make_room(self, ledger: Ledger, job: Job, hosts: list[Host], now: float, patience: float = C.CLAIM_S) -> int:
+    def _make_room(
+        self, cluster: ClusterState, job: Job, machines: list[Machine], now: float, patience: float = C.CLAIM_S
+    ) -> int:
         """Stop the least work that lets waiting tasks in; their room is awaited before more is stopped."""
         spec = job.spec
         if not self._may_preempt(job) and not (self._guests - {spec.team}):
             return 0
         wanted = min(job.waiting - self._claimed(job, now), C.PREEMPT_PER_ROUND)
-        kind = (spec.rank, spec.team, spec.uid in self.guaranteed, spec.cpus, spec.memory, spec.gpus, spec.spot)
+        kind = (spec.rank, spec.team, spec.job_id in self.guaranteed, spec.cpus, spec.memory, spec.gpus, spec.spot)
         if wanted <= 0 or self._barren.get(kind, float("-inf")) > now:
             return 0
-        may: list[Host] = []
+        may: list[Machine] = []
         # Few of the machines, by the dice; all of them only if hardly any will do.
-        for few in (4 * C.PREEMPT_SAMPLE, len(hosts)):
-            for h in self._rng.sample(hosts, min(few, len(hosts))):
+        for few in (4 * C.PREEMPT_SAMPLE, len(machines)):
+            for h in self._rng.sample(machines, min(few, len(machines))):
                 if (
-                    h.live and h.usable() and h.allows(spec) and h.name not in self._reserved
+                    h.live
+                    and h.usable()
+                    and h.allows(spec)
+                    and h.name not in self._reserved
                     and job.avoid.get(h.name, 0.0) <= now
-                ):  # fmt: skip
+                ):
                     may.append(h)
                     if len(may) == C.PREEMPT_SAMPLE:
                         break
-            if may or few >= len(hosts):
+            if may or few >= len(machines):
                 break
-        offers = [found for h in may if (found := self._victims(ledger, job, h, now)) is not None]
-        if not offers and len(hosts) > len(may):
+        offers = [found for h in may if (found := self._victims(cluster, job, h, now)) is not None]
+        if not offers and len(machines) > len(may):
             # Looked at in vain: with all waiting jobs asking in each round, nothing else would get done.
             self._barren[kind] = now + C.BARREN_S
         # Found on a measured day: a service that came in a busy minute stopped group after group, each whole.
-        offers.sort(key=lambda found: (any(a.uid in ledger.groups for a in found[1]), found[0]))
+        offers.sort(key=lambda found: (any(a.job_id in cluster.groups for a in found[1]), found[0]))
         made = 0
         zones = dict(job.zones)  # with what the room made in this round will add
         for _, victims in offers:
             if made >= wanted:
                 break
-            host = victims[0].host
-            if spec.scatter and zones.get(host.zone, 0) + 1 > spec.zone_limit:
+            machine = victims[0].machine
+            if spec.scatter and zones.get(machine.zone, 0) + 1 > spec.zone_limit:
                 continue
-            if spec.one_zone and any(n > 0 and z != host.zone for z, n in zones.items()):
+            if spec.one_zone and any(n > 0 and z != machine.zone for z, n in zones.items()):
                 continue
-            log.debug("room for %s: %s", spec.uid, [f"{a.shard} on {a.host.name} {a.host.zone}" for a in victims])
+            log.debug(
+                "room for %s: %s", spec.job_id, [f"{a.task_id} on {a.machine.name} {a.machine.zone}" for a in victims]
+            )
             wait = patience
             for attempt in victims:
-                ledger.stop(attempt, f"making room for {spec.uid}", hurry=spec.rank == _PROD)
+                cluster.stop(attempt, f"making room for {spec.job_id}", hurry=spec.rank == _PROD)
                 wait = max(wait, patience + attempt.wind_down)
-            zones[host.zone] = zones.get(host.zone, 0) + 1
-            self._claims.setdefault(spec.uid, []).append(now + wait)
-            self._reserved[host.name] = (spec.uid, now + wait)
+            zones[machine.zone] = zones.get(machine.zone, 0) + 1
+            self._claims.setdefault(spec.job_id, []).append(now + wait)
+            self._reserved[machine.name] = (spec.job_id, now + wait)
             made += 1
         return made
 
     @staticmethod
-    def _loss(ledger: Ledger, attempt: Attempt, now: float) -> float:
+    def _loss(cluster: ClusterState, attempt: Attempt, now: float) -> float:
         """Seconds of work thrown away; of a group, by all of its tasks."""
-        group = ledger.groups.get(attempt.uid)
+        group = cluster.groups.get(attempt.job_id)
         return group_loss(group, now) if group is not None else lost_work(attempt, now)
 
     def _victims(
-        self, ledger: Ledger, job: Job, host: Host, now: float, count: int = 1
+        self, cluster: ClusterState, job: Job, machine: Machine, now: float, count: int = 1
     ) -> tuple[float, list[Attempt]] | None:
         """The least to stop so that `count` tasks of the job fit, and its cost."""
         spec = job.spec
         need_cpus, need_gpus, need_memory = spec.cpus * count, spec.gpus * count, spec.memory * count
-        cpus, gpus, memory = host.cap_cpus - host.cpus, host.cap_gpus - host.gpus, host.cap_memory - host.memory
-        mine = f"making room for {spec.uid}"
-        if any(a.stop and a.spec is not None and a.stop_reason == mine for a in host.attempts.values()):
+        cpus, gpus, memory = (
+            machine.cap_cpus - machine.cpus,
+            machine.cap_gpus - machine.gpus,
+            machine.cap_memory - machine.memory,
+        )
+        mine = f"making room for {spec.job_id}"
+        if any(a.stop and a.spec is not None and a.stop_reason == mine for a in machine.attempts.values()):
             return None  # room is being made here for this job already
-        can = [a for a in host.attempts.values() if not a.stop and self._may_stop(ledger, job, a)]
-        can.sort(key=lambda a: (-(a.spec.rank if a.spec else 0), a.uid in ledger.groups, self._loss(ledger, a, now)))
+        can = [a for a in machine.attempts.values() if not a.stop and self._may_stop(cluster, job, a)]
+        can.sort(
+            key=lambda a: (-(a.spec.rank if a.spec else 0), a.job_id in cluster.groups, self._loss(cluster, a, now))
+        )
         cost, chosen = 0.0, []
         for attempt in can:
             if cpus + 1e-6 >= need_cpus and gpus + 1e-6 >= need_gpus and memory + 1e-6 >= need_memory:
@@ -576,7 +616,7 @@
             victim = attempt.spec
             assert victim is not None
             cpus, gpus, memory = cpus + victim.cpus, gpus + victim.gpus, memory + victim.memory
-            cost += self._loss(ledger, attempt, now) * victim.cpus
+            cost += self._loss(cluster, attempt, now) * victim.cpus
             chosen.append(attempt)
         if not chosen or cpus + 1e-6 < need_cpus or gpus + 1e-6 < need_gpus or memory + 1e-6 < need_memory:
             return None
--- a/sorrelsill/placement/groups.py
+++ b/sorrelsill/placement/groups.py
@@ -11,18 +11,18 @@
 from dataclasses import dataclass
 
 from sorrelsill import constants as C
-from sorrelsill.jobs import Spec
-from sorrelsill.workers import Attempt, Host
+from sorrelsill.jobs import JobSpec
+from sorrelsill.workers import Attempt, Machine
 
 # What would have to be stopped on a machine to let so many more tasks in than fit, and its cost.
-Offer = Callable[[Host, int], tuple[float, list[Attempt]] | None]
+Offer = Callable[[Machine, int], tuple[float, list[Attempt]] | None]
 
 
 @dataclass(slots=True)
 class Seat:
     """A machine and how many tasks of the group it can take."""
 
-    host: Host
+    machine: Machine
     count: int
 
 
@@ -36,33 +36,33 @@
     cold: bool  # an image has to be fetched
 
 
-def capacity(host: Host, spec: Spec, gone: Iterable[Attempt] = ()) -> int:
+def capacity(machine: Machine, spec: JobSpec, gone: Iterable[Attempt] = ()) -> int:
     """Tasks that fit on a machine, as it stands or once some others are gone."""
     freed = [a.spec for a in gone if a.spec is not None]
     fits = [float(spec.shards)]
     for have, want in (
-        (host.cap_cpus - host.cpus + sum(s.cpus for s in freed), spec.cpus),
-        (host.cap_memory - host.memory + sum(s.memory for s in freed), spec.memory),
-        (host.cap_gpus - host.gpus + sum(s.gpus for s in freed), spec.gpus),
+        (machine.cap_cpus - machine.cpus + sum(s.cpus for s in freed), spec.cpus),
+        (machine.cap_memory - machine.memory + sum(s.memory for s in freed), spec.memory),
+        (machine.cap_gpus - machine.gpus + sum(s.gpus for s in freed), spec.gpus),
     ):
         if want > 0:
             fits.append((have + 1e-6) / want)
     return max(0, math.floor(min(fits)))
 
 
-def seat(spec: Spec, hosts: Iterable[Host], zones: Iterable[str]) -> list[Seating]:
+def seat(spec: JobSpec, machines: Iterable[Machine], zones: Iterable[str]) -> list[Seating]:
     """For each zone (one entry for all if the group may be spread) the machines it would go to, best first."""
     pools: dict[str | None, list[Seat]] = {z: [] for z in zones} if spec.one_zone else {None: []}
-    for host in hosts:
-        count = capacity(host, spec)
+    for machine in machines:
+        count = capacity(machine, spec)
         if count > 0:
-            pools.setdefault(host.zone if spec.one_zone else None, []).append(Seat(host, count))
+            pools.setdefault(machine.zone if spec.one_zone else None, []).append(Seat(machine, count))
     out = []
     for zone, seats in pools.items():
         # Fetches side by side share a machine's rate; a type that most of the room is on makes for an even pace.
         kinds: dict[str, int] = {}
         for s in seats:
-            kinds[s.host.flavour] = kinds.get(s.host.flavour, 0) + s.count
+            kinds[s.machine.machine_type] = kinds.get(s.machine.machine_type, 0) + s.count
         seats.sort(key=lambda s: _preference(s, spec, kinds))
         taken: list[Seat] = []
         in_zone: dict[str, int] = {}
@@ -70,35 +70,35 @@
         for s in seats:
             count = min(left, s.count)
             if spec.scatter:
-                count = min(count, spec.zone_limit - in_zone.get(s.host.zone, 0))
+                count = min(count, spec.zone_limit - in_zone.get(s.machine.zone, 0))
             if count > 0:
-                taken.append(Seat(s.host, count))
-                in_zone[s.host.zone] = in_zone.get(s.host.zone, 0) + count
+                taken.append(Seat(s.machine, count))
+                in_zone[s.machine.zone] = in_zone.get(s.machine.zone, 0) + count
                 left -= count
             if not left:
                 break
-        out.append(Seating(zone, taken, left, any(spec.bundle not in s.host.images for s in taken)))
+        out.append(Seating(zone, taken, left, any(spec.image not in s.machine.images for s in taken)))
     out.sort(key=lambda o: (o.short, o.cold, len(o.seats), o.zone or ""))
     return out
 
 
-def _preference(s: Seat, spec: Spec, kinds: dict[str, int]) -> tuple[float, bool, int, int, float]:
-    host = s.host
-    fetch = 0.0 if spec.bundle in host.images else 1.0 + len(host.fetching - {spec.bundle})
-    enough = kinds[host.flavour] >= spec.shards
-    left = host.cap_cpus - host.cpus - min(s.count, spec.shards) * spec.cpus
-    return fetch, host.spot, 0 if enough else 1, -min(s.count, spec.shards), left
+def _preference(s: Seat, spec: JobSpec, kinds: dict[str, int]) -> tuple[float, bool, int, int, float]:
+    machine = s.machine
+    fetch = 0.0 if spec.image in machine.images else 1.0 + len(machine.fetching - {spec.image})
+    enough = kinds[machine.machine_type] >= spec.shards
+    left = machine.cap_cpus - machine.cpus - min(s.count, spec.shards) * spec.cpus
+    return fetch, machine.spot, 0 if enough else 1, -min(s.count, spec.shards), left
 
 
 def room_for(
-    spec: Spec, seatings: list[Seating], hosts: Iterable[Host], offer: Offer
+    spec: JobSpec, seatings: list[Seating], machines: Iterable[Machine], offer: Offer
 ) -> tuple[Seating, list[Attempt]] | None:
     """The zone in which stopping the least lets the whole group in, and what to stop there; None if nothing does."""
-    offers: dict[str | None, list[tuple[float, str, Host]]] = {}
-    for host in hosts:
-        found = offer(host, 1)
+    offers: dict[str | None, list[tuple[float, str, Machine]]] = {}
+    for machine in machines:
+        found = offer(machine, 1)
         if found is not None:
-            offers.setdefault(host.zone if spec.one_zone else None, []).append((found[0], host.name, host))
+            offers.setdefault(machine.zone if spec.one_zone else None, []).append((found[0], machine.name, machine))
     best: tuple[float, Seating, list[Attempt]] | None = None
     for seating in seatings:
         short, cost = seating.short, 0.0
@@ -106,18 +106,18 @@
         seats = list(seating.seats)
         in_zone: dict[str, int] = {}
         for s in seats:
-            in_zone[s.host.zone] = in_zone.get(s.host.zone, 0) + s.count
-        for _, _, host in sorted(offers.get(seating.zone, ()), key=lambda o: o[:2]):
-            most = min(short, spec.zone_limit - in_zone.get(host.zone, 0)) if spec.scatter else short
+            in_zone[s.machine.zone] = in_zone.get(s.machine.zone, 0) + s.count
+        for _, _, machine in sorted(offers.get(seating.zone, ()), key=lambda o: o[:2]):
+            most = min(short, spec.zone_limit - in_zone.get(machine.zone, 0)) if spec.scatter else short
             # As many as may go there at once: each further machine is one more that may be slow or fail.
             for count in range(most, 0, -1):
-                found = offer(host, count)
+                found = offer(machine, count)
                 if found is not None:
                     short -= count
                     cost += found[0]
                     chosen += found[1]
-                    in_zone[host.zone] = in_zone.get(host.zone, 0) + count
-                    seats.append(Seat(host, count))
+                    in_zone[machine.zone] = in_zone.get(machine.zone, 0) + count
+                    seats.append(Seat(machine, count))
                     break
             if short <= 0:
                 break
@@ -126,22 +126,22 @@
     return (best[1], best[2]) if best is not None else None
 
 
-def worth_holding(spec: Spec, seatings: list[Seating], hosts: Iterable[Host]) -> list[Host]:
+def worth_holding(spec: JobSpec, seatings: list[Seating], machines: Iterable[Machine]) -> list[Machine]:
     """Machines to keep filling up for a group that finds no room: in the zone that lacks least, those with most room
     that is not a service's, until all would fit. None are kept if even all of them would not do."""
-    by_zone: dict[str | None, list[tuple[int, float, Host]]] = {}
-    for host in hosts:
-        tasks = [a for a in host.attempts.values() if a.spec is not None]
+    by_zone: dict[str | None, list[tuple[int, float, Machine]]] = {}
+    for machine in machines:
+        tasks = [a for a in machine.attempts.values() if a.spec is not None]
         ending = [a for a in tasks if a.spec is not None and not a.spec.endless]
-        count = capacity(host, spec, ending)
+        count = capacity(machine, spec, ending)
         if count > 0:
-            ease = host.cap_cpus - host.cpus - (len(tasks) - len(ending))
-            by_zone.setdefault(host.zone if spec.one_zone else None, []).append((count, ease, host))
+            ease = machine.cap_cpus - machine.cpus - (len(tasks) - len(ending))
+            by_zone.setdefault(machine.zone if spec.one_zone else None, []).append((count, ease, machine))
     for seating in seatings:
-        kept: list[Host] = []
+        kept: list[Machine] = []
         left = spec.shards
-        for count, _, host in sorted(by_zone.get(seating.zone, ()), key=lambda i: (-i[1], i[2].name)):
-            kept.append(host)
+        for count, _, machine in sorted(by_zone.get(seating.zone, ()), key=lambda i: (-i[1], i[2].name)):
+            kept.append(machine)
             left -= count
             if left <= 0 or len(kept) == C.GROUP_HOLD_HOSTS:
                 break
--- a/sorrelsill/placement/test_engine.py
+++ b/sorrelsill/placement/test_engine.py
@@ -2,105 +2,113 @@
 
 import random
 
-from sorrelsill.fleet import Catalog, Flavour
-from sorrelsill.jobs import ShardSet, parse_spec
+from sorrelsill.fleet import Catalog, MachineType
+from sorrelsill.jobs import TaskSet, parse_spec
 from sorrelsill.placement import Placer
 from sorrelsill.settings import Objective, Team
-from sorrelsill.standins import count_calls, job
-from sorrelsill.workers import Host, Job, Ledger
+from sorrelsill.workers import ClusterState, Job, Machine
+from tests.simulation import count_calls, job
 
-KIND = Flavour("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a", "b"))
+KIND = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a", "b"))
 AIMS = [Objective("wait", "live", 1.0), Objective("finished", "w", 60.0)]
 
 
-def ledger_with(*machines: tuple[str, str, bool]) -> Ledger:
-    ledger = Ledger(1, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
+def ledger_with(*machines: tuple[str, str, bool]) -> ClusterState:
+    cluster = ClusterState(1, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
     for name, zone, spot in machines:
-        host = ledger.host(name, "c8", zone, spot, 0.0)
-        host.synced = host.hears = host.rostered = True
-        ledger.look(host)
-    return ledger
+        machine = cluster.machine(name, "c8", zone, spot, 0.0)
+        machine.synced = machine.reachable = machine.rostered = True
+        cluster.reindex(machine)
+    return cluster
 
 
-def add(ledger: Ledger, uid: str, submitted: float = 0.0, **fields: object) -> Job:
-    spec = parse_spec(job(uid, **fields))
-    return ledger.add_job(spec, ShardSet(spec.shards), 2, False, submitted, [])
+def add(cluster: ClusterState, job_id: str, submitted: float = 0.0, **fields: object) -> Job:
+    spec = parse_spec(job(job_id, **fields))
+    return cluster.add_job(spec, TaskSet(spec.shards), 2, False, submitted, [])
 
 
-def place(ledger: Ledger, now: float = 1.0, hurried: bool = False, budget: float = 1.0) -> Placer:
+def place(cluster: ClusterState, now: float = 1.0, hurried: bool = False, budget: float = 1.0) -> Placer:
     placer = Placer([Team("red")], AIMS, random.Random(1), 24, hurried)
-    placer.round(ledger, now, lambda: now, budget)
+    placer.round(cluster, now, lambda: now, budget)
     return placer
 
 
-def at(job: Job) -> list[Host]:
-    return [a.host for a in job.bound.values()]
+def at(job: Job) -> list[Machine]:
+    return [a.machine for a in job.bound.values()]
 
 
 def test_where_time_counts_spot_machines_are_used_last_and_where_money_counts_first() -> None:
     for hurried in (True, False):
-        ledger = ledger_with(("m1", "a", True), ("m2", "a", False))
-        low = add(ledger, "run-1", shards=2, reclaimable=True)
-        place(ledger, hurried=hurried)
+        cluster = ledger_with(("m1", "a", True), ("m2", "a", False))
+        low = add(cluster, "run-1", shards=2, reclaimable=True)
+        place(cluster, hurried=hurried)
         assert {h.spot for h in at(low)} == {not hurried}
 
 
 def test_the_least_work_goes_first_so_that_a_burst_does_not_make_all_late() -> None:
-    ledger = ledger_with(("m1", "a", False))
-    large = add(ledger, "run-large", submitted=0.0, shards=50)
-    small = add(ledger, "run-small", submitted=0.5, shards=3)
-    place(ledger)
+    cluster = ledger_with(("m1", "a", False))
+    large = add(cluster, "run-large", submitted=0.0, shards=50)
+    small = add(cluster, "run-small", submitted=0.5, shards=3)
+    place(cluster)
     assert len(small.bound) == 3 and len(large.bound) == 1
 
 
 def test_replicas_of_a_prompt_service_go_to_many_machines_and_tasks_that_end_share_a_fetch() -> None:
     machines = [(f"m{n}", "ab"[n % 2], False) for n in range(8)]
-    ledger = ledger_with(*machines)
-    service = add(ledger, "run-s", shape="standing", rank="prod", workload="live", shards=6, scatter=True)
-    place(ledger)
+    cluster = ledger_with(*machines)
+    service = add(cluster, "run-s", shape="standing", rank="prod", workload="live", shards=6, scatter=True)
+    place(cluster)
     assert len({h.name for h in at(service)}) == 6
-    ledger = ledger_with(*machines)
-    array = add(ledger, "run-a", shards=4)
-    place(ledger)
+    cluster = ledger_with(*machines)
+    array = add(cluster, "run-a", shards=4)
+    place(cluster)
     assert len({h.name for h in at(array)}) == 1
 
 
 def test_a_machine_that_has_not_shown_that_it_hears_gets_no_work() -> None:
-    ledger = ledger_with(("m1", "a", False))
-    ledger.hosts["m1"].hears = False
-    ledger.look(ledger.hosts["m1"])
-    waiting = add(ledger, "run-a")
-    placer = place(ledger)
+    cluster = ledger_with(("m1", "a", False))
+    cluster.machines["m1"].reachable = False
+    cluster.reindex(cluster.machines["m1"])
+    waiting = add(cluster, "run-a")
+    placer = place(cluster)
     assert not waiting.bound and placer.unplaced["run-a"].count == 2
 
 
 def test_the_indices_agree_with_what_is_on_the_machines() -> None:
     """What tasks of jobs that are over take is counted toward every team until they are gone, whoever adopts them."""
-    ledger = ledger_with(("m1", "a", False), ("m2", "b", False))
-    work = add(ledger, "run-a", shards=4)
-    place(ledger)
-    host = at(work)[0]
-    assert ledger.by_job["run-a"] == set(work.bound.values()) and host.live == 4 and ledger.unseen("red") == (0.0, 0.0)
-    ledger.end_job("run-a")
-    assert ledger.team_cpus["red"] == 8.0 and all(a.stop for a in host.attempts.values())
-    ledger.gone_for_certain(host.name, 2.0, "returned")
-    assert ledger.team_cpus["red"] == 0.0 and "run-a" not in ledger.by_job and host.name not in ledger.talk
+    cluster = ledger_with(("m1", "a", False), ("m2", "b", False))
+    work = add(cluster, "run-a", shards=4)
+    place(cluster)
+    machine = at(work)[0]
+    assert (
+        cluster.by_job["run-a"] == set(work.bound.values())
+        and machine.live == 4
+        and cluster.unaccounted("red") == (0.0, 0.0)
+    )
+    cluster.end_job("run-a")
+    assert cluster.team_cpus["red"] == 8.0 and all(a.stop for a in machine.attempts.values())
+    cluster.gone_for_certain(machine.name, 2.0, "returned")
+    assert (
+        cluster.team_cpus["red"] == 0.0
+        and "run-a" not in cluster.by_job
+        and machine.name not in cluster.machines_with_pending_commands
+    )
 
 
 def test_the_index_of_machines_that_may_be_given_work_follows_them() -> None:
     """Placing no longer asks all machines in each round, so what it asks has to be right."""
-    ledger = ledger_with(("m1", "a", False), ("m2", "b", False))
-    work = add(ledger, "run-a", shards=4)
-    place(ledger)
+    cluster = ledger_with(("m1", "a", False), ("m2", "b", False))
+    work = add(cluster, "run-a", shards=4)
+    place(cluster)
     full, other = at(work)[0].name, {"m1": "m2", "m2": "m1"}[at(work)[0].name]
-    assert set(ledger.ready) == {"m1", "m2"} and set(ledger.free) == {other}
-    ledger.hosts[other].draining = True  # whoever forgets to say so ...
-    ledger.sweep(2.0)  # ... is made good at the next look
-    assert set(ledger.ready) == {full} and not ledger.free
-    ledger.hosts[full].images["img"] = 0.5
-    ledger.holders["img"] = {full: ledger.hosts[full]}
-    ledger.gone_for_certain(full, 3.0, "returned")
-    assert not ledger.ready and not ledger.free and not ledger.holders
+    assert set(cluster.ready) == {"m1", "m2"} and set(cluster.free) == {other}
+    cluster.machines[other].draining = True  # whoever forgets to say so ...
+    cluster.expire_leases(2.0)  # ... is made good at the next look
+    assert set(cluster.ready) == {full} and not cluster.free
+    cluster.machines[full].images["img"] = 0.5
+    cluster.holders["img"] = {full: cluster.machines[full]}
+    cluster.gone_for_certain(full, 3.0, "returned")
+    assert not cluster.ready and not cluster.free and not cluster.holders
 
 
 def test_a_round_costs_no_more_on_three_times_as_many_machines() -> None:
@@ -108,11 +116,11 @@
     places one small job, ask only the machines they sample."""
 
     def calls(machines: int, work: int) -> int:
-        ledger = ledger_with(*((f"m{n}", "ab"[n % 2], False) for n in range(machines)))
+        cluster = ledger_with(*((f"m{n}", "ab"[n % 2], False) for n in range(machines)))
         for number in range(work):
-            add(ledger, f"run-{number}")
+            add(cluster, f"run-{number}")
         placer = Placer([Team("red")], AIMS, random.Random(1), 24, False)
-        return count_calls(lambda: placer.round(ledger, 1.0, lambda: 1.0, 1.0))
+        return count_calls(lambda: placer.round(cluster, 1.0, lambda: 1.0, 1.0))
 
     for work in (0, 1, 5):
         assert calls(930, work) <= 1.1 * calls(310, work) + 5
--- a/sorrelsill/serve.py
+++ b/sorrelsill/serve.py
@@ -11,8 +11,8 @@
 import trio
 
 from sorrelsill import constants as C
+from sorrelsill.controller import Controller
 from sorrelsill.http import Server
-from sorrelsill.node import Node
 from sorrelsill.settings import Operator, Settings, SettingsError, load, load_operator, split_addr
 
 log = logging.getLogger("sorrelsill")
@@ -34,7 +34,7 @@
 
 
 async def run(settings: Settings, operator: Operator) -> None:
-    node = Node(settings, operator, random.Random())
+    node = Controller(settings, operator, random.Random())
     sockets = settings.facts.quota.sockets
     peers = C.PEER_SOCKETS if settings.members else 0
     pushes = max(8, int(sockets * C.PUSH_SOCKETS))
--- a/sorrelsill/store/__init__.py
+++ b/sorrelsill/store/__init__.py
@@ -4,6 +4,20 @@
 from sorrelsill.store.view import CATALOG, LEADER, View, chunk_key, final_key, job_key, part_key, roster_key
 
 __all__ = [
-    "Ambiguous", "CATALOG", "Condition", "LEADER", "Put", "Refused", "Remove", "Store", "Txn", "Unavailable", "View",
-    "chunk_key", "final_key", "job_key", "part_key", "roster_key",
-]  # fmt: skip
+    "Ambiguous",
+    "CATALOG",
+    "Condition",
+    "LEADER",
+    "Put",
+    "Refused",
+    "Remove",
+    "Store",
+    "Txn",
+    "Unavailable",
+    "View",
+    "chunk_key",
+    "final_key",
+    "job_key",
+    "part_key",
+    "roster_key",
+]
--- a/sorrelsill/store/test_view.py
+++ b/sorrelsill/store/test_view.py
@@ -6,8 +6,8 @@
 import trio.testing
 
 from sorrelsill.settings import StateLimits
-from sorrelsill.standins import FakeNet, FakeStore
 from sorrelsill.store import Store, View, job_key
+from tests.simulation import FakeNet, FakeStore
 
 
 def _follow(tell: Any) -> None:
@@ -91,7 +91,7 @@
         view.apply(key, None, accepted + 1, False)
         view._take(since, older, trio.current_time())
         assert view.job("run-1") is None and (key, {"n": 1}) not in heard
-        assert [uid for uid in view.ended] == ["run-1"]
+        assert [job_id for job_id in view.ended] == ["run-1"]
         write(fake, key, None)
         assert await view.barrier() and view.job("run-1") is None and not view._removed
 
--- a/sorrelsill/store/view.py
+++ b/sorrelsill/store/view.py
@@ -33,25 +33,25 @@
 Listener = Callable[[str, Any, int], None]
 
 
-def job_key(uid: str) -> str:
-    return _JOB + uid
+def job_key(job_id: str) -> str:
+    return _JOB + job_id
 
 
-def final_key(uid: str) -> str:
-    return _FINAL + uid
+def final_key(job_id: str) -> str:
+    return _FINAL + job_id
 
 
-def chunk_key(uid: str, number: int) -> str:
-    return f"{_CHUNK}{uid}/{number}"
+def chunk_key(job_id: str, number: int) -> str:
+    return f"{_CHUNK}{job_id}/{number}"
 
 
-def part_key(uid: str, number: int) -> str:
-    return f"{_PART}{uid}/{number}"
+def part_key(job_id: str, number: int) -> str:
+    return f"{_PART}{job_id}/{number}"
 
 
-def roster_key(host: str) -> str:
+def roster_key(machine: str) -> str:
     """Machines share a few keys, so that hundreds that come or go together cost a few writes."""
-    return f"{_ROSTER}{zlib.crc32(host.encode()) % C.ROSTER_PARTS:02d}"
+    return f"{_ROSTER}{zlib.crc32(machine.encode()) % C.ROSTER_PARTS:02d}"
 
 
 class View:
@@ -71,7 +71,7 @@
         self.loaded = False
         self.fresh_at = float("-inf")  # the view holds everything committed before this moment
         self.listeners: list[Listener] = []
-        self.on_final: Callable[[str, Any], None] = lambda uid, value: None  # each final state as it is learnt of
+        self.on_final: Callable[[str, Any], None] = lambda job_id, value: None  # each final state as it is learnt of
         self._removed: dict[str, int] = {}  # keys that are gone by changes that the view has not gone past yet
         self._barrier_gap = 1.0 / max(1.0, C.BARRIER_RATE_OF_RPS * store.requests.rate * 3)
         self._last_barrier = float("-inf")
@@ -80,32 +80,32 @@
 
     # --- what the keys hold ---
 
-    def job(self, uid: str) -> tuple[Any, int] | None:
-        return self.keys.get(_JOB + uid)
+    def job(self, job_id: str) -> tuple[Any, int] | None:
+        return self.keys.get(_JOB + job_id)
 
     def jobs(self) -> list[tuple[str, Any, int]]:
         return [(k[len(_JOB) :], v, r) for k, (v, r) in self.keys.items() if k.startswith(_JOB)]
 
-    def chunks(self, uid: str) -> list[tuple[int, Any]]:
+    def chunks(self, job_id: str) -> list[tuple[int, Any]]:
         """Finished tasks kept beside a job's record: from which task on, and their text."""
         out = []
-        for key in self.chunk_keys(uid):
+        for key in self.chunk_keys(job_id):
             number = key.rpartition("/")[2]
             if number.isdecimal():
                 size = C.CHUNK_SHARDS if key.startswith(_CHUNK) else C.PART_SHARDS
                 out.append((int(number) * size, self.keys[key][0]))
         return out
 
-    def chunk_keys(self, uid: str) -> list[str]:
-        return sorted(self._chunk_keys.get(uid, ()))
+    def chunk_keys(self, job_id: str) -> list[str]:
+        return sorted(self._chunk_keys.get(job_id, ()))
 
     def orphans(self) -> list[str]:
         """Jobs that are over and left such keys: their end had no room for the removal of all."""
-        return [uid for uid in self._chunk_keys if _JOB + uid not in self.keys]
+        return [job_id for job_id in self._chunk_keys if _JOB + job_id not in self.keys]
 
-    def roster_parts(self, host: str) -> dict[str, tuple[dict[str, Any], int]]:
+    def roster_parts(self, machine: str) -> dict[str, tuple[dict[str, Any], int]]:
         """The keys, with value and revision, in which a machine's entry may stand."""
-        key = base = roster_key(host)
+        key = base = roster_key(machine)
         out: dict[str, tuple[dict[str, Any], int]] = {}
         while key in self.keys:
             value, rev = self.keys[key]
@@ -120,12 +120,12 @@
     def leader(self) -> tuple[Any, int] | None:
         return self.keys.get(LEADER)
 
-    def final(self, uid: str) -> Any | None:
-        return self.finals.get(uid)
+    def final(self, job_id: str) -> Any | None:
+        return self.finals.get(job_id)
 
-    def remember_final(self, uid: str, value: Any) -> None:
-        self.finals[uid] = value
-        self.on_final(uid, value)
+    def remember_final(self, job_id: str, value: Any) -> None:
+        self.finals[job_id] = value
+        self.on_final(job_id, value)
         while len(self.finals) > C.FINAL_CACHE:
             self.finals.popitem(last=False)
 
@@ -164,16 +164,16 @@
     def _note_gone(self, key: str, value: Any) -> None:
         """A job that was cancelled may run on for a while: a new leader counts its tasks toward its team's limit."""
         if key.startswith((_CHUNK, _PART)):
-            uid = key[len(_CHUNK) :].partition("/")[0]
-            self._chunk_keys[uid].discard(key)
-            if not self._chunk_keys[uid]:
-                del self._chunk_keys[uid]
+            job_id = key[len(_CHUNK) :].partition("/")[0]
+            self._chunk_keys[job_id].discard(key)
+            if not self._chunk_keys[job_id]:
+                del self._chunk_keys[job_id]
         if not key.startswith(_JOB):
             return
         self._note_over(key[len(_JOB) :], value)
 
-    def _note_over(self, uid: str, value: Any) -> None:
-        self.ended[uid] = trio.current_time(), value
+    def _note_over(self, job_id: str, value: Any) -> None:
+        self.ended[job_id] = trio.current_time(), value
         if len(self.ended) > C.ENDED_KEPT:
             self.ended.popitem(last=False)
             self.whole_since = trio.current_time()
@@ -183,7 +183,7 @@
         now = trio.current_time()
         if now - window < self.whole_since:
             return None
-        return [(uid, value) for uid, (at, value) in self.ended.items() if now - at <= window]
+        return [(job_id, value) for job_id, (at, value) in self.ended.items() if now - at <= window]
 
     async def _load(self) -> None:
         """Read everything live; the final records stay where they are."""
--- a/sorrelsill/workers/groups.py
+++ b/sorrelsill/workers/groups.py
@@ -13,44 +13,45 @@
 from sorrelsill import constants as C
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.ledger import Job, Ledger
+    from sorrelsill.workers.cluster_state import ClusterState, Job
 
 log = logging.getLogger(__name__)
 
 
-def tend(ledger: Ledger) -> None:
+def enforce_gang_completeness(cluster: ClusterState) -> None:
     """Groups that are not whole any more, or that somebody began to stop, and what has to be done about the rest."""
-    for job in ledger.groups.values():
+    for job in cluster.groups.values():
         if job.bound and job.done.count < job.spec.shards:
-            _tend(ledger, job)
+            _enforce(cluster, job)
 
 
-def _tend(ledger: Ledger, job: Job) -> None:
+def _enforce(cluster: ClusterState, job: Job) -> None:
     tasks = list(job.bound.values())
     if all(a.stop for a in tasks):
         return
     if any(a.phase == "saving" for a in tasks):
         # A leader before us began to stop it in order and did not get to tell all: told in time they save together,
         # and the group has made no progress since the first was told.
-        log.info("%s: an earlier leader began to stop it, the rest are told", job.spec.uid)
-        stop(ledger, job, "stopped by an earlier leader", False)
+        log.info("%s: an earlier leader began to stop it, the rest are told", job.spec.job_id)
+        stop(cluster, job, "stopped by an earlier leader", False)
         return
-    if not ledger.settled(job):
+    if not cluster.settled(job):
         return  # what is missing may be on a machine that was not heard yet
-    whole = len(tasks) == job.spec.shards and len({a.try_no for a in tasks}) == 1
+    whole = len(tasks) == job.spec.shards and len({a.attempt_number for a in tasks}) == 1
     if whole and not any(a.stop for a in tasks):
         return
     # Halting at once is quicker than waiting until the others notice, and loses no more: a group that lost a task falls
     # back to its last checkpoint anyway.
     for attempt in tasks:
-        ledger.halt(attempt, "its group is not whole", True)
+        cluster.halt(attempt, "its group is not whole", True)
 
 
 def reachable(job: Job) -> bool:
     """Whether all machines of the group will most likely get an order at once."""
     return all(
-        a.host.synced and a.host.hears and not a.host.overdue and not a.host.lost for a in job.bound.values()
-    )  # fmt: skip
+        a.machine.synced and a.machine.reachable and not a.machine.overdue and not a.machine.lost
+        for a in job.bound.values()
+    )
 
 
 def may_save(job: Job) -> bool:
@@ -63,15 +64,15 @@
     )
 
 
-def stop(ledger: Ledger, job: Job, reason: str, hurry: bool) -> None:
+def stop(cluster: ClusterState, job: Job, reason: str, hurry: bool) -> None:
     """Stop a group: in order, so that its progress is kept, if all can be told; else at once."""
     saving = any(a.phase == "saving" for a in job.bound.values())
     orderly = not hurry and (may_save(job) or saving and job.spec.snapshot_s > 0)
     for attempt in list(job.bound.values()):
-        ledger.halt(attempt, reason, not orderly, ledger.peer_s if orderly else 0.0)
+        cluster.halt(attempt, reason, not orderly, cluster.peer_s if orderly else 0.0)
 
 
-def must_leave(ledger: Ledger, job: Job, left: float) -> bool:
+def must_leave(cluster: ClusterState, job: Job, left: float) -> bool:
     """Whether a group has to leave a machine that is taken back in `left` seconds. One that does not run yet goes at
     once, one that can save as late as is safe; if one of its machines can't be told, saving is not begun before the
     last moment, as it would only cost the progress until then."""
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -10,55 +10,63 @@
 
 
 class BadReport(Exception):
-    pass
+    """The body is no report."""
 
 
-class ShardReport(msgspec.Struct):
-    shard: str
-    tryNo: int
+class TaskReport(msgspec.Struct):
+    """A task in a worker's report, under the names of the wire."""
+
+    task_id: str = msgspec.field(name="shard")
+    attempt_number: int = msgspec.field(name="tryNo")
     phase: str
-    exitCause: str | None = None
+    exit_cause: str | None = msgspec.field(name="exitCause", default=None)
     saved: bool | None = None
 
     def split(self) -> tuple[str, int]:
         """Job and task number; ValueError if it is no task's name. Asked only for attempts not known yet, since
         a report names the same tasks again and again."""
-        uid, slash, index = self.shard.rpartition("/")
+        job_id, slash, index = self.task_id.rpartition("/")
         if not slash or not index.isdecimal():
-            raise ValueError(f"not a task: {self.shard[:80]!r}")
-        return uid, int(index)
+            raise ValueError(f"not a task: {self.task_id[:80]!r}")
+        return job_id, int(index)
 
 
 class Report(msgspec.Struct):
-    host: str
-    tenure: int
-    serial: int
-    flavour: str = ""
-    region: str = ""
+    """What a worker says of its machine: in a report, or in its answer to a direct call."""
+
+    machine: str = msgspec.field(name="host")
+    session: int = msgspec.field(name="tenure")
+    sequence_number: int = msgspec.field(name="serial")
+    machine_type: str = msgspec.field(name="flavour", default="")
+    zone: str = msgspec.field(name="region", default="")
     addr: str = ""
-    reclaimable: bool = False
-    epoch: int = 0
-    evictInS: float | None = None
-    shards: list[ShardReport] = []
+    spot: bool = msgspec.field(name="reclaimable", default=False)
+    token: int = msgspec.field(name="epoch", default=0)
+    evict_in_s: float | None = msgspec.field(name="evictInS", default=None)
+    tasks: list[TaskReport] = msgspec.field(name="shards", default_factory=list)
 
 
 _decoder = msgspec.msgpack.Decoder(Report)
 
 
 def parse_report(body: bytes) -> Report:
+    """Decode a worker's report, or raise BadReport."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, ValueError) as error:
         raise BadReport(str(error)) from None
 
 
-def start(shard: str, try_no: int) -> dict[str, Any]:
-    return {"verb": "start", "shard": shard, "tryNo": try_no}
+def start_command(task_id: str, attempt_number: int) -> dict[str, Any]:
+    """Start a task; without effect while the worker holds this attempt in any state."""
+    return {"verb": "start", "shard": task_id, "tryNo": attempt_number}
 
 
-def halt(shard: str, try_no: int, wind_down_s: float) -> dict[str, Any]:
-    return {"verb": "halt", "shard": shard, "tryNo": try_no, "windDownS": wind_down_s}
+def stop_command(task_id: str, attempt_number: int, wind_down_s: float) -> dict[str, Any]:
+    """Stop a task; it saves if the wind-down time allows."""
+    return {"verb": "halt", "shard": task_id, "tryNo": attempt_number, "windDownS": wind_down_s}
 
 
-def clear(shard: str, try_no: int) -> dict[str, Any]:
-    return {"verb": "clear", "shard": shard, "tryNo": try_no}
+def clear_command(task_id: str, attempt_number: int) -> dict[str, Any]:
+    """Remove an exited task from the reports."""
+    return {"verb": "clear", "shard": task_id, "tryNo": attempt_number}
--- a/sorrelsill/workers/push.py
+++ b/sorrelsill/workers/push.py
@@ -20,7 +20,7 @@
 from sorrelsill.workers.messages import BadReport, parse_report
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.ledger import Attempt, Host, Ledger
+    from sorrelsill.workers.cluster_state import Attempt, ClusterState, Machine
 
 log = logging.getLogger(__name__)
 
@@ -39,7 +39,7 @@
         self._fresh = fresh
         self._clients: OrderedDict[str, Client] = OrderedDict()
         self._busy: set[str] = set()
-        self._greeting = 0
+        self._probing = 0
         self._failed: dict[str, tuple[float, float]] = {}  # machine -> when a call failed, and the pause after it
         self.on_news: Callable[[], None] = lambda: None
 
@@ -52,106 +52,106 @@
         self._clients.move_to_end(addr)
         return client
 
-    def start_due(self, ledger: Ledger, nursery: trio.Nursery) -> None:
+    def start_due(self, cluster: ClusterState, nursery: trio.Nursery) -> None:
         """Start a call for every machine with orders it was not sent yet."""
         now = trio.current_time()
         if not self._valid():
             return
         fresh = self._fresh()
-        for host in list(ledger.talk.values()):
+        for machine in list(cluster.machines_with_pending_commands.values()):
             if len(self._busy) >= C.PUSH_AT_ONCE:
                 return
-            if host.name in self._busy or self._pausing(host.name, now, host.seen_at):
+            if machine.name in self._busy or self._pausing(machine.name, now, machine.seen_at):
                 continue
             # What is overdue gets its orders with its next report. Found by reasoning: some fifty machines that hang
             # at once took all calls for two seconds each, and the healthy ones waited for their reports.
             if (
-                host.overdue
-                or host.lost
-                or not host.synced
-                or not _usable(host.addr)
-                or not ledger.has_direct(host, True)
+                machine.overdue
+                or machine.lost
+                or not machine.synced
+                or not _usable(machine.addr)
+                or not cluster.has_direct_commands(machine, True)
             ):
-                del ledger.talk[host.name]
-            elif ledger.has_direct(host, fresh):
+                del cluster.machines_with_pending_commands[machine.name]
+            elif cluster.has_direct_commands(machine, fresh):
                 # What becomes due while the call is under way puts the machine back among these.
-                del ledger.talk[host.name]
-                self._busy.add(host.name)
-                nursery.start_soon(self._push, ledger, host)
+                del cluster.machines_with_pending_commands[machine.name]
+                self._busy.add(machine.name)
+                nursery.start_soon(self._push, cluster, machine)
 
-    def greet(self, ledger: Ledger, name: str, addr: str, nursery: trio.Nursery) -> None:
+    def probe(self, cluster: ClusterState, name: str, addr: str, nursery: trio.Nursery) -> None:
         """Show our token to a machine of the roster: its answer is its state, with nothing older to come."""
-        if self._greeting >= C.GREET_AT_ONCE or name in self._busy:
+        if self._probing >= C.PROBES_AT_ONCE or name in self._busy:
             return
         if self._pausing(name, trio.current_time(), float("-inf")) or not _usable(addr):
             return
         self._busy.add(name)
-        self._greeting += 1
-        nursery.start_soon(self._greet, ledger, name, addr)
+        self._probing += 1
+        nursery.start_soon(self._probe, cluster, name, addr)
 
-    async def _push(self, ledger: Ledger, host: Host) -> None:
+    async def _push(self, cluster: ClusterState, machine: Machine) -> None:
         try:
-            if not self._valid() or host.lost:
+            if not self._valid() or machine.lost:
                 return
-            orders, attempts = ledger.take_direct(host, self._fresh())
-            if not orders:
+            commands, attempts = cluster.take_direct_commands(machine, self._fresh())
+            if not commands:
                 return
-            body = _encode({"epoch": ledger.term, "tenure": host.tenure, "orders": orders})
+            body = _encode({"epoch": cluster.term, "tenure": machine.session, "orders": commands})
             try:
-                status, raw = await self._client(host.addr).request(
+                status, raw = await self._client(machine.addr).request(
                     "POST", "/commands", body, C.PUSH_TIMEOUT_S, may_send=self._valid_for(attempts)
                 )
             except NotSent as error:
-                ledger.direct_answered(attempts)
-                self._later(host.name, str(error))
+                cluster.direct_commands_answered(attempts)
+                self._later(machine.name, str(error))
                 return
             except NoAnswer as error:
                 # The attempts stay loose, and the machine gets no more work before it has shown that it hears.
-                host.hears = False
-                ledger.look(host)
-                self._later(host.name, str(error))
+                machine.reachable = False
+                cluster.reindex(machine)
+                self._later(machine.name, str(error))
                 return
             if status in (200, 400, 409):
-                self._failed.pop(host.name, None)
-                ledger.direct_answered(attempts)
-                self._take(ledger, raw)
+                self._failed.pop(machine.name, None)
+                cluster.direct_commands_answered(attempts)
+                self._take(cluster, raw)
             else:
-                self._later(host.name, f"status {status}")
+                self._later(machine.name, f"status {status}")
         finally:
-            self._busy.discard(host.name)
-            if ledger.has_direct(host, True):
-                ledger.talk[host.name] = host
+            self._busy.discard(machine.name)
+            if cluster.has_direct_commands(machine, True):
+                cluster.machines_with_pending_commands[machine.name] = machine
 
     def _valid_for(self, starts: list[Attempt]) -> Callable[[], bool]:
         """Whether commands may still go out: with starts only while the view of the jobs is fresh as well."""
         return lambda: self._valid() and (not starts or self._fresh())
 
-    async def _greet(self, ledger: Ledger, name: str, addr: str) -> None:
+    async def _probe(self, cluster: ClusterState, name: str, addr: str) -> None:
         try:
             status, raw = await self._client(addr).request("GET", "/status", b"", C.PUSH_TIMEOUT_S)
             if status != 200 or not self._valid():
                 return
-            tenure = parse_report(raw).tenure
-            body = _encode({"epoch": ledger.term, "tenure": tenure, "orders": []})
+            session = parse_report(raw).session
+            body = _encode({"epoch": cluster.term, "tenure": session, "orders": []})
             status, raw = await self._client(addr).request(
                 "POST", "/commands", body, C.PUSH_TIMEOUT_S, may_send=self._valid
             )
             if status in (200, 409):
-                self._take(ledger, raw)
+                self._take(cluster, raw)
         except (NotSent, NoAnswer, BadReport) as error:
             self._later(name, str(error))
         finally:
             self._busy.discard(name)
-            self._greeting -= 1
+            self._probing -= 1
 
-    def _take(self, ledger: Ledger, raw: bytes) -> None:
+    def _take(self, cluster: ClusterState, raw: bytes) -> None:
         try:
             report = parse_report(raw)
         except BadReport as error:
             log.info("a worker's answer: %s", error)
             return
         if self._valid():
-            ledger.on_answer(report, trio.current_time())
+            cluster.on_answer(report, trio.current_time())
             self.on_news()
 
     def _pausing(self, name: str, now: float, seen_at: float) -> bool:
--- /dev/null
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -0,0 +1,101 @@
+"""Reports in the ledger: which machines may be given work."""
+
+from sorrelsill.fleet import Catalog, MachineType
+from sorrelsill.workers import ClusterState, Machine, Report
+
+KIND = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
+
+
+def ledger_of_one() -> tuple[ClusterState, Machine]:
+    cluster = ClusterState(7, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
+    for sequence_number, epoch in ((1, 0), (2, 7)):
+        report(cluster, sequence_number, float(sequence_number), epoch=epoch)
+    machine = cluster.machines["m1"]
+    machine.rostered = True
+    return cluster, machine
+
+
+def report(cluster: ClusterState, sequence_number: int, now: float, session: int = 1, epoch: int = 7) -> object:
+    return cluster.on_report(Report("m1", session, sequence_number, "c8", "a", "10.0.0.9:9000", False, epoch), now)
+
+
+def test_a_report_out_of_step_does_not_make_a_machine_stand_aside() -> None:
+    """Found on a measured day: at each crossing of a report with a direct answer it got no work for an interval."""
+    cluster, machine = ledger_of_one()
+    assert machine.usable()
+    report(cluster, 9, 3.0)
+    assert machine.usable()
+
+
+def test_a_machine_that_never_follows_on_our_answers_stands_aside() -> None:
+    cluster, machine = ledger_of_one()
+    for turn in range(1, 4):  # it goes from one controller to the next, and comes by again
+        report(cluster, 2 + 3 * turn, 2.0 + 5.0 * turn)
+    assert not machine.usable()
+    report(cluster, 12, 18.0)
+    assert machine.usable()
+
+
+def test_a_new_session_gets_work_once_it_has_shown_that_it_hears() -> None:
+    """Our token may be known to it from the session before, so showing that proves nothing."""
+    cluster, machine = ledger_of_one()
+    report(cluster, 3, 14.0, session=2)
+    assert not machine.usable()
+    report(cluster, 4, 15.0, session=2)
+    assert machine.usable()
+
+
+def test_reports_of_a_roster_machine_that_shows_no_token_are_answered_only_for_a_while() -> None:
+    cluster = ClusterState(7, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
+    cluster.expect_machines([("m1", {"f": "c8", "a": "10.0.0.9:9000"})])
+    assert report(cluster, 1, 1.0, epoch=3) is not None
+    assert report(cluster, 4, 5.0, epoch=3) is not None
+    assert report(cluster, 7, 9.0, epoch=3) is None
+    assert not cluster.expire_leases(15.0) and cluster.unconfirmed
+    assert [h.name for h in cluster.expire_leases(17.0)] == ["m1"] and not cluster.unconfirmed
+
+
+def answer(cluster: ClusterState, sequence_number: int, now: float, session: int = 1) -> None:
+    """Of a direct call."""
+    cluster.on_answer(Report("m1", session, sequence_number, "c8", "a", "10.0.0.9:9000", False, 7), now)
+
+
+def greeted() -> tuple[ClusterState, Machine]:
+    """A machine of the roster that a new leader reached directly and that has not reported yet."""
+    cluster = ClusterState(7, 0.0, Catalog({"c8": KIND}), 11.5, 2.7, overdue_s=2.25)
+    cluster.expect_machines([("m1", {"f": "c8", "a": "10.0.0.9:9000"})])
+    answer(cluster, 1, 1.0)
+    return cluster, cluster.machines["m1"]
+
+
+def test_a_session_that_was_only_heard_of_directly_has_a_whole_lease_of_its_own() -> None:
+    """Found on a day of our own (ran_twice): a machine that reached nobody was given work directly in its second
+    session, and taken for lost a lease after the first answer, which came out of its first."""
+    cluster, machine = greeted()
+    answer(cluster, 9, 8.0, session=2)
+    assert not cluster.expire_leases(13.0) and not machine.lost
+    assert cluster.expire_leases(20.0) == [machine]
+
+
+def test_a_machine_that_answers_but_does_not_report_gets_no_work() -> None:
+    cluster, machine = greeted()
+    cluster.expire_leases(3.0)
+    assert machine.usable(), "after a takeover it may still be on its way here"
+    answer(cluster, 2, 7.0)
+    cluster.expire_leases(7.5)
+    assert not machine.usable()
+    report(cluster, 3, 8.0)
+    cluster.expire_leases(8.1)
+    assert machine.usable()
+
+
+def test_a_machine_whose_lease_ran_out_while_it_answered_gets_no_work() -> None:
+    cluster, machine = greeted()
+    answer(cluster, 2, 3.0, session=2)
+    cluster.expire_leases(3.1)
+    assert not machine.usable()
+    report(cluster, 3, 4.0, session=2)
+    report(cluster, 4, 5.0, session=2)
+    machine.rostered = True
+    cluster.expire_leases(5.1)
+    assert machine.usable()
