--- a/sorrelsill/stories/test_bad_nights.py
+++ b/tests/scenarios/test_bad_nights.py
@@ -6,8 +6,8 @@
 
 from sorrelsill import constants as C
 from sorrelsill.settings import Team
-from sorrelsill.standins import World, job, story
-from sorrelsill.standins.world import LABELS, LEASE_S
+from tests.simulation import World, job, story
+from tests.simulation.world import LABELS, LEASE_S
 
 from .test_failures import service
 
@@ -29,10 +29,10 @@
         note("view loaded", any(node.view.loaded for node in up))
         label = world.leader()
         note("leading", label is not None)
-        ledger = world.nodes[label].ledger if label is not None else None
-        note("machines confirmed", ledger is not None and not ledger.unheard and bool(ledger.ready))
+        cluster = world.nodes[label].cluster if label is not None else None
+        note("machines confirmed", cluster is not None and not cluster.unconfirmed and bool(cluster.ready))
         note("first start", len(world.starts) > starts_before)
-        note("last service up", all(len(world.running(uid)) == 3 for uid in services))
+        note("last service up", all(len(world.running(job_id)) == 3 for job_id in services))
         await trio.sleep(0.01)
     return steps
 
@@ -44,9 +44,9 @@
     async def tell(world: World) -> None:
         await world.until_leader()
         services = [f"run-s{number}" for number in range(4)]
-        for uid in services:
-            await world.submit(service(uid, shards=3))
-        await world.until(lambda: all(len(world.running(uid)) == 3 for uid in services), 90)
+        for job_id in services:
+            await world.submit(service(job_id, shards=3))
+        await world.until(lambda: all(len(world.running(job_id)) == 3 for job_id in services), 90)
         await world.submit(job("run-a", shards=8, expectedRunS=20.0))
         await trio.sleep(3)
         for label in LABELS:
@@ -81,17 +81,17 @@
     story(tell)
 
 
-async def _ask_soon(world: World, uids: list[str]) -> None:
+async def _ask_soon(world: World, job_ids: list[str]) -> None:
     """Users are answered long before anybody leads."""
     await trio.sleep(0.5)
     assert world.leader() is None
-    for uid in uids:
-        status, _ = await world.ask("n2", "GET", f"/v2/runs/{uid}")
-        assert status == 200, f"{uid} is answered as soon as a controller is up"
+    for job_id in job_ids:
+        status, _ = await world.ask("n2", "GET", f"/v2/runs/{job_id}")
+        assert status == 200, f"{job_id} is answered as soon as a controller is up"
     assert (await world.ask("n2", "GET", "/v2/runs/run-never"))[0] == 404
-    uid = "run-early"
-    world.specs[uid] = job(uid, shards=1)
-    status, _ = await world.ask("n2", "POST", "/v2/runs", world.specs[uid])
+    job_id = "run-early"
+    world.specs[job_id] = job(job_id, shards=1)
+    status, _ = await world.ask("n2", "POST", "/v2/runs", world.specs[job_id])
     assert status in (201, 503), "no machine types are known yet, or they are on record"
 
 
@@ -145,19 +145,19 @@
 
     async def tell(world: World) -> None:
         await world.until_leader()
-        uids = [f"run-{number}" for number in range(10)]
-        for uid in uids:
-            await world.submit(job(uid, shards=2, vcpus=1.0, expectedRunS=200.0))
-        await world.until(lambda: all(len(world.running(uid)) == 2 for uid in uids), 60)
+        job_ids = [f"run-{number}" for number in range(10)]
+        for job_id in job_ids:
+            await world.submit(job(job_id, shards=2, vcpus=1.0, expectedRunS=200.0))
+        await world.until(lambda: all(len(world.running(job_id)) == 2 for job_id in job_ids), 60)
         led, world.request_cost_s = len(world.led), 0.002
         reads_before = len(world.store.requests)
         statuses: dict[int, int] = {}
         latencies: list[float] = []
 
         async def poll(number: int) -> None:
-            uid = uids[number % 10] if number % 5 else f"run-never-{number}"
+            job_id = job_ids[number % 10] if number % 5 else f"run-never-{number}"
             began = trio.current_time()
-            status, _ = await world.ask(LABELS[number % 3], "GET", f"/v2/runs/{uid}")
+            status, _ = await world.ask(LABELS[number % 3], "GET", f"/v2/runs/{job_id}")
             statuses[status] = statuses.get(status, 0) + 1
             latencies.append(trio.current_time() - began)
 
@@ -166,16 +166,16 @@
                 nursery.start_soon(poll, number)
                 if number % 900 == 450:
                     began = trio.current_time()
-                    uid = f"run-new-{number}"
-                    assert await world.submit(job(uid, shards=1, vcpus=1.0, expectedRunS=1.0)) in (200, 201)
+                    job_id = f"run-new-{number}"
+                    assert await world.submit(job(job_id, shards=1, vcpus=1.0, expectedRunS=1.0)) in (200, 201)
                     assert trio.current_time() - began < 0.3, "a submission keeps its latency"
                     began = trio.current_time()
-                    assert (await world.cancel(uid))["phase"] in ("cancelled", "done")
+                    assert (await world.cancel(job_id))["phase"] in ("cancelled", "done")
                     assert trio.current_time() - began < 0.5, "a cancellation keeps its latency"
                 await trio.sleep(1 / 450)
         spent_s = 9000 / 450
         assert len(world.led) == led, "pings keep their time"
-        assert all(len(world.running(uid)) == 2 for uid in uids), "reports are answered"
+        assert all(len(world.running(job_id)) == 2 for job_id in job_ids), "reports are answered"
         assert set(statuses) <= {200, 404, 503}, statuses
         assert statuses[200] > 5000, statuses
         assert max(latencies) < 1.6, "answered or refused within a user's patience"
@@ -195,17 +195,17 @@
         follower = next(label for label in LABELS if label != world.leader())
         at_once = {"run-a": 0, "run-never": 0}
 
-        async def poll(uid: str) -> None:
+        async def poll(job_id: str) -> None:
             began = trio.current_time()
-            status, _ = await world.ask(follower, "GET", f"/v2/runs/{uid}")
+            status, _ = await world.ask(follower, "GET", f"/v2/runs/{job_id}")
             assert status in (200, 404, 503)
-            at_once[uid] += status == 503 and trio.current_time() - began < 0.3
+            at_once[job_id] += status == 503 and trio.current_time() - began < 0.3
 
-        for uid, path in (("run-a", "/follow"), ("run-never", "/kv/")):
+        for job_id, path in (("run-a", "/follow"), ("run-never", "/kv/")):
             world.net.hold_request = lambda src, dst, r, path=path: src == follower and r.path.startswith(path)  # type: ignore[misc]
             async with trio.open_nursery() as nursery:
                 for _ in range(3 * C.POLL_QUEUE):
-                    nursery.start_soon(poll, uid)
+                    nursery.start_soon(poll, job_id)
             world.net.hold_request = lambda src, dst, request: False
             world.net.release()
             await trio.sleep(5)
@@ -247,14 +247,21 @@
         )
         for number in range(60):
             await world.submit(
-                job(f"run-w{number}", owner="guests", rank="best_effort", shards=1, vcpus=0.5, memoryGb=0.5,
-                    expectedRunS=10.0)
-            )  # fmt: skip
+                job(
+                    f"run-w{number}",
+                    owner="guests",
+                    rank="best_effort",
+                    shards=1,
+                    vcpus=0.5,
+                    memoryGb=0.5,
+                    expectedRunS=10.0,
+                )
+            )
             if number % 20 == 0:
-                uid = f"run-d{number}"
-                await world.submit(job(uid, shards=4, vcpus=2.0, expectedRunS=8.0, dueS=60.0))
+                job_id = f"run-d{number}"
+                await world.submit(job(job_id, shards=4, vcpus=2.0, expectedRunS=8.0, dueS=60.0))
                 began = trio.current_time()
-                await world.until_phase(uid, "done", 45)
+                await world.until_phase(job_id, "done", 45)
                 assert trio.current_time() - began < 45
         await world.until_phase("run-huge", "done", 240)
         await world.calm()
@@ -266,7 +273,7 @@
     """Tasks of these jobs fail on every machine, and every task on these machines."""
 
     def on(name: str) -> None:
-        world.workers[name].fail = lambda shard: shard.rpartition("/")[0] in mistaken or name in faulty
+        world.workers[name].fail = lambda task_id: task_id.rpartition("/")[0] in mistaken or name in faulty
 
     for name in list(world.workers):
         on(name)
@@ -279,21 +286,21 @@
         fail_jobs_with_a_mistake(world, mistaken, set())
         label = await world.until_leader()
         await world.submit(job("run-good", shards=40, vcpus=1.0, expectedRunS=8.0))
-        for uid in sorted(mistaken):
-            await world.submit(job(uid, shards=12, vcpus=1.0, expectedRunS=8.0))
+        for job_id in sorted(mistaken):
+            await world.submit(job(job_id, shards=12, vcpus=1.0, expectedRunS=8.0))
         since = trio.current_time() + 10
         await world.until_phase("run-good", "done", 150)
         await trio.sleep(60)
-        ledger = world.nodes[label].ledger
-        assert ledger is not None
-        assert not any(host.faulty for host in ledger.hosts.values())
-        assert all(not ledger.jobs[uid].failures.accused for uid in mistaken)
-        late = [shard for at, shard, _ in world.starts if at > since and shard.rpartition("/")[0] in mistaken]
+        cluster = world.nodes[label].cluster
+        assert cluster is not None
+        assert not any(machine.faulty for machine in cluster.machines.values())
+        assert all(not cluster.jobs[job_id].failures.accused for job_id in mistaken)
+        late = [task_id for at, task_id, _ in world.starts if at > since and task_id.rpartition("/")[0] in mistaken]
         assert len(late) <= 8 * len(mistaken), f"{len(late)} tries in {trio.current_time() - since:.0f} s"
         status, answer = await world.ask(label, "GET", "/v2/runs/run-bad0/why")
         assert status == 200 and any("next try in" in note for note in answer["why"]), answer
-        for uid in sorted(mistaken):
-            assert (await world.cancel(uid))["phase"] == "cancelled"
+        for job_id in sorted(mistaken):
+            assert (await world.cancel(job_id))["phase"] == "cancelled"
         await world.calm()
 
     story(tell)
--- a/sorrelsill/stories/test_cancelled.py
+++ b/tests/scenarios/test_cancelled.py
@@ -7,19 +7,19 @@
 
 from sorrelsill import constants as C
 from sorrelsill.http import Request
-from sorrelsill.standins import World, job, story
-from sorrelsill.standins.world import CANCEL_S, LABELS, LEASE_S
+from tests.simulation import World, job, story
+from tests.simulation.world import CANCEL_S, LABELS, LEASE_S
 
 
-def service(uid: str, **fields: object) -> dict[str, object]:
-    return job(uid, **{"shape": "standing", "expectedRunS": 0.0, **fields})
+def service(job_id: str, **fields: object) -> dict[str, object]:
+    return job(job_id, **{"shape": "standing", "expectedRunS": 0.0, **fields})
 
 
 async def two_services(world: World, *cancelled: str) -> str:
     """`run-s`, which stays, and those to be cancelled. Returns the leader."""
-    for uid in ("run-s", *cancelled):
-        await world.submit(service(uid, vcpus=1.0))
-    await world.until(lambda: all(len(world.running(uid)) == 2 for uid in ("run-s", *cancelled)))
+    for job_id in ("run-s", *cancelled):
+        await world.submit(service(job_id, vcpus=1.0))
+    await world.until(lambda: all(len(world.running(job_id)) == 2 for job_id in ("run-s", *cancelled)))
     return await world.until_leader()
 
 
@@ -36,8 +36,8 @@
     world.net.refused = {(name, other) for name in world.workers for other in others(label)}
 
 
-async def cancel_at(world: World, label: str, uid: str) -> None:
-    status, answer = await world.ask(label, "POST", f"/v2/runs/{uid}/cancel")
+async def cancel_at(world: World, label: str, job_id: str) -> None:
+    status, answer = await world.ask(label, "POST", f"/v2/runs/{job_id}/cancel")
     assert status == 200 and answer["phase"] == "cancelled"
 
 
@@ -243,11 +243,11 @@
         old = await two_services(world, *names)
         world.store.refused.add(old)
         await trio.sleep(0.2)
-        for uid in names:
-            await cancel_at(world, others(old)[0], uid)
+        for job_id in names:
+            await cancel_at(world, others(old)[0], job_id)
         world.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
-        assert not any(world.running(uid) for uid in names)
+        assert not any(world.running(job_id) for job_id in names)
 
     story(tell)
 
--- a/sorrelsill/stories/test_failures.py
+++ b/tests/scenarios/test_failures.py
@@ -5,12 +5,12 @@
 
 from sorrelsill.http import Request
 from sorrelsill.settings import Team
-from sorrelsill.standins import World, job, story
 from sorrelsill.store import roster_key
+from tests.simulation import World, job, story
 
 
-def service(uid: str, **fields: object) -> dict[str, object]:
-    return job(uid, **{"shape": "standing", "expectedRunS": 0.0, **fields})
+def service(job_id: str, **fields: object) -> dict[str, object]:
+    return job(job_id, **{"shape": "standing", "expectedRunS": 0.0, **fields})
 
 
 def test_a_leader_crash_costs_no_running_task() -> None:
@@ -140,10 +140,10 @@
         until = trio.current_time() + 4
         for node in world.nodes.values():
             node.elector.bound_until = until
-            node.standstill.on_bound(until)
+            node.degraded_mode.on_bound(until)
         await world.submit(job("run-1"))
         await world.until_phase("run-1", "done")
-        assert all(at >= until for at, shard, _ in world.starts if shard.startswith("run-1/"))
+        assert all(at >= until for at, task_id, _ in world.starts if task_id.startswith("run-1/"))
 
     story(tell)
 
@@ -307,7 +307,7 @@
         await world.until(lambda: world.leader() not in (None, old), 15)
         await trio.sleep(5)
         assert (await world.ask(old, "GET", "/ready"))[0] == 503
-        assert not world.nodes[old].standstill.active()
+        assert not world.nodes[old].degraded_mode.active()
         await world.submit(job("run-n"))
         await world.until_phase("run-n", "done")
         assert len(world.running("run-s")) == 4
@@ -346,10 +346,10 @@
         term = node.elector.term
         await trio.sleep(5)
         # As after a standstill of the process: no report was taken in and no ping went out meanwhile.
-        ledger = node.ledger
-        assert ledger is not None
+        cluster = node.cluster
+        assert cluster is not None
         now = trio.current_time()
-        ledger.heard_at, node.elector._good_ping = now - 3.5, now - 3.5
+        cluster.heard_at, node.elector._good_ping = now - 3.5, now - 3.5
         await trio.sleep(3)
         assert node.elector.term == term and node.elector.valid()
 
@@ -401,8 +401,13 @@
         name = world.running("run-s")[0][1]
         world.cut_machine(name)
         began = trio.current_time()
-        await world.until(lambda: len({h for _, h in world.running("run-s")} - {name}) > 0 and
-                          len([1 for _, h in world.running("run-s") if h != name]) == 2, 60)  # fmt: skip
+        await world.until(
+            lambda: (
+                len({h for _, h in world.running("run-s")} - {name}) > 0
+                and len([1 for _, h in world.running("run-s") if h != name]) == 2
+            ),
+            60,
+        )
         assert trio.current_time() - began > 10
         world.net.heal()  # late reports of the old session, late orders of ours
         await trio.sleep(30)
@@ -418,8 +423,8 @@
         name = world.running("run-a")[0][1]
         worker = world.workers[name]
         worker.hung = True
-        for shard in list(worker.on):
-            worker._put(shard, False)  # a hung machine does not execute its tasks
+        for task_id in list(worker.on):
+            worker._put(task_id, False)  # a hung machine does not execute its tasks
         await trio.sleep(25)
         worker.hung = False
         await world.until_phase("run-a", "done")
--- a/sorrelsill/stories/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -8,23 +8,23 @@
 import trio.testing
 
 from sorrelsill import constants as C
-from sorrelsill.fleet import Catalog, Flavour
+from sorrelsill.fleet import Catalog, MachineType
 from sorrelsill.http import Client, MaySend, NoAnswer, always
-from sorrelsill.jobs import ShardSet, Spec, parse_spec
+from sorrelsill.jobs import JobSpec, TaskSet, parse_spec
 from sorrelsill.placement import Placer
 from sorrelsill.settings import Objective, Team
-from sorrelsill.standins import count_calls, job
-from sorrelsill.workers import Ledger, Pusher, Report
-from sorrelsill.workers.messages import ShardReport
+from sorrelsill.workers import ClusterState, Pusher, Report
+from sorrelsill.workers.messages import TaskReport
+from tests.simulation import count_calls, job
 
 MACHINES = 930  # the largest fleet of the site files and half as many again
-KIND = Flavour("std", 16.0, 0.0, 64.0, 40.0, 0.3, 1.0, 0.4, 30.0, ("a", "b"))
+KIND = MachineType("std", 16.0, 0.0, 64.0, 40.0, 0.3, 1.0, 0.4, 30.0, ("a", "b"))
 TERM, W, VALID, OVERDUE = 7, 14.5, 3.4, 4.2
 TEAMS = [Team("red", cpus_max=600.0), Team("blue")]
 
 
-def work(uid: str, **fields: object) -> Spec:
-    return parse_spec(job(uid, **{"vcpus": 1.0, "memoryGb": 3.0, "reclaimable": True, **fields}))
+def work(job_id: str, **fields: object) -> JobSpec:
+    return parse_spec(job(job_id, **{"vcpus": 1.0, "memoryGb": 3.0, "reclaimable": True, **fields}))
 
 
 class Fleet:
@@ -32,14 +32,14 @@
 
     def __init__(self, machines: int, roster: bool = False) -> None:
         self.now = 0.0
-        self.ledger = Ledger(TERM, 0.0, Catalog({"std": KIND}), W, VALID, OVERDUE)
+        self.cluster = ClusterState(TERM, 0.0, Catalog({"std": KIND}), W, VALID, OVERDUE)
         self.names = [f"m-{n:06d}" for n in range(machines)]
-        self.serial = dict.fromkeys(self.names, 0)
+        self.sequence_number = dict.fromkeys(self.names, 0)
         self.tasks: dict[str, dict[tuple[str, int], str]] = {n: {} for n in self.names}
         self.placer = Placer(TEAMS, [Objective("finished", "w", 60.0)], random.Random(1), C.SAMPLE, True)
         if roster:
             entries = [(n, {"f": "std", "a": self.addr(n), "z": self.zone(n), "s": self.spot(n)}) for n in self.names]
-            self.ledger.expect(entries)
+            self.cluster.expect_machines(entries)
 
     def zone(self, name: str) -> str:
         return "ab"[self.names.index(name) % 2]
@@ -52,30 +52,38 @@
         return f"10.1.{number // 250}.{number % 250}:9000"
 
     def report(self, name: str, epoch: int = TERM) -> None:
-        self.serial[name] += 1
-        shards = [ShardReport(s, n, phase) for (s, n), phase in self.tasks[name].items()]
+        self.sequence_number[name] += 1
+        shards = [TaskReport(s, n, phase) for (s, n), phase in self.tasks[name].items()]
         report = Report(
-            name, 1, self.serial[name], "std", self.zone(name), self.addr(name), self.spot(name), epoch, shards=shards
-        )  # fmt: skip
-        orders = self.ledger.on_report(report, self.now)
-        for order in orders or []:
+            name,
+            1,
+            self.sequence_number[name],
+            "std",
+            self.zone(name),
+            self.addr(name),
+            self.spot(name),
+            epoch,
+            tasks=shards,
+        )
+        commands = self.cluster.on_report(report, self.now)
+        for order in commands or []:
             if order["verb"] == "start":
                 self.tasks[name][order["shard"], order["tryNo"]] = "running"
 
     def all_report(self, names: list[str] | None = None) -> None:
         for name in names if names is not None else self.names:
             self.report(name)
-            host = self.ledger.hosts[name]
-            if host.synced and not host.rostered:
-                host.rostered = True
-                self.ledger.look(host)
+            machine = self.cluster.machines[name]
+            if machine.synced and not machine.rostered:
+                machine.rostered = True
+                self.cluster.reindex(machine)
 
-    def add(self, spec: Spec, old: bool = False) -> None:
-        self.ledger.add_job(spec, ShardSet(spec.shards), 1, old, self.now, [])
+    def add(self, spec: JobSpec, old: bool = False) -> None:
+        self.cluster.add_job(spec, TaskSet(spec.shards), 1, old, self.now, [])
 
     def round(self) -> None:
-        self.ledger.sweep(self.now)
-        while not self.placer.round(self.ledger, self.now, lambda: self.now, 1.0):
+        self.cluster.expire_leases(self.now)
+        while not self.placer.round(self.cluster, self.now, lambda: self.now, 1.0):
             pass
 
     def fill(self, tasks_each: int) -> None:
@@ -112,15 +120,15 @@
     while fleet.now < W - 1:
         fleet.now += 1.0
         fleet.all_report(fleet.names[400:])
-        assert not fleet.ledger.sweep(fleet.now)
+        assert not fleet.cluster.expire_leases(fleet.now)
     fleet.now += 2.0
     most, lost = 0, 0
-    while batch := fleet.ledger.sweep(fleet.now):
+    while batch := fleet.cluster.expire_leases(fleet.now):
         lost += len(batch)
         most = max(most, sum(len(fleet.tasks[h.name]) for h in batch))
-    assert lost == 400 and most <= C.SWEEP_TASKS + 16
-    assert sum(j.waiting for j in fleet.ledger.jobs.values()) == lost_tasks
-    assert not any(fleet.ledger.hosts[n].attempts or n in fleet.ledger.ready for n in silent)
+    assert lost == 400 and most <= C.EXPIRE_TASKS + 16
+    assert sum(j.waiting for j in fleet.cluster.jobs.values()) == lost_tasks
+    assert not any(fleet.cluster.machines[n].attempts or n in fleet.cluster.ready for n in silent)
 
 
 def test_overdue_machines_get_no_new_work_before_they_report_again() -> None:
@@ -132,10 +140,10 @@
     fleet.all_report(healthy)
     fleet.add(work("run-n", shards=350, owner="blue"))
     fleet.round()
-    bound = fleet.ledger.jobs["run-n"].bound
-    assert len(bound) == 350 and not {a.host.name for a in bound.values()} & set(fleet.names[:50])
+    bound = fleet.cluster.jobs["run-n"].bound
+    assert len(bound) == 350 and not {a.machine.name for a in bound.values()} & set(fleet.names[:50])
     fleet.all_report(fleet.names[:50])
-    assert len(fleet.ledger.ready) == MACHINES
+    assert len(fleet.cluster.ready) == MACHINES
 
 
 def test_machines_not_heard_yet_hold_back_only_what_may_run_on_them() -> None:
@@ -144,41 +152,41 @@
     silent = [n for n in fleet.names if fleet.spot(n)][:50]
     fleet.add(work("run-old", shards=40, owner="red"), old=True)
     fleet.add(work("run-ordinary", shards=40, owner="red", reclaimable=False), old=True)
-    fleet.ledger.expect_over([("red", 20.0, 0.0)])
+    fleet.cluster.expect_ended_jobs([("red", 20.0, 0.0)])
     heard = [n for n in fleet.names if n not in silent]
     fleet.all_report(heard)
     fleet.all_report(heard)
     fleet.add(work("run-new", shards=700, owner="red"))
     fleet.round()
-    jobs = fleet.ledger.jobs
+    jobs = fleet.cluster.jobs
     assert not jobs["run-old"].bound, "its tasks may be running there"
     assert len(jobs["run-ordinary"].bound) == 40, "a spot machine can't hold them"
     assert len(jobs["run-new"].bound) == 600 - 40 - 40 - 20, "all that may be running counts toward the limit"
-    fleet.ledger.expect_over(None)
-    assert fleet.ledger.unseen("red") == (50 * 16.0, 0.0), "and the whole machines if that can't be told"
+    fleet.cluster.expect_ended_jobs(None)
+    assert fleet.cluster.unaccounted("red") == (50 * 16.0, 0.0), "and the whole machines if that can't be told"
 
 
 def test_a_job_that_ends_unseen_still_counts_toward_its_teams_limit() -> None:
     fleet = Fleet(60, roster=True)
     fleet.add(work("run-old", shards=200, owner="red"), old=True)
-    fleet.ledger.expect_over([])
-    assert fleet.ledger.unseen("red") == (200.0, 0.0)
-    fleet.ledger.end_job("run-old")
-    assert fleet.ledger.unseen("red") == (200.0, 0.0) and fleet.ledger.unseen("blue") == (0.0, 0.0)
+    fleet.cluster.expect_ended_jobs([])
+    assert fleet.cluster.unaccounted("red") == (200.0, 0.0)
+    fleet.cluster.end_job("run-old")
+    assert fleet.cluster.unaccounted("red") == (200.0, 0.0) and fleet.cluster.unaccounted("blue") == (0.0, 0.0)
     fleet.now = W + VALID + 1
-    fleet.ledger.sweep(fleet.now)
-    assert not fleet.ledger.unheard and fleet.ledger.unseen("red") == (0.0, 0.0)
+    fleet.cluster.expire_leases(fleet.now)
+    assert not fleet.cluster.unconfirmed and fleet.cluster.unaccounted("red") == (0.0, 0.0)
 
 
 def test_a_damaged_or_older_roster_entry_holds_back_whatever_may_run_there() -> None:
     fleet = Fleet(60)
     for number, entry in enumerate(({"f": "std", "a": "10.1.9.9:9000"}, None, {"f": 7, "z": 7, "s": 7})):
-        fleet.ledger.expect([(f"m-old-{number}", entry)])
+        fleet.cluster.expect_machines([(f"m-old-{number}", entry)])
         fleet.add(work(f"run-{number}", shards=10, owner="red", flavours=["std"], region="a", reclaimable=False), True)
-        assert not fleet.ledger.settled(fleet.ledger.jobs[f"run-{number}"])
-    assert fleet.ledger.unseen("red")[0] > 1000, "of a type that is not known the size is not known either"
-    fleet.ledger.expect_over([])
-    assert fleet.ledger.unseen("red") == (30.0, 0.0)
+        assert not fleet.cluster.settled(fleet.cluster.jobs[f"run-{number}"])
+    assert fleet.cluster.unaccounted("red")[0] > 1000, "of a type that is not known the size is not known either"
+    fleet.cluster.expect_ended_jobs([])
+    assert fleet.cluster.unaccounted("red") == (30.0, 0.0)
 
 
 class _Silent(Client):
@@ -207,15 +215,15 @@
         pusher = Pusher(client, lambda: True, lambda: True, 400)
         async with trio.open_nursery() as nursery:
             for _ in range(600):
-                for name, addr in fleet.ledger.unheard_addr.items():
-                    pusher.greet(fleet.ledger, name, addr, nursery)
-                assert len(pusher._busy) <= C.GREET_AT_ONCE < C.PUSH_AT_ONCE
+                for name, addr in fleet.cluster.unconfirmed_addresses.items():
+                    pusher.probe(fleet.cluster, name, addr, nursery)
+                assert len(pusher._busy) <= C.PROBES_AT_ONCE < C.PUSH_AT_ONCE
                 await trio.sleep(0.1)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
     early, late = (sum(1 for t in asked if a <= t < a + 15) for a in (0, 45))
-    assert early >= 100 and late <= C.GREET_AT_ONCE * 15 / C.PUSH_TIMEOUT_S
+    assert early >= 100 and late <= C.PROBES_AT_ONCE * 15 / C.PUSH_TIMEOUT_S
     assert len(asked) <= 300 * 5
 
 
@@ -243,10 +251,10 @@
         for number in range(jobs):
             view.apply(job_key(f"run-{number}"), {"n": 0}, number + 1, True)
             view.apply(chunk_key(f"run-{number}", 0), "", number + 1, True)
-        found: Callable[[], object] = lambda: [view.chunks(uid) for uid, _, _ in view.jobs()]  # noqa: E731
+        found: Callable[[], object] = lambda: [view.chunks(job_id) for job_id, _, _ in view.jobs()]  # noqa: E731
         steps = 0
-        for uid, _, _ in view.jobs():
-            steps += len(view._chunk_keys[uid])
+        for job_id, _, _ in view.jobs():
+            steps += len(view._chunk_keys[job_id])
         assert steps == jobs
         return count_calls(found) / jobs
 
--- a/sorrelsill/stories/test_frozen.py
+++ b/tests/scenarios/test_frozen.py
@@ -8,8 +8,8 @@
 
 from sorrelsill.http import Request
 from sorrelsill.leadership.elector import Watchdog
-from sorrelsill.standins import World, job, story
-from sorrelsill.standins.world import LABELS
+from tests.simulation import World, job, story
+from tests.simulation.world import LABELS
 
 from .test_failures import service
 
@@ -114,9 +114,9 @@
     async def tell(world: World) -> None:
         leader = await world.until_leader()
         other, third = (label for label in LABELS if label != leader)
-        uids = [f"run-{number}" for number in range(4)]
-        for uid in uids:
-            await world.submit(job(uid, shards=1, vcpus=1.0, expectedRunS=60.0, sizeGb=0.0))
+        job_ids = [f"run-{number}" for number in range(4)]
+        for job_id in job_ids:
+            await world.submit(job(job_id, shards=1, vcpus=1.0, expectedRunS=60.0, sizeGb=0.0))
         await trio.sleep(2)
         frozen: list[float] = []
 
@@ -127,14 +127,14 @@
 
         world.net.sent = hook
         async with trio.open_nursery() as nursery:
-            for uid in [*uids, "run-new"]:
-                nursery.start_soon(world.ask, other, "GET", f"/v2/runs/{uid}")
+            for job_id in [*job_ids, "run-new"]:
+                nursery.start_soon(world.ask, other, "GET", f"/v2/runs/{job_id}")
             world.specs["run-new"] = job("run-new", shards=1, expectedRunS=60.0)
             nursery.start_soon(world.ask, other, "POST", "/v2/runs", world.specs["run-new"])
-            nursery.start_soon(world.ask, other, "POST", "/v2/runs", world.specs[uids[0]])
+            nursery.start_soon(world.ask, other, "POST", "/v2/runs", world.specs[job_ids[0]])
             await world.until(lambda: bool(frozen), 10)
-            for uid in uids:
-                answer = (await world.ask(third, "POST", f"/v2/runs/{uid}/cancel"))[1]
+            for job_id in job_ids:
+                answer = (await world.ask(third, "POST", f"/v2/runs/{job_id}/cancel"))[1]
                 assert answer["phase"] == "cancelled"
             await world.ask(third, "POST", "/v2/runs", world.specs["run-new"])
             assert world.frozen(other)
--- a/sorrelsill/stories/test_groups.py
+++ b/tests/scenarios/test_groups.py
@@ -7,7 +7,7 @@
 
 from sorrelsill import constants as C
 from sorrelsill.settings import Team
-from sorrelsill.standins import World, job, story
+from tests.simulation import World, job, story
 
 
 def group(name: str, **fields: Any) -> dict[str, Any]:
@@ -19,16 +19,16 @@
     return group(name, **{"snapshotEveryS": 8.0, "snapshotCostS": 2.0, "expectedRunS": 40.0, **fields})
 
 
-async def runs(world: World, uid: str, limit: float = 60.0) -> list[str]:
+async def runs(world: World, job_id: str, limit: float = 60.0) -> list[str]:
     """Until all tasks run, as the workers tell it; the machines they are on."""
-    shards = world.specs[uid]["shards"]
+    shards = world.specs[job_id]["shards"]
 
     def whole() -> bool:
-        tasks = [t for w in world.workers.values() for (s, _), t in w.tasks.items() if s.startswith(uid + "/")]
+        tasks = [t for w in world.workers.values() for (s, _), t in w.tasks.items() if s.startswith(job_id + "/")]
         return sum(1 for t in tasks if t["phase"] == "running") == shards
 
     await world.until(whole, limit)
-    return sorted({machine for _, machine in world.running(uid)})
+    return sorted({machine for _, machine in world.running(job_id)})
 
 
 def test_a_group_runs_as_one_and_needs_the_whole_limit_of_its_team() -> None:
@@ -223,11 +223,11 @@
         machines = await runs(world, "run-g")
         leader = await world.until_leader()
         node = world.nodes[leader]
-        assert node.ledger is not None
+        assert node.cluster is not None
         other = machines[-1]
         world.net.hold_request = lambda src, dst, request: dst == other and src == leader
-        attempt = next(iter(node.ledger.groups["run-g"].bound.values()))
-        node.ledger.stop(attempt, "for the story")
+        attempt = next(iter(node.cluster.groups["run-g"].bound.values()))
+        node.cluster.stop(attempt, "for the story")
         await trio.sleep(1.2)
         world.kill(leader)
         world.net.hold_request = lambda src, dst, request: False
@@ -248,9 +248,9 @@
         world.workers[machines[0]].hung = False
         await world.until(lambda: len(world.gangs.begun) == 2, 60)
         machines = await runs(world, "run-g")
-        deaf = machines[0]
-        world.net.drop_answers = lambda src, dst, request: src == deaf and request.path == "/hello"
-        world.net.hold_request = lambda src, dst, request: dst == deaf
+        hears_no_worker = machines[0]
+        world.net.drop_answers = lambda src, dst, request: src == hears_no_worker and request.path == "/hello"
+        world.net.hold_request = lambda src, dst, request: dst == hears_no_worker
         await trio.sleep(25)
         world.net.drop_answers = lambda src, dst, request: False
         world.net.hold_request = lambda src, dst, request: False
@@ -270,9 +270,13 @@
         await world.until(lambda: "alone" in world.gangs.reasons, 60)
         leader = world.nodes[await world.until_leader()]
         await trio.sleep(2)
-        assert leader.ledger is not None
-        held = leader.ledger.groups["run-g"]
-        assert not held.avoid and not held.failures.failures and not any(h.faulty for h in leader.ledger.hosts.values())
+        assert leader.cluster is not None
+        held = leader.cluster.groups["run-g"]
+        assert (
+            not held.avoid
+            and not held.failures.failures
+            and not any(h.faulty for h in leader.cluster.machines.values())
+        )
         for worker in world.workers.values():
             worker.pull_rate = 1.0
         world.gangs.wait_s = 40.0
@@ -322,41 +326,41 @@
         await world.submit(group("run-g"))
         await trio.sleep(30)
         leader = world.nodes[await world.until_leader()]
-        assert leader.ledger is not None and leader.ledger.next_try() & ((1 << C.TRY_BITS) - 1) < 5
+        assert leader.cluster is not None and leader.cluster.next_attempt_number() & ((1 << C.TRY_BITS) - 1) < 5
 
     story(tell)
 
 
 def test_room_is_kept_ready_for_one_more_group_where_money_counts_but_not_for_ever() -> None:
     """Found on a measured day: arrays filled every gap, and groups that should start within seconds waited for 20."""
-    from sorrelsill.fleet import Catalog, Flavour
-    from sorrelsill.jobs import ShardSet, parse_spec
+    from sorrelsill.fleet import Catalog, MachineType
+    from sorrelsill.jobs import TaskSet, parse_spec
     from sorrelsill.placement import Placer
     from sorrelsill.settings import Objective
-    from sorrelsill.workers import Ledger
+    from sorrelsill.workers import ClusterState
 
-    kind = Flavour("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 5.0, ("a", "b"))
-    ledger = Ledger(1, 0.0, Catalog({"c8": kind}), 11.0, 3.0)
+    kind = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 5.0, ("a", "b"))
+    cluster = ClusterState(1, 0.0, Catalog({"c8": kind}), 11.0, 3.0)
     for number in range(4):
-        host = ledger.host(f"m-{number}", "c8", "ab"[number % 2], False, 0.0)
-        host.synced = host.hears = host.rostered = True
-        ledger.look(host)
+        machine = cluster.machine(f"m-{number}", "c8", "ab"[number % 2], False, 0.0)
+        machine.synced = machine.reachable = machine.rostered = True
+        cluster.reindex(machine)
     aims = [Objective("wait", "ceremony", 8.0), Objective("deadline", "w", times=1.0)]
     placer = Placer([Team("red")], aims, random.Random(1), C.SAMPLE)
-    first = ledger.add_job(parse_spec(group("run-g", workload="ceremony", shards=4)), ShardSet(4), 2, False, 0.0, [])
-    placer.round(ledger, 0.0, lambda: 0.0, 1.0)
-    assert len(first.bound) == 4 and len({a.host.zone for a in first.bound.values()}) == 1
-    array = ledger.add_job(parse_spec(job("run-a", shards=40)), ShardSet(40), 3, False, 0.0, [])
-    placer.round(ledger, 1.0, lambda: 0.0, 1.0)
+    first = cluster.add_job(parse_spec(group("run-g", workload="ceremony", shards=4)), TaskSet(4), 2, False, 0.0, [])
+    placer.round(cluster, 0.0, lambda: 0.0, 1.0)
+    assert len(first.bound) == 4 and len({a.machine.zone for a in first.bound.values()}) == 1
+    array = cluster.add_job(parse_spec(job("run-a", shards=40)), TaskSet(40), 3, False, 0.0, [])
+    placer.round(cluster, 1.0, lambda: 0.0, 1.0)
     assert len(array.bound) == 8, "24 CPUs were free; 8 are kept in one zone"
-    second = ledger.add_job(parse_spec(group("run-h", workload="ceremony", shards=4)), ShardSet(4), 4, False, 1.0, [])
-    placer.round(ledger, 2.0, lambda: 0.0, 1.0)
+    second = cluster.add_job(parse_spec(group("run-h", workload="ceremony", shards=4)), TaskSet(4), 4, False, 1.0, [])
+    placer.round(cluster, 2.0, lambda: 0.0, 1.0)
     assert len(second.bound) == 4
     for attempt in list(second.bound.values()):
-        ledger.take_back(attempt, 3.0)
-    ledger.end_job("run-h")
-    late = ledger.add_job(parse_spec(job("run-b", shards=4)), ShardSet(4), 5, False, 3.0, [])
-    placer.round(ledger, 4.0, lambda: 0.0, 1.0)
+        cluster.take_back(attempt, 3.0)
+    cluster.end_job("run-h")
+    late = cluster.add_job(parse_spec(job("run-b", shards=4)), TaskSet(4), 5, False, 3.0, [])
+    placer.round(cluster, 4.0, lambda: 0.0, 1.0)
     assert not late.bound
-    placer.round(ledger, 5.0 + C.AGED_S, lambda: 0.0, 1.0)
+    placer.round(cluster, 5.0 + C.AGED_S, lambda: 0.0, 1.0)
     assert late.bound, "what waited too long may take it"
--- a/sorrelsill/stories/test_grown.py
+++ b/tests/scenarios/test_grown.py
@@ -3,18 +3,18 @@
 import msgspec
 import trio
 
+from sorrelsill.controller import Controller
 from sorrelsill.http import Reply, Request
-from sorrelsill.node import Node
 from sorrelsill.settings import Team
-from sorrelsill.standins import World, job, story
-from sorrelsill.workers import Ledger, Report
+from sorrelsill.workers import ClusterState, Report
+from tests.simulation import World, job, story
 
 from .test_failures import service
 
 
-def ledger_of(node: Node) -> Ledger:
-    assert node.ledger is not None
-    return node.ledger
+def ledger_of(node: Controller) -> ClusterState:
+    assert node.cluster is not None
+    return node.cluster
 
 
 def deafen(world: World, name: str) -> None:
@@ -32,12 +32,12 @@
     """What is sent to `path` from now on, for later copies or repeats of it."""
     sent: list[tuple[str, str, Request]] = []
 
-    def look(src: str, dst: str, request: Request) -> bool:
+    def reindex(src: str, dst: str, request: Request) -> bool:
         if request.path == path:
             sent.append((src, dst, request))
         return False
 
-    world.net.hold_request = look
+    world.net.hold_request = reindex
     return sent
 
 
@@ -94,7 +94,7 @@
         await world.until(lambda: len([1 for _, h in world.running("run-s") if h != name]) == 4, 60)
         assert trio.current_time() - began < 35
         leader = await world.until_leader()
-        assert not ledger_of(world.nodes[leader]).unheard
+        assert not ledger_of(world.nodes[leader]).unconfirmed
 
     story(tell, teams=[Team("red", cpus_max=10.0)])
 
@@ -121,7 +121,7 @@
         for item in last.values():
             reply = await copy(world, leader, item)
             assert reply.status != 200
-        assert not ledger_of(world.nodes[leader]).hosts
+        assert not ledger_of(world.nodes[leader]).machines
 
     story(tell)
 
@@ -197,16 +197,16 @@
         await world.until(lambda: len(world.running("run-0")) == 1)
         leader = world.nodes[await world.until_leader()]
         name = world.running("run-0")[0][1]
-        ledger, worker = ledger_of(leader), world.workers[name]
-        host = ledger.hosts[name]
+        cluster, worker = ledger_of(leader), world.workers[name]
+        machine = cluster.machines[name]
         now = trio.current_time()
-        attempt = ledger.bind(ledger.jobs["run-0"], 0, host, now, 1 << 60)
-        ledger.orders(host, True, now)
+        attempt = cluster.bind(cluster.jobs["run-0"], 0, machine, now, 1 << 60)
+        cluster.commands(machine, True, now)
         attempt.stop = True
-        ledger.on_answer(msgspec.convert(worker.report(), Report), now)
-        assert attempt.key in host.attempts
-        ledger.on_report(msgspec.convert(worker.report(), Report), now)
-        assert attempt.key not in host.attempts
+        cluster.on_answer(msgspec.convert(worker.report(), Report), now)
+        assert attempt.key in machine.attempts
+        cluster.on_report(msgspec.convert(worker.report(), Report), now)
+        assert attempt.key not in machine.attempts
 
     story(tell)
 
@@ -228,7 +228,7 @@
         await trio.sleep(1)
         for item in [s for s in sent if s[1] == old][-3:]:
             assert (await copy(world, old, item)).status in (421, 503)
-        assert not world.nodes[old].standstill.active()
+        assert not world.nodes[old].degraded_mode.active()
         await trio.sleep(20)
         assert len(world.running("run-s")) == 4 and len(world.starts) == before
 
--- a/sorrelsill/stories/test_limits.py
+++ b/tests/scenarios/test_limits.py
@@ -7,11 +7,11 @@
 
 from sorrelsill import constants as C
 from sorrelsill.http import Request
-from sorrelsill.jobs import ShardSet, json_size
+from sorrelsill.jobs import TaskSet, json_size
 from sorrelsill.jobs.roster import next_write
 from sorrelsill.settings import NextLimits
-from sorrelsill.standins import World, job, story
 from sorrelsill.store import chunk_key, job_key, part_key, roster_key
+from tests.simulation import World, job, story
 
 COMING = NextLimits(write_rps=40.0, value_kb=2.0, txn_ops=5)
 SMALL = 2048
@@ -39,8 +39,8 @@
         for number in range(25):
             assert await world.submit(job(f"run-{number}", shards=2, expectedRunS=2.0), 10) == 201
         await world.cancel("run-3")
-        for uid in ["run-a", *(f"run-{n}" for n in range(25) if n != 3)]:
-            await world.until_phase(uid, "done", 90)
+        for job_id in ["run-a", *(f"run-{n}" for n in range(25) if n != 3)]:
+            await world.until_phase(job_id, "done", 90)
         world.kill(await world.until_leader())
         await world.submit(job("run-after"))
         await world.until_phase("run-after", "done")
@@ -73,8 +73,8 @@
         before = leader.store.writes.rate
         narrow(world)
 
-        async def user(uid: str) -> None:
-            await world.submit(job(uid, shards=1, expectedRunS=1.0))
+        async def user(job_id: str) -> None:
+            await world.submit(job(job_id, shards=1, expectedRunS=1.0))
 
         async with trio.open_nursery() as nursery:
             for number in range(120):
@@ -87,8 +87,8 @@
     story(tell, coming=COMING)
 
 
-def scattered(shards: int, seed: int = 5) -> ShardSet:
-    dice, done = random.Random(seed), ShardSet(shards)
+def scattered(shards: int, seed: int = 5) -> TaskSet:
+    dice, done = random.Random(seed), TaskSet(shards)
     for index in range(shards):
         if dice.random() < 0.5:
             done.add(index)
@@ -103,15 +103,15 @@
         leader = world.nodes[await world.until_leader()]
         shards = 16_000
         await world.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
-        assert leader.ledger is not None
-        task = leader.ledger.jobs["run-big"]
+        assert leader.cluster is not None
+        task = leader.cluster.jobs["run-big"]
         finished = scattered(shards)
         for index in range(shards):
             if index in finished:
                 task.done.add(index)
                 world.finished.add(f"run-big/{index}")
                 task.dirty_parts.add(index // C.PART_SHARDS)
-        leader.ledger.dirty.add("run-big")
+        leader.cluster.dirty.add("run-big")
         await world.until(lambda: world.store.kv["s/j/run-big"][0]["n"] > 7000, 30)
         assert max(sizes(world, "s/j/")) > SMALL, "written while longer values were allowed"
         narrow(world)
@@ -119,18 +119,18 @@
         for _ in range(4):
             label = await world.until_leader()
             node = world.nodes[label]
-            assert node.ledger is not None
-            task = node.ledger.jobs["run-big"]
+            assert node.cluster is not None
+            task = node.cluster.jobs["run-big"]
             have = {i for i in range(shards) if i in task.done}
             assert known <= have, "no finished task is forgotten"
             extra = [i for i in range(shards) if i not in have and dice.random() < 0.03]
             for index in extra:
                 task.done.add(index)
                 task.dirty_parts.add(index // C.PART_SHARDS)
-            node.ledger.dirty.add("run-big")
+            node.cluster.dirty.add("run-big")
             await trio.sleep(dice.choice((0.3, 0.5, 8.0)))
             parts = [(k, v) for k, (v, _, _) in world.store.kv.items() if k.startswith(("s/d/run-big", "s/e/run-big"))]
-            stored = ShardSet(shards)
+            stored = TaskSet(shards)
             stored.merge(world.store.kv["s/j/run-big"][0]["d"], 0)
             for key, text in parts:
                 number = int(key.rpartition("/")[2])
@@ -162,18 +162,18 @@
         leader = world.nodes[await world.until_leader()]
         shards = 100_000
         await world.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
-        assert leader.ledger is not None
-        task, done = leader.ledger.jobs["run-big"], scattered(shards)
+        assert leader.cluster is not None
+        task, done = leader.cluster.jobs["run-big"], scattered(shards)
         for index in range(shards):
             if index in done:
                 task.done.add(index)
                 task.dirty_parts.add(index // C.PART_SHARDS)
-        leader.ledger.dirty.add("run-big")
+        leader.cluster.dirty.add("run-big")
         await world.until(lambda: not task.dirty_parts, 40)
         world.kill(await world.until_leader())
         after = world.nodes[await world.until_leader()]
-        assert after.ledger is not None
-        found = after.ledger.jobs["run-big"].done
+        assert after.cluster is not None
+        found = after.cluster.jobs["run-big"].done
         assert found.count == done.count and all(i in found for i in range(shards) if i in done)
         await world.submit(job("run-x"))
         await world.until_phase("run-x", "done")
@@ -206,8 +206,8 @@
         long = {"flavours": ["c8", *(f"type-{n:04d}" for n in range(190))]}
         answers: dict[str, int] = {}
 
-        async def user(uid: str, **fields: Any) -> None:
-            answers[uid] = await world.submit(job(uid, **fields), 8)
+        async def user(job_id: str, **fields: Any) -> None:
+            answers[job_id] = await world.submit(job(job_id, **fields), 8)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(lambda: user("run-long", **long))
@@ -288,8 +288,14 @@
         await trio.sleep(30)  # nobody hears of those machines: they leave the roster, entry by entry
         await world.submit(job("run-b"))
         await world.until_phase("run-b", "done")
-        await world.until(lambda: not any(n.startswith("m-") for k, (v, _, _) in world.store.kv.items()
-                                          if k.startswith("s/m/") for n in v), 120)  # fmt: skip
+        await world.until(
+            lambda: (
+                not any(
+                    n.startswith("m-") for k, (v, _, _) in world.store.kv.items() if k.startswith("s/m/") for n in v
+                )
+            ),
+            120,
+        )
 
     story(tell, coming=COMING)
 
--- a/sorrelsill/stories/test_meetings.py
+++ b/tests/scenarios/test_meetings.py
@@ -8,19 +8,19 @@
 
 from sorrelsill.http import Request
 from sorrelsill.settings import Team
-from sorrelsill.standins import World, job, story
-from sorrelsill.standins.world import LABELS, LEASE_S
+from tests.simulation import World, job, story
+from tests.simulation.world import LABELS, LEASE_S
 
 from .test_failures import service
 
 
-async def look(world: World, uid: str, rounds: int = 3) -> None:
+async def reindex(world: World, job_id: str, rounds: int = 3) -> None:
     """Polls and repeats of the submission at all controllers, again within milliseconds."""
     async with trio.open_nursery() as nursery:
         for _ in range(rounds):
             for label in LABELS:
-                nursery.start_soon(world.ask, label, "GET", f"/v2/runs/{uid}")
-                nursery.start_soon(world.ask, label, "POST", "/v2/runs", world.specs[uid])
+                nursery.start_soon(world.ask, label, "GET", f"/v2/runs/{job_id}")
+                nursery.start_soon(world.ask, label, "POST", "/v2/runs", world.specs[job_id])
             await trio.sleep(0.003)
 
 
@@ -37,22 +37,22 @@
                 leader = world.leader() or "n0"
                 world.kill(leader)
                 world.nursery.start_soon(_back, world, leader, 0.3)
-            uid = f"run-{number}"
-            await world.submit(job(uid, shards=1, vcpus=1.0, expectedRunS=1.0, sizeGb=0.0))
-            await look(world, uid)
+            job_id = f"run-{number}"
+            await world.submit(job(job_id, shards=1, vcpus=1.0, expectedRunS=1.0, sizeGb=0.0))
+            await reindex(world, job_id)
             if number % 3 == 0:
-                await world.cancel(uid)
-                await look(world, uid)
+                await world.cancel(job_id)
+                await reindex(world, job_id)
             elif number % 3 == 1:
-                await world.until(lambda u=uid: f"{u}/0" in world.finished, 60)  # type: ignore[misc]
-                await world.cancel(uid)  # at the end of its last task
-                await look(world, uid)
+                await world.until(lambda u=job_id: f"{u}/0" in world.finished, 60)  # type: ignore[misc]
+                await world.cancel(job_id)  # at the end of its last task
+                await reindex(world, job_id)
             else:
-                await world.until_phase(uid, "done", 120)
-                await look(world, uid)
+                await world.until_phase(job_id, "done", 120)
+                await reindex(world, job_id)
         await world.calm()
-        for uid in sorted(world.accepted):
-            await look(world, uid)
+        for job_id in sorted(world.accepted):
+            await reindex(world, job_id)
 
     story(tell)
 
@@ -70,10 +70,10 @@
         await world.until_leader()
         world.late_writes(0.25)
         for number in range(10):
-            uid = f"run-{number}"
-            await world.submit(job(uid, shards=2, vcpus=1.0, expectedRunS=3.0))
+            job_id = f"run-{number}"
+            await world.submit(job(job_id, shards=2, vcpus=1.0, expectedRunS=3.0))
             if number % 3 == 0:
-                await world.cancel(uid)
+                await world.cancel(job_id)
             if number % 4 == 2:
                 leader = await world.until_leader()
                 world.kill(leader)
@@ -86,8 +86,8 @@
         for label in LABELS:
             world.start(label)
         await world.calm()
-        for uid in sorted(world.accepted):
-            await look(world, uid)
+        for job_id in sorted(world.accepted):
+            await reindex(world, job_id)
 
     story(tell)
 
@@ -118,7 +118,7 @@
         for label in LABELS:
             world.start(label)
         await trio.sleep(5)
-        await look(world, "run-a")
+        await reindex(world, "run-a")
         assert (await world.poll("run-a"))[1]["phase"] == "done"
 
     story(tell)
@@ -188,9 +188,9 @@
 def test_jobs_are_cancelled_in_the_seconds_in_which_work_changes_hands() -> None:
     async def tell(world: World) -> None:
         names = [f"run-{n}" for n in range(9)]
-        for uid in names:
-            await world.submit(service(uid, shards=2, vcpus=1.0))
-        await world.until(lambda: all(len(world.running(uid)) == 2 for uid in names))
+        for job_id in names:
+            await world.submit(service(job_id, shards=2, vcpus=1.0))
+        await world.until(lambda: all(len(world.running(job_id)) == 2 for job_id in names))
         for turn in range(3):
             leader = await world.until_leader()
             await world.cancel(names[3 * turn])
@@ -200,7 +200,7 @@
             await world.until_leader()
             await world.cancel(names[3 * turn + 2])
         assert world.started_cancelled == 0
-        await world.until(lambda: not any(world.running(uid) for uid in names), 15)
+        await world.until(lambda: not any(world.running(job_id) for job_id in names), 15)
 
     story(tell)
 
@@ -218,7 +218,7 @@
         for team in ("red", "blue"):
             for number in range(4, 6):
                 await world.submit(service(f"run-{team}{number}", owner=team, shards=2, vcpus=2.0))
-        gone = {name for uid in ("run-red0", "run-blue0") for _, name in world.running(uid)}
+        gone = {name for job_id in ("run-red0", "run-blue0") for _, name in world.running(job_id)}
         act = {"cut": world.cut_machine, "hang": world.hang, "deaf": world.deafen, "mute": world.mute}[trouble]
         for name in gone:
             act(name)
@@ -232,8 +232,8 @@
         await trio.sleep(8)
         world.start(leader)
         await trio.sleep(3 * LEASE_S)
-        for uid in ("run-blue1", "run-red2", "run-blue2"):
-            await world.cancel(uid)  # so that all that is left has room in its team
+        for job_id in ("run-blue1", "run-red2", "run-blue2"):
+            await world.cancel(job_id)  # so that all that is left has room in its team
         await world.calm()
 
     story(tell, teams=[Team("red", cpus_max=16.0), Team("blue", cpus_max=16.0)])
@@ -300,11 +300,11 @@
 
         async def one(number: int) -> None:
             nonlocal cancelled
-            uid = f"run-{number}"
-            await world.submit(job(uid, shards=1, vcpus=0.5, memoryGb=1.0, expectedRunS=10.0))
+            job_id = f"run-{number}"
+            await world.submit(job(job_id, shards=1, vcpus=0.5, memoryGb=1.0, expectedRunS=10.0))
             if number % 4 == 0:
                 await trio.sleep(world.rng.uniform(0, 12))
-                cancelled += (await world.cancel(uid)).get("phase") == "cancelled"
+                cancelled += (await world.cancel(job_id)).get("phase") == "cancelled"
 
         async with trio.open_nursery() as nursery:
             for number in range(360):
@@ -330,7 +330,7 @@
         for label in LABELS:
             world.kill(label)
         await trio.sleep(2 * LEASE_S)
-        assert not any(world.running(uid) for uid in ("run-s", "run-a", "run-c"))
+        assert not any(world.running(job_id) for job_id in ("run-s", "run-a", "run-c"))
         world.start("n1")
         assert (await world.poll("run-a", "n1"))[0] in (200, 503)
         await trio.sleep(3)
@@ -353,9 +353,9 @@
             assert (await world.ask(label, "POST", "/v2/runs", lacking))[0] == 400
             assert (await world.ask(label, "POST", "/v2/runs", job("run-y", vcpus=4000.0)))[0] == 422
             assert (await world.ask(label, "POST", "/v2/runs", job("run-z", owner="nobody")))[0] == 422
-            for uid in ("run-x", "run-y", "run-z", "run-never"):
-                assert (await world.ask(label, "GET", f"/v2/runs/{uid}"))[0] == 404
-                assert (await world.ask(label, "POST", f"/v2/runs/{uid}/cancel"))[0] == 404
+            for job_id in ("run-x", "run-y", "run-z", "run-never"):
+                assert (await world.ask(label, "GET", f"/v2/runs/{job_id}"))[0] == 404
+                assert (await world.ask(label, "POST", f"/v2/runs/{job_id}/cancel"))[0] == 404
 
     story(tell)
 
--- a/sorrelsill/stories/test_ordinary.py
+++ b/tests/scenarios/test_ordinary.py
@@ -3,7 +3,7 @@
 import trio
 
 from sorrelsill.settings import Team
-from sorrelsill.standins import World, job, machine_name, story
+from tests.simulation import World, job, machine_name, story
 
 
 def test_a_job_runs_to_its_end_and_stays_done() -> None:
@@ -28,15 +28,28 @@
         assert (await world.ask("n0", "POST", "/v2/runs", b"\xc1"))[0] == 400
         assert (await world.ask("n0", "POST", "/v2/runs", [1]))[0] == 400
         for field, value in (
-            ("shards", 0), ("shards", True), ("shards", 100_001), ("vcpus", -1.0), ("vcpus", float("nan")),
-            ("vcpus", "2"), ("memoryGb", float("inf")), ("rank", "top"), ("shape", None), ("uid", "job-1"),
-            ("owner", 7), ("flavours", "c8"), ("oneZone", None), ("sizeGb", None),
-        ):  # fmt: skip
+            ("shards", 0),
+            ("shards", True),
+            ("shards", 100_001),
+            ("vcpus", -1.0),
+            ("vcpus", float("nan")),
+            ("vcpus", "2"),
+            ("memoryGb", float("inf")),
+            ("rank", "top"),
+            ("shape", None),
+            ("uid", "job-1"),
+            ("owner", 7),
+            ("flavours", "c8"),
+            ("oneZone", None),
+            ("sizeGb", None),
+        ):
             assert (await world.ask("n1", "POST", "/v2/runs", job("run-x", **{field: value})))[0] == 400, field
         for impossible in (
-            job("run-a", owner="nobody"), job("run-b", vcpus=9.0), job("run-c", flavours=["x"]),
+            job("run-a", owner="nobody"),
+            job("run-b", vcpus=9.0),
+            job("run-c", flavours=["x"]),
             job("run-d", shape="standing", shards=9, owner="small"),
-        ):  # fmt: skip
+        ):
             assert (await world.ask("n2", "POST", "/v2/runs", impossible))[0] == 422
         assert (await world.ask("n0", "GET", "/v2/runs"))[0] == 405
         assert (await world.ask("n0", "GET", "/nowhere"))[0] == 404
@@ -166,7 +179,7 @@
         await world.submit(job("run-a", shards=4))
         await world.until(lambda: len(world.running("run-a")) > 0)
         name = world.running("run-a")[0][1]
-        world.workers[name].fail = lambda shard: True
+        world.workers[name].fail = lambda task_id: True
         await world.submit(job("run-b", shards=4))
         await world.until_phase("run-a", "done")
         await world.until_phase("run-b", "done")
--- a/sorrelsill/stories/test_together.py
+++ b/tests/scenarios/test_together.py
@@ -5,7 +5,7 @@
 
 from sorrelsill.http import Request
 from sorrelsill.settings import Team
-from sorrelsill.standins import World, job, story
+from tests.simulation import World, job, story
 
 from .test_failures import service
 
@@ -27,12 +27,12 @@
     """Reports and commands from now on, for late copies and repeats of them."""
     sent: list[Sent] = []
 
-    def look(src: str, dst: str, request: Request) -> bool:
+    def reindex(src: str, dst: str, request: Request) -> bool:
         if request.path in ("/hello", "/commands"):
             sent.append((src, dst, request))
         return False
 
-    world.net.hold_request = look
+    world.net.hold_request = reindex
     return sent
 
 
--- a/sorrelsill/stories/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -9,12 +9,12 @@
 import trio
 
 from sorrelsill.http import Request
-from sorrelsill.jobs import ShardSet, chunk_value, new_record, parse_record, parse_spec, record_value
+from sorrelsill.jobs import TaskSet, chunk_value, new_record, parse_record, parse_spec, record_value
 from sorrelsill.jobs.roster import next_write
 from sorrelsill.settings import NextLimits
-from sorrelsill.standins import World, job, production, story
-from sorrelsill.standins.world import LABELS
 from sorrelsill.store import View
+from tests.simulation import World, job, production, story
+from tests.simulation.world import LABELS
 
 COMING = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=5)
 
@@ -105,9 +105,9 @@
             await trio.sleep(dice.choice((1.0, 6.0)))
             held.hold_request = lambda src, dst, request: False
             held.release()
-        for uid in [u for u in world.specs if u != "run-s"]:
-            if uid not in world.over:
-                await world.until_phase(uid, "done", 200)
+        for job_id in [u for u in world.specs if u != "run-s"]:
+            if job_id not in world.over:
+                await world.until_phase(job_id, "done", 200)
         await world.until(lambda: len(world.running("run-s")) == 4, 60)
 
     for seed in range(4):
@@ -191,7 +191,7 @@
         shards = 9000
         await world.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
         node = world.nodes[await world.until_leader()]
-        assert node.ledger is not None
+        assert node.cluster is not None
         world.store.rev += 1
         world.store.kv["s/d/run-big/0"] = ("0-99", world.store.rev, None)
         world.store.log.append((world.store.rev, "s/d/run-big/0", "0-99", True))
@@ -205,10 +205,10 @@
             await trio.sleep(0.3)
             world.start(label)
             node = world.nodes[await world.until_leader()]
-            assert node.ledger is not None
-            done = node.ledger.jobs["run-big"].done
+            assert node.cluster is not None
+            done = node.cluster.jobs["run-big"].done
             assert done.count == 200 and 0 in done and 299 in done
-            node.ledger.dirty.add("run-big")
+            node.cluster.dirty.add("run-big")
             await trio.sleep(9)
         assert world.store.kv["s/j/run-big"][0]["d"] == "", "and the record is short again"
 
@@ -245,7 +245,7 @@
     for shards in (1, 12, 350, 16_384, 40_000):
         raw = job("run-1", shards=shards, shape="group" if shards == 12 else "sweep")
         spec = parse_spec(raw)
-        done = ShardSet(shards)
+        done = TaskSet(shards)
         for index in range(shards):
             if dice.random() < 0.4:
                 done.add(index)
@@ -295,8 +295,16 @@
     from sorrelsill import constants as new
 
     shared = (
-        "PROMISE_S", "PROMISE_EVERY_S", "PROMISE_AFTER_S", "PROMISE_MARGIN_S", "TRY_BITS", "CHUNK_SHARDS",
-        "ROSTER_PARTS", "LOSS_MARGIN_S", "VALIDITY_OF_LEASE", "LEASE_OF_WORKER_LEASE",
-    )  # fmt: skip
+        "PROMISE_S",
+        "PROMISE_EVERY_S",
+        "PROMISE_AFTER_S",
+        "PROMISE_MARGIN_S",
+        "TRY_BITS",
+        "CHUNK_SHARDS",
+        "ROSTER_PARTS",
+        "LOSS_MARGIN_S",
+        "VALIDITY_OF_LEASE",
+        "LEASE_OF_WORKER_LEASE",
+    )
     for name in shared:
         assert getattr(old, name) == getattr(new, name), name
--- a/sorrelsill/standins/cloud.py
+++ b/tests/simulation/cloud.py
@@ -15,9 +15,17 @@
 _decode = msgspec.msgpack.decode
 
 FLAVOUR = {
-    "sku": "c8", "vcpus": 8, "gpus": 0, "memoryGb": 32, "cacheGb": 50, "pullGbPerS": 1.0, "price": 1.0,
-    "spotPrice": 0.4, "bootS": 5, "regions": ["a", "b"],
-}  # fmt: skip
+    "sku": "c8",
+    "vcpus": 8,
+    "gpus": 0,
+    "memoryGb": 32,
+    "cacheGb": 50,
+    "pullGbPerS": 1.0,
+    "price": 1.0,
+    "spotPrice": 0.4,
+    "bootS": 5,
+    "regions": ["a", "b"],
+}
 
 
 def machine_name(number: int) -> str:
@@ -41,13 +49,19 @@
         self.paid: dict[str, float] = {}  # machine -> seconds until it was returned
         self._count = 0
 
-    def add(self, flavour: str, zone: str, spot: bool) -> str:
+    def add(self, machine_type: str, zone: str, spot: bool) -> str:
         name = machine_name(self._count)
         self._count += 1
         self.machines[name] = {
-            "uid": name, "addr": name, "flavour": flavour, "region": zone, "reclaimable": spot, "phase": "booting",
-            "born": trio.current_time(), "number": self._count - 1,
-        }  # fmt: skip
+            "uid": name,
+            "addr": name,
+            "flavour": machine_type,
+            "region": zone,
+            "reclaimable": spot,
+            "phase": "booting",
+            "born": trio.current_time(),
+            "number": self._count - 1,
+        }
         return name
 
     async def run(self) -> None:
@@ -81,8 +95,8 @@
             now = trio.current_time()
             old = [m for m in self.machines.values() if now - m["born"] >= self.lag_s]
             seen = [m for m in old if m["uid"] > query.get("from", "")]
-            hosts = [{**m, "ageS": now - m["born"]} for m in seen]
-            return Reply(200, _encode({"hosts": hosts, "hasNext": False}))
+            machines = [{**m, "ageS": now - m["born"]} for m in seen]
+            return Reply(200, _encode({"hosts": machines, "hasNext": False}))
         if body["hireRef"] not in self.done:
             count = min(body["howMany"], self.capacity - len(self.machines))
             if count <= 0:
--- a/sorrelsill/standins/gangs.py
+++ b/tests/simulation/gangs.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from sorrelsill.standins.worker import FakeWorker
+    from tests.simulation.worker import FakeWorker
 
 
 @dataclass(eq=False)
 class _Member:
     worker: FakeWorker
-    shard: str
+    task_id: str
     task: dict[str, Any]
     told_at: float | None = None
 
@@ -47,11 +47,11 @@
         self.reasons: list[str] = []  # why tasks of groups exited
         self._gangs: dict[tuple[str, int], _Gang] = {}
 
-    def join(self, worker: FakeWorker, shard: str, try_no: int, task: dict[str, Any], now: float) -> None:
+    def join(self, worker: FakeWorker, task_id: str, attempt_number: int, task: dict[str, Any], now: float) -> None:
         """A task has its image and waits for the others; a replacement of the same number may complete the group."""
-        uid = shard.rpartition("/")[0]
-        gang = self._gangs.setdefault((uid, try_no), _Gang(worker._specs[uid]))
-        gang.members[shard] = _Member(worker, shard, task)
+        job_id = task_id.rpartition("/")[0]
+        gang = self._gangs.setdefault((job_id, attempt_number), _Gang(worker._specs[job_id]))
+        gang.members[task_id] = _Member(worker, task_id, task)
         self.step(now)
 
     def progress(self, gang: _Gang, now: float) -> float:
@@ -60,19 +60,19 @@
         end = min(t for t in (now, gang.halted, gang.lost) if t is not None)
         return self.saved.get(gang.spec["uid"], 0.0) + max(0.0, end - gang.begun)
 
-    def halt(self, shard: str, try_no: int, wind_down: float, now: float) -> bool:
+    def halt(self, task_id: str, attempt_number: int, wind_down: float, now: float) -> bool:
         """True if the task saves; else it exits at once."""
-        gang = self._gangs.get((shard.rpartition("/")[0], try_no))
+        gang = self._gangs.get((task_id.rpartition("/")[0], attempt_number))
         if gang is None or gang.begun is None or gang.over or gang.lost is not None:
             return False
         if not gang.spec["snapshotEveryS"] or wind_down < gang.spec["snapshotCostS"]:
             return False
         gang.halted = now if gang.halted is None else gang.halted
-        gang.members[shard].told_at = now
+        gang.members[task_id].told_at = now
         return True
 
     def step(self, now: float) -> None:
-        for (uid, try_no), gang in list(self._gangs.items()):
+        for (job_id, attempt_number), gang in list(self._gangs.items()):
             if gang.over:
                 continue
             here = [m for m in gang.members.values() if m.here()]
@@ -82,19 +82,19 @@
                         self._exit(member, "alone")
                 if sum(1 for m in here if not m.ended()) == gang.spec["shards"]:
                     gang.begun = now
-                    self.begun.append((uid, try_no))
+                    self.begun.append((job_id, attempt_number))
                     for member in here:
                         member.task.update(phase="running", at=now)
                         member.worker._changed()
                 continue
-            self._running(uid, gang, here, now)
+            self._running(job_id, gang, here, now)
 
-    def _running(self, uid: str, gang: _Gang, here: list[_Member], now: float) -> None:
+    def _running(self, job_id: str, gang: _Gang, here: list[_Member], now: float) -> None:
         spec = gang.spec
         whole = len(here) == spec["shards"]
         if whole and gang.lost is None and gang.halted is None:
             if self.progress(gang, now) >= spec["expectedRunS"]:
-                self.done.add(uid)
+                self.done.add(job_id)
                 gang.over = True
                 for member in here:
                     self._exit(member, "done")
@@ -102,7 +102,7 @@
         if gang.halted is not None and whole and gang.lost is None:
             saved = [m for m in here if m.told_at is not None and now >= m.told_at + spec["snapshotCostS"]]
             if len(saved) == spec["shards"]:
-                self.saved[uid] = self.progress(gang, now)
+                self.saved[job_id] = self.progress(gang, now)
                 gang.over = True
                 for member in here:
                     member.task["saved"] = True
@@ -115,11 +115,11 @@
         if now >= gang.lost + (self.peer_s if gang.halted is None else 0.0):
             every = spec["snapshotEveryS"]
             if every and not gang.over:
-                self.saved[uid] = max(self.saved.get(uid, 0.0), self.progress(gang, now) // every * every)
+                self.saved[job_id] = max(self.saved.get(job_id, 0.0), self.progress(gang, now) // every * every)
             gang.over = True
             for member in here:
                 self._exit(member, "peers")
 
     def _exit(self, member: _Member, why: str) -> None:
         self.reasons.append(why)
-        member.worker._exit(member.shard, member.task, why)
+        member.worker._exit(member.task_id, member.task, why)
--- a/sorrelsill/standins/production.py
+++ b/tests/simulation/production.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from sorrelsill.http import NoAnswer, NotSent, Request
-from sorrelsill.standins.network import FakeNet
+from tests.simulation.network import FakeNet
 
 _ROOT = Path(__file__).resolve().parents[2]
 _IMPORT = re.compile(r"^(\s*)(from|import) sorrelsill(?=[.\s])", re.MULTILINE)
--- a/sorrelsill/standins/worker.py
+++ b/tests/simulation/worker.py
@@ -9,7 +9,7 @@
 import trio
 
 from sorrelsill.http import Client, NoAnswer, NotSent, Reply, Request
-from sorrelsill.standins.gangs import Gangs
+from tests.simulation.gangs import Gangs
 
 _encode = msgspec.msgpack.encode
 _decode = msgspec.msgpack.decode
@@ -19,51 +19,60 @@
     """`hear` is told of each task that begins or ends to be on the machine, for the checks of the rules."""
 
     def __init__(
-        self, name: str, flavour: str, zone: str, spot: bool, nodes: dict[str, str], client: Callable[[str], Client],
-        report_s: float, lease_s: float, specs: dict[str, dict[str, Any]],
-        hear: Callable[[FakeWorker, str, bool], None], gangs: Gangs,
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        machine_type: str,
+        zone: str,
+        spot: bool,
+        nodes: dict[str, str],
+        client: Callable[[str], Client],
+        report_s: float,
+        lease_s: float,
+        specs: dict[str, dict[str, Any]],
+        hear: Callable[[FakeWorker, str, bool], None],
+        gangs: Gangs,
+    ) -> None:
         self._gangs = gangs
-        self.name, self.flavour, self.zone, self.spot = name, flavour, zone, spot
+        self.name, self.machine_type, self.zone, self.spot = name, machine_type, zone, spot
         self._nodes = nodes  # label -> address
         self._clients = {label: client(addr) for label, addr in nodes.items()}
         self._at = sorted(nodes)[0]
         self.report_s, self.lease_s = report_s, lease_s
         self._specs, self._hear = specs, hear
-        self.tenure, self.serial, self.epoch = 1, 0, 0
+        self.session, self.sequence_number, self.epoch = 1, 0, 0
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.on: set[str] = set()  # tasks on the machine: with their image, not ended
         self.answered = trio.current_time()
         self.hung = False
         self.dead = False
         self.evict: float | None = None
-        self.on_done: Callable[[str], None] = lambda shard: None
-        self.fail: Callable[[str], bool] = lambda shard: False
+        self.on_done: Callable[[str], None] = lambda task_id: None
+        self.fail: Callable[[str], bool] = lambda task_id: False
         self.pull_rate = 1.0  # GB a second
         self._change = trio.Event()
 
     # --- its tasks ---
 
-    def _put(self, shard: str, on: bool) -> None:
-        if on != (shard in self.on):
-            (self.on.add if on else self.on.discard)(shard)
-            self._hear(self, shard, on)
+    def _put(self, task_id: str, on: bool) -> None:
+        if on != (task_id in self.on):
+            (self.on.add if on else self.on.discard)(task_id)
+            self._hear(self, task_id, on)
 
     def _changed(self) -> None:
         self._change.set()
         self._change = trio.Event()
 
-    def _spec(self, shard: str) -> dict[str, Any]:
-        return self._specs[shard.rpartition("/")[0]]
+    def _spec(self, task_id: str) -> dict[str, Any]:
+        return self._specs[task_id.rpartition("/")[0]]
 
     def end_lease(self) -> None:
         """Also while it hangs: it resumes within its lease or without its tasks."""
         now = trio.current_time()
         if now - self.answered > self.lease_s:
-            for shard in list(self.on):
-                self._put(shard, False)
+            for task_id in list(self.on):
+                self._put(task_id, False)
             self.tasks.clear()
-            self.tenure += 1
+            self.session += 1
             self.answered = now
             self._changed()
 
@@ -71,34 +80,34 @@
         """Let time pass for the tasks and for the lease."""
         now = trio.current_time()
         self.end_lease()
-        for (shard, try_no), task in list(self.tasks.items()):
-            spec = self._spec(shard)
+        for (task_id, attempt_number), task in list(self.tasks.items()):
+            spec = self._spec(task_id)
             whole = spec["shape"] == "group"
             if task["phase"] == "pulling" and now >= task["at"] + spec["sizeGb"] / self.pull_rate:
                 task.update(phase="waiting" if whole else "running", at=now)
-                self._put(shard, True)
+                self._put(task_id, True)
                 self._changed()
                 if spec["uid"] in self._gangs.done:
-                    self._exit(shard, task, "done")  # the result is kept
+                    self._exit(task_id, task, "done")  # the result is kept
                 elif whole:
-                    self._gangs.join(self, shard, try_no, task, now)
-            if whole and task["phase"] in ("waiting", "running", "saving") and not self.fail(shard):
+                    self._gangs.join(self, task_id, attempt_number, task, now)
+            if whole and task["phase"] in ("waiting", "running", "saving") and not self.fail(task_id):
                 continue  # the group decides
-            if task["phase"] in ("waiting", "running") and self.fail(shard):
-                self._exit(shard, task, "error")
+            if task["phase"] in ("waiting", "running") and self.fail(task_id):
+                self._exit(task_id, task, "error")
             elif (
                 task["phase"] == "running" and spec["shape"] != "standing" and now >= task["at"] + spec["expectedRunS"]
             ):
-                self._exit(shard, task, "done")
+                self._exit(task_id, task, "done")
             elif task["phase"] == "saving" and now >= task["at"] + spec["snapshotCostS"]:
                 task["saved"] = True
-                self._exit(shard, task, "halted")
+                self._exit(task_id, task, "halted")
 
-    def _exit(self, shard: str, task: dict[str, Any], why: str) -> None:
+    def _exit(self, task_id: str, task: dict[str, Any], why: str) -> None:
         task.update(phase="exited", exitCause=why)
-        self._put(shard, False)
+        self._put(task_id, False)
         if why == "done":
-            self.on_done(shard)
+            self.on_done(task_id)
         self._changed()
 
     def _order(self, order: dict[str, Any]) -> None:
@@ -126,16 +135,23 @@
     # --- its messages ---
 
     def report(self) -> dict[str, Any]:
-        self.serial += 1
+        self.sequence_number += 1
         shards = [
             {"shard": s, "tryNo": n, **{k: v for k, v in t.items() if k != "at"}} for (s, n), t in self.tasks.items()
         ]
         evict = None if self.evict is None else max(0.0, self.evict - trio.current_time())
         return {
-            "host": self.name, "addr": self.name, "flavour": self.flavour, "region": self.zone,
-            "reclaimable": self.spot, "tenure": self.tenure, "serial": self.serial, "epoch": self.epoch,
-            "evictInS": evict, "shards": shards,
-        }  # fmt: skip
+            "host": self.name,
+            "addr": self.name,
+            "flavour": self.machine_type,
+            "region": self.zone,
+            "reclaimable": self.spot,
+            "tenure": self.session,
+            "serial": self.sequence_number,
+            "epoch": self.epoch,
+            "evictInS": evict,
+            "shards": shards,
+        }
 
     async def handle(self, src: str, request: Request) -> Reply:
         while self.hung:
@@ -148,7 +164,7 @@
         body = _decode(request.body)
         if "epoch" not in body or "tenure" not in body:
             return Reply(400)
-        if body["epoch"] < self.epoch or body["tenure"] != self.tenure:
+        if body["epoch"] < self.epoch or body["tenure"] != self.session:
             return Reply(409, _encode(self.report()))
         self._see(body["epoch"])
         for order in body["orders"]:
@@ -164,15 +180,15 @@
     async def run(self) -> None:
         while not self.dead:
             sent = trio.current_time()
-            tenure = self.tenure
+            session = self.session
             if not self.hung:
-                await self._report(sent, tenure)
+                await self._report(sent, session)
             change = self._change
             with trio.move_on_at(max(sent + self.report_s, trio.current_time() + 0.01)):
                 await change.wait()
                 await trio.sleep_until(sent + 0.5)
 
-    async def _report(self, sent: float, tenure: int) -> None:
+    async def _report(self, sent: float, session: int) -> None:
         try:
             status, raw = await self._clients[self._at].request("POST", "/hello", _encode(self.report()), 4.0)
         except (NotSent, NoAnswer):
@@ -186,7 +202,7 @@
             self._changed()
         elif status != 200:
             await self._next()
-        elif tenure == self.tenure and answer.get("epoch", -1) >= self.epoch:
+        elif session == self.session and answer.get("epoch", -1) >= self.epoch:
             self._see(answer["epoch"])
             self.answered = max(self.answered, sent)
             for order in answer["orders"]:
--- a/sorrelsill/standins/world.py
+++ b/tests/simulation/world.py
@@ -10,8 +10,8 @@
 import trio
 import trio.testing
 
+from sorrelsill.controller import Controller
 from sorrelsill.http import NoAnswer, NotSent, Reply, Request
-from sorrelsill.node import Node
 from sorrelsill.settings import (
     CloudLimits,
     Facts,
@@ -24,13 +24,13 @@
     Team,
     Workers,
 )
-from sorrelsill.standins import production
-from sorrelsill.standins.cloud import FakeCloud
-from sorrelsill.standins.freeze import Gate, GatedTasks
-from sorrelsill.standins.gangs import Gangs
-from sorrelsill.standins.network import FakeNet
-from sorrelsill.standins.store import FakeStore
-from sorrelsill.standins.worker import FakeWorker
+from tests.simulation import production
+from tests.simulation.cloud import FakeCloud
+from tests.simulation.freeze import Gate, GatedTasks
+from tests.simulation.gangs import Gangs
+from tests.simulation.network import FakeNet
+from tests.simulation.store import FakeStore
+from tests.simulation.worker import FakeWorker
 
 _encode = msgspec.msgpack.encode
 _decode = msgspec.msgpack.decode
@@ -43,19 +43,41 @@
 def job(name: str, **fields: Any) -> dict[str, Any]:
     """A job as a user submits it."""
     base = {
-        "uid": name, "workload": "w", "owner": "red", "shape": "sweep", "rank": "standard", "shards": 2, "vcpus": 2.0,
-        "gpus": 0.0, "memoryGb": 4.0, "bundle": "img", "sizeGb": 0.5, "flavours": None, "region": None,
-        "oneZone": False, "scatter": False, "reclaimable": False, "expectedRunS": 5.0, "snapshotEveryS": 0.0,
-        "snapshotCostS": 0.0, "dueS": None,
-    }  # fmt: skip
+        "uid": name,
+        "workload": "w",
+        "owner": "red",
+        "shape": "sweep",
+        "rank": "standard",
+        "shards": 2,
+        "vcpus": 2.0,
+        "gpus": 0.0,
+        "memoryGb": 4.0,
+        "bundle": "img",
+        "sizeGb": 0.5,
+        "flavours": None,
+        "region": None,
+        "oneZone": False,
+        "scatter": False,
+        "reclaimable": False,
+        "expectedRunS": 5.0,
+        "snapshotEveryS": 0.0,
+        "snapshotCostS": 0.0,
+        "dueS": None,
+    }
     return {**base, **fields}
 
 
 class World:
     def __init__(
-        self, nursery: trio.Nursery, seed: int, teams: list[Team], txn_ops: int = 16, coming: NextLimits | None = None,
-        old: bool = False, gated: GatedTasks | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        nursery: trio.Nursery,
+        seed: int,
+        teams: list[Team],
+        txn_ops: int = 16,
+        coming: NextLimits | None = None,
+        old: bool = False,
+        gated: GatedTasks | None = None,
+    ) -> None:
         self.coming = coming
         self._gated = gated or GatedTasks()
         self._gates: dict[str, Gate] = {}
@@ -71,7 +93,7 @@
         self.cloud = FakeCloud(self._boot)
         self.cloud.on_return = self.kill_machine
         self.teams = teams
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, Controller] = {}
         self._scopes: dict[str, trio.CancelScope] = {}
         self.workers: dict[str, FakeWorker] = {}
         self.ever_up: set[str] = set()  # machines that came up
@@ -96,7 +118,7 @@
 
     # --- controllers ---
 
-    def start(self, label: str, old: bool = False) -> Node:
+    def start(self, label: str, old: bool = False) -> Controller:
         """`old`: the version in production, out of this repository's history."""
         members = [Member(o, f"{o}:peer") for o in LABELS if o != label]
         facts = Facts(
@@ -109,9 +131,9 @@
         settings = Settings(label, label, Services("cloud", "store"), facts, members=members)
         rng = random.Random(self.rng.random())
         if old:
-            node: Node = production.make_node(settings, rng, self.net, label, trio.current_time)
+            node: Controller = production.make_node(settings, rng, self.net, label, trio.current_time)
         else:
-            node = Node(settings, Operator(), rng, self.net.client(label), trio.current_time)
+            node = Controller(settings, Operator(), rng, self.net.client(label), trio.current_time)
 
         gate = self._gates[label] = Gate()
         self._processors[label] = trio.Lock()
@@ -167,7 +189,7 @@
         """Only a leader within its validity may command workers, rent or return machines."""
         node = self.nodes.get(src)
         acts = request.path == "/commands" or request.method == "POST" and request.path.startswith("/rentals")
-        if acts and isinstance(node, Node) and not node.elector.valid():
+        if acts and isinstance(node, Controller) and not node.elector.valid():
             self.broken.append(f"not entitled: {src} sends {request.path} at {trio.current_time():.1f}")
 
     def kill(self, label: str) -> None:
@@ -188,11 +210,20 @@
 
     # --- machines ---
 
-    def _boot(self, name: str, flavour: str, zone: str, spot: bool) -> None:
+    def _boot(self, name: str, machine_type: str, zone: str, spot: bool) -> None:
         worker = FakeWorker(
-            name, flavour, zone, spot, {label: label for label in LABELS}, self.net.client(name), REPORT_S, LEASE_S,
-            self.specs, self._hear, self.gangs,
-        )  # fmt: skip
+            name,
+            machine_type,
+            zone,
+            spot,
+            {label: label for label in LABELS},
+            self.net.client(name),
+            REPORT_S,
+            LEASE_S,
+            self.specs,
+            self._hear,
+            self.gangs,
+        )
         worker.on_done = self.finished.add
         self.workers[name] = worker
         self.ever_up.add(name)
@@ -205,8 +236,8 @@
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.dead = True
-            for shard in list(worker.on):
-                worker._put(shard, False)
+            for task_id in list(worker.on):
+                worker._put(task_id, False)
             self.net.down.add(name)
 
     def cut_machine(self, name: str) -> None:
@@ -276,45 +307,47 @@
             if label in self.net.down:
                 self.start(label)
         began = trio.current_time()
-        for uid in sorted(self.accepted):
-            while (await self.poll(uid))[0] != 200:
-                assert trio.current_time() < began + 75, f"no answer about {uid}"
-        wanted = [uid for uid in sorted(self.accepted) if uid not in self.cancelled_at]
-        for uid in wanted:
-            spec = self.specs[uid]
+        for job_id in sorted(self.accepted):
+            while (await self.poll(job_id))[0] != 200:
+                assert trio.current_time() < began + 75, f"no answer about {job_id}"
+        wanted = [job_id for job_id in sorted(self.accepted) if job_id not in self.cancelled_at]
+        for job_id in wanted:
+            spec = self.specs[job_id]
             if spec["shape"] == "standing":
-                await self.until(lambda u=uid, n=spec["shards"]: len(self.running(u)) == n, 90)  # type: ignore[misc]
+                await self.until(lambda u=job_id, n=spec["shards"]: len(self.running(u)) == n, 90)  # type: ignore[misc]
             else:
-                await self.until_phase(uid, "done", 90 + spec["expectedRunS"] * spec["shards"])
+                await self.until_phase(job_id, "done", 90 + spec["expectedRunS"] * spec["shards"])
         await trio.sleep(1)
 
     # --- the rules ---
 
-    def _hear(self, worker: FakeWorker, shard: str, on: bool) -> None:
-        uid = shard.rpartition("/")[0]
+    def _hear(self, worker: FakeWorker, task_id: str, on: bool) -> None:
+        job_id = task_id.rpartition("/")[0]
         if not on:
             return
         now = trio.current_time()
-        self.starts.append((now, shard, worker.name))
-        self.started_cancelled += uid in self.cancelled_at
-        if now - self.cancelled_at.get(uid, now) > CANCEL_S:
-            self.broken.append(f"ran_cancelled: {shard} starts on {worker.name}")
-        others = [w for w in self.workers.values() if w is not worker and shard in w.on]
+        self.starts.append((now, task_id, worker.name))
+        self.started_cancelled += job_id in self.cancelled_at
+        if now - self.cancelled_at.get(job_id, now) > CANCEL_S:
+            self.broken.append(f"ran_cancelled: {task_id} starts on {worker.name}")
+        others = [w for w in self.workers.values() if w is not worker and task_id in w.on]
         if others:
-            self.broken.append(f"ran_twice: {shard} on {worker.name} and {others[0].name} at {now:.1f}")
-        spec = self.specs[uid]
-        placed = [w.zone for w in self.workers.values() for s in w.on if s.startswith(uid + "/")]
+            self.broken.append(f"ran_twice: {task_id} on {worker.name} and {others[0].name} at {now:.1f}")
+        spec = self.specs[job_id]
+        placed = [w.zone for w in self.workers.values() for s in w.on if s.startswith(job_id + "/")]
         if spec["region"] not in (None, worker.zone) or (worker.spot and not spec["reclaimable"]):
-            self.broken.append(f"wrong_place: {shard} on {worker.name}")
+            self.broken.append(f"wrong_place: {task_id} on {worker.name}")
         if spec["oneZone"] and len(set(placed)) > 1:
-            self.broken.append(f"wrong_place: {shard} in a second zone")
+            self.broken.append(f"wrong_place: {task_id} in a second zone")
         if spec["scatter"] and placed.count(worker.zone) > (spec["shards"] + 1) // 2:
-            self.broken.append(f"wrong_place: too much of {uid} in zone {worker.zone}")
+            self.broken.append(f"wrong_place: too much of {job_id} in zone {worker.zone}")
         for team in self.teams:
             used = sum(
-                self.specs[s.rpartition("/")[0]]["vcpus"] for w in self.workers.values() for s in w.on
+                self.specs[s.rpartition("/")[0]]["vcpus"]
+                for w in self.workers.values()
+                for s in w.on
                 if self.specs[s.rpartition("/")[0]]["owner"] == team.name
-            )  # fmt: skip
+            )
             if team.cpus_max and used > team.cpus_max + 1e-6:
                 self.broken.append(f"quota: {team.name} uses {used}")
 
@@ -322,10 +355,10 @@
         while True:
             now = trio.current_time()
             for worker in self.workers.values():
-                for shard in worker.on:
-                    at = self.cancelled_at.get(shard.rpartition("/")[0])
+                for task_id in worker.on:
+                    at = self.cancelled_at.get(task_id.rpartition("/")[0])
                     if at is not None and now - at > CANCEL_S:
-                        self.broken.append(f"ran_cancelled: {shard} on {worker.name}")
+                        self.broken.append(f"ran_cancelled: {task_id} on {worker.name}")
             self.gangs.step(now)
             held = self.store.kv.get("s/leader")
             if held is not None and (not self.led or self.led[-1][0] != held[1]):
@@ -346,26 +379,26 @@
         return reply.status, answer
 
     def _check_answer(self, path: str, status: int, answer: Any) -> None:
-        uid = path.split("/")[3] if path.count("/") >= 3 else answer.get("uid") if isinstance(answer, dict) else None
-        if uid is None:
+        job_id = path.split("/")[3] if path.count("/") >= 3 else answer.get("uid") if isinstance(answer, dict) else None
+        if job_id is None:
             return
-        if status == 404 and uid in self.accepted:
-            self.broken.append(f"forgotten: {uid}")
+        if status == 404 and job_id in self.accepted:
+            self.broken.append(f"forgotten: {job_id}")
         if status not in (200, 201) or "phase" not in answer:
             return
-        if uid not in self.specs:
-            self.broken.append(f"invented: {uid}")
-        self.accepted.add(uid)
+        if job_id not in self.specs:
+            self.broken.append(f"invented: {job_id}")
+        self.accepted.add(job_id)
         phase = answer["phase"]
-        if uid in self.over and phase != self.over[uid]:
-            self.broken.append(f"went_back: {uid} from {self.over[uid]} to {phase}")
+        if job_id in self.over and phase != self.over[job_id]:
+            self.broken.append(f"went_back: {job_id} from {self.over[job_id]} to {phase}")
         if phase in ("done", "cancelled"):
-            self.over[uid] = phase
+            self.over[job_id] = phase
             if phase == "cancelled":
-                self.cancelled_at.setdefault(uid, trio.current_time())
-            missing = [i for i in range(self.specs[uid]["shards"]) if f"{uid}/{i}" not in self.finished]
+                self.cancelled_at.setdefault(job_id, trio.current_time())
+            missing = [i for i in range(self.specs[job_id]["shards"]) if f"{job_id}/{i}" not in self.finished]
             if phase == "done" and len(missing) > 0:
-                self.broken.append(f"not_done: {uid} lacks {missing[:5]}")
+                self.broken.append(f"not_done: {job_id} lacks {missing[:5]}")
 
     async def _retry(self, method: str, path: str, body: Any, limit: float) -> tuple[int, Any]:
         end = trio.current_time() + limit
@@ -381,23 +414,23 @@
         self.specs[spec["uid"]] = spec
         return (await self._retry("POST", "/v2/runs", spec, limit))[0]
 
-    async def cancel(self, uid: str, limit: float = 60.0) -> Any:
-        return (await self._retry("POST", f"/v2/runs/{uid}/cancel", None, limit))[1]
+    async def cancel(self, job_id: str, limit: float = 60.0) -> Any:
+        return (await self._retry("POST", f"/v2/runs/{job_id}/cancel", None, limit))[1]
 
-    async def poll(self, uid: str, label: str | None = None) -> tuple[int, Any]:
+    async def poll(self, job_id: str, label: str | None = None) -> tuple[int, Any]:
         if label is not None:
-            return await self.ask(label, "GET", f"/v2/runs/{uid}")
-        return await self._retry("GET", f"/v2/runs/{uid}", None, 60.0)
+            return await self.ask(label, "GET", f"/v2/runs/{job_id}")
+        return await self._retry("GET", f"/v2/runs/{job_id}", None, 60.0)
 
-    async def until_phase(self, uid: str, phase: str, limit: float = 120.0) -> None:
+    async def until_phase(self, job_id: str, phase: str, limit: float = 120.0) -> None:
         end = trio.current_time() + limit
         answer: Any = None
         while trio.current_time() < end:
-            _, answer = await self.poll(uid)
+            _, answer = await self.poll(job_id)
             if answer.get("phase") == phase:
                 return
             await trio.sleep(0.5)
-        raise AssertionError(f"{uid} is {answer}, not {phase}, after {limit} s")
+        raise AssertionError(f"{job_id} is {answer}, not {phase}, after {limit} s")
 
     async def until(self, true: Callable[[], bool], limit: float = 60.0) -> None:
         end = trio.current_time() + limit
@@ -405,15 +438,19 @@
             assert trio.current_time() < end, "did not come about in time"
             await trio.sleep(0.05)
 
-    def running(self, uid: str) -> list[tuple[str, str]]:
+    def running(self, job_id: str) -> list[tuple[str, str]]:
         """Tasks of a job on machines now."""
-        return [(s, w.name) for w in self.workers.values() for s in sorted(w.on) if s.startswith(uid + "/")]
+        return [(s, w.name) for w in self.workers.values() for s in sorted(w.on) if s.startswith(job_id + "/")]
 
 
 def story(
-    tell: Callable[[World], Awaitable[None]], seed: int = 1, teams: list[Team] | None = None, txn_ops: int = 16,
-    coming: NextLimits | None = None, old: bool = False,
-) -> World:  # fmt: skip
+    tell: Callable[[World], Awaitable[None]],
+    seed: int = 1,
+    teams: list[Team] | None = None,
+    txn_ops: int = 16,
+    coming: NextLimits | None = None,
+    old: bool = False,
+) -> World:
     """Run a story on a virtual clock, and check at its end that no rule was broken on the way."""
     worlds: list[World] = []
     gated = GatedTasks()
