--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -1,10 +1,14 @@
-"""Workers: reports, sessions, orders and losses, and the leader's ledger of what may be running where."""
+"""Workers: reports, sessions, commands and losses, and the leader's view of what may be running where."""
 
-from sorrelsill.workers.cluster_state import Attempt, ClusterState, Job, Machine, Superseded
+from sorrelsill.workers.attempt import Attempt
+from sorrelsill.workers.cluster_state import ClusterState
 from sorrelsill.workers.groups import enforce_gang_completeness
 from sorrelsill.workers.groups import lost_work as group_loss
+from sorrelsill.workers.job import Job
+from sorrelsill.workers.machine import Machine
 from sorrelsill.workers.messages import BadReport, Report, parse_report, stop_command
 from sorrelsill.workers.push import Pusher
+from sorrelsill.workers.reports import Superseded
 
 __all__ = [
     "Attempt",
--- /dev/null
+++ b/sorrelsill/workers/commands.py
@@ -0,0 +1,83 @@
+"""The commands that a machine is due: the difference between what is wanted on it and what its worker reported."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from sorrelsill.workers import messages as M
+
+if TYPE_CHECKING:
+    from sorrelsill.workers.attempt import Attempt
+    from sorrelsill.workers.cluster_state import ClusterState
+    from sorrelsill.workers.machine import Machine
+
+
+def commands(cluster: ClusterState, machine: Machine, fresh: bool, now: float) -> list[dict[str, Any]]:
+    """The difference between what is wanted on a machine and what its worker reported."""
+    out = []
+    for attempt in machine.attempts.values():
+        if attempt.exited:
+            # Only once no older leader can order a start any more: a repeated start after
+            # `clear` would run the task again.
+            if attempt.clearable and machine.synced and not attempt.unanswered_starts and now >= attempt.clear_after:
+                out.append(M.clear_command(attempt.task_id, attempt.attempt_number))
+        elif attempt.stop:
+            if attempt.unanswered_starts and not attempt.confirmed and machine.synced:
+                # Get it onto the worker first: a late direct start then finds the attempt ended
+                # there, and has no effect.
+                out.append(M.start_command(attempt.task_id, attempt.attempt_number))
+                out.append(M.stop_command(attempt.task_id, attempt.attempt_number, 0.0))
+            elif attempt.confirmed and (attempt.phase != "saving" or attempt.wind_down == 0):
+                out.append(M.stop_command(attempt.task_id, attempt.attempt_number, attempt.wind_down))
+        elif (
+            fresh
+            and not attempt.confirmed
+            and attempt.spec is not None
+            and machine.synced
+            and attempt.job_id in cluster.jobs
+        ):
+            out.append(M.start_command(attempt.task_id, attempt.attempt_number))
+    return out
+
+
+def has_direct_commands(cluster: ClusterState, machine: Machine, fresh: bool) -> bool:
+    return any(_direct(cluster, a, fresh) for a in machine.attempts.values())
+
+
+def _direct(cluster: ClusterState, attempt: Attempt, fresh: bool) -> bool:
+    if attempt.exited:
+        return False
+    if attempt.stop:
+        return attempt.confirmed and not attempt.stop_sent and attempt.phase != "saving"
+    return (
+        fresh
+        and not attempt.confirmed
+        and not attempt.start_sent
+        and attempt.spec is not None
+        and attempt.job_id in cluster.jobs
+    )
+
+
+def take_direct_commands(
+    cluster: ClusterState, machine: Machine, fresh: bool
+) -> tuple[list[dict[str, Any]], list[Attempt]]:
+    """Orders not sent yet, for one direct call; its starts are loose until it is answered."""
+    commands, started = [], []
+    for attempt in machine.attempts.values():
+        if not _direct(cluster, attempt, fresh):
+            continue
+        if attempt.stop:
+            attempt.stop_sent = True
+            commands.append(M.stop_command(attempt.task_id, attempt.attempt_number, attempt.wind_down))
+        else:
+            attempt.start_sent = True
+            attempt.unanswered_starts += 1
+            started.append(attempt)
+            commands.append(M.start_command(attempt.task_id, attempt.attempt_number))
+    return commands, started
+
+
+def direct_commands_answered(attempts: list[Attempt]) -> None:
+    """A direct call that started these attempts was answered, or certainly never sent."""
+    for attempt in attempts:
+        attempt.unanswered_starts -= 1
--- a/sorrelsill/workers/push.py
+++ b/sorrelsill/workers/push.py
@@ -17,6 +17,7 @@
 from sorrelsill import constants as C
 from sorrelsill.http import Client, NoAnswer, NotSent
 from sorrelsill.settings import split_addr
+from sorrelsill.workers.commands import direct_commands_answered
 from sorrelsill.workers.messages import BadReport, parse_report
 
 if TYPE_CHECKING:
@@ -102,7 +103,7 @@
                     "POST", "/commands", body, C.PUSH_TIMEOUT_S, may_send=self._valid_for(attempts)
                 )
             except NotSent as error:
-                cluster.direct_commands_answered(attempts)
+                direct_commands_answered(attempts)
                 self._later(machine.name, str(error))
                 return
             except NoAnswer as error:
@@ -113,7 +114,7 @@
                 return
             if status in (200, 400, 409):
                 self._failed.pop(machine.name, None)
-                cluster.direct_commands_answered(attempts)
+                direct_commands_answered(attempts)
                 self._take(cluster, raw)
             else:
                 self._later(machine.name, f"status {status}")
--- /dev/null
+++ b/sorrelsill/workers/reports.py
@@ -0,0 +1,297 @@
+"""Takes workers' reports into the cluster state. Pure: time is given.
+
+A report proves more than the answer to a direct call: a worker executes the commands of an answer before its next
+report, while the body of a direct answer may be older than an answer that is still in flight."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING, Any
+
+from sorrelsill import constants as C
+from sorrelsill.workers import messages as M
+from sorrelsill.workers.attempt import Attempt
+from sorrelsill.workers.commands import commands
+
+if TYPE_CHECKING:
+    from sorrelsill.workers.cluster_state import ClusterState
+    from sorrelsill.workers.job import Job
+    from sorrelsill.workers.machine import Machine
+
+log = logging.getLogger(__name__)
+
+
+class Superseded(Exception):
+    """A worker has seen a higher token than ours."""
+
+    def __init__(self, token: int) -> None:
+        super().__init__(token)
+        self.token = token
+
+
+def on_report(
+    cluster: ClusterState, report: M.Report, now: float, acting: bool = True, fresh: bool = True
+) -> list[dict[str, Any]] | None:
+    """Take a report in; the orders for the answer, or None if it must not be answered with 200.
+    Without `acting` (standstill) there are no orders; without a `fresh` view of the jobs, no starts."""
+    if report.token > cluster.term:
+        raise Superseded(report.token)
+    if (report.session, report.sequence_number) <= cluster.tombstones.get(report.machine, (0, 0)):
+        return None  # a late copy: the machine is gone
+    machine = cluster.machine(report.machine, report.machine_type, report.zone, report.spot, now)
+    if report.session < machine.session or (
+        report.session == machine.session and report.sequence_number <= machine.report_sequence_number
+    ):
+        return None  # late or repeated: its task list is older than what is known
+    if machine.lost and report.session == machine.session:
+        machine.sequence_number = max(machine.sequence_number, report.sequence_number)
+        return None  # its lease is over by our clock: only its next session is believed
+    stale = report.session == machine.session and report.sequence_number < machine.sequence_number
+    # After anything but our 200 a worker goes on to the next controller, so a report that follows the last
+    # message directly shows that answers reach it. With one that does not, work waits for the next that does.
+    follows = report.session == machine.session and report.sequence_number == machine.sequence_number + 1
+    machine.report_sequence_number = report.sequence_number
+    machine.reports = True
+    machine.seen_at = now
+    if machine.overdue:
+        machine.overdue = False
+        cluster.reindex(machine)
+    if stale:
+        # Overtaken by an answer to a direct call, which told more. It is no copy, so its lease may go on.
+        if not machine.synced:
+            return None
+        machine.answered_at = cluster.heard_at = now
+        # No starts, but halts: an answer that renews a lease always names what has to go.
+        return commands(cluster, machine, False, now) if acting else []
+    known = machine.sequence_number >= 0
+    _newer(cluster, machine, report, now)
+    if not machine.synced:
+        if machine.first_at is None:
+            machine.first_at = now
+        machine.relearn |= not known and report.token == cluster.term
+        _sync(cluster, machine, report, follows or not machine.relearn, now)
+    else:
+        # One that does not follow is no proof of the contrary: reports cross with direct answers, and a worker
+        # that was led here comes from elsewhere. Found on a measured day: a sixth of the machines, and after a
+        # takeover half, stood aside for a report interval each time.
+        reachable = follows or (machine.reachable and now - machine.proved_at <= cluster.unreachable_after_s)
+        if reachable != machine.reachable:
+            machine.reachable = reachable
+            cluster.reindex(machine)
+    if follows:
+        machine.proved_at = now
+    cluster.heard_at = now
+    if not machine.synced and machine.first_at is not None and now - machine.first_at > cluster.unreachable_after_s:
+        # Its reports arrive, our answers do not. Unanswered, its lease can run out, which is a proof.
+        _reconcile(cluster, machine, report, now, True)
+        return None
+    machine.answered_at = now
+    _reconcile(cluster, machine, report, now, True)
+    return commands(cluster, machine, fresh, now) if acting else []
+
+
+def on_answer(cluster: ClusterState, report: M.Report, now: float) -> None:
+    """A worker's state in its answer to a direct call. It renews no lease, and since it may be older than the
+    answer to a report in flight, what it lacks may yet be started: absence proves less than in a report."""
+    if report.token > cluster.term or (report.session, report.sequence_number) <= cluster.tombstones.get(
+        report.machine, (0, 0)
+    ):
+        return
+    machine = cluster.machine(report.machine, report.machine_type, report.zone, report.spot, now)
+    if (report.session, report.sequence_number) <= (machine.session, machine.sequence_number):
+        return
+    if machine.lost and report.session == machine.session:
+        machine.sequence_number = report.sequence_number
+        return
+    if machine.session and report.session > machine.session:
+        # Its lease ran out and yet it hears us: it does not reach us, so work on it would die with each lease.
+        machine.overdue = True
+    _newer(cluster, machine, report, now)
+    if machine.seen_at == float("-inf"):
+        machine.seen_at = now
+    if report.token == cluster.term:
+        _sync(cluster, machine, report, True, now)
+        machine.reachable = True
+        machine.proved_at = now
+        cluster.reindex(machine)
+    if machine.answered_at is None:
+        machine.answered_at = now
+    _reconcile(cluster, machine, report, now, False)
+
+
+def _newer(cluster: ClusterState, machine: Machine, report: M.Report, now: float) -> None:
+    """Session, serial and notice of a message that is newer than all before."""
+    machine.addr = report.addr or machine.addr
+    if report.session > machine.session:
+        if machine.session:
+            # Its images stay: seen on a measured day, work that came back to such machines began at once.
+            cluster.release_all(machine, now, "worker's lease ran out")
+            machine.relearn = True
+        machine.reachable = False
+        cluster.reindex(machine)
+        machine.session = report.session
+        if machine.synced:
+            # A session has a whole lease from its beginning, which was before now, whether or not a report of it
+            # was ever answered. Found on a day of our own (ran_twice): a machine that reached nobody answered
+            # direct calls in its second session, and was taken for lost by the lease of its first.
+            machine.answered_at = now
+        machine.lost = False
+        machine.report_sequence_number = -1
+    machine.sequence_number = report.sequence_number
+    if report.evict_in_s is not None:
+        machine.evict_at = now + report.evict_in_s
+        cluster.evicting[machine.name] = machine
+        cluster.reindex(machine)
+
+
+def _sync(cluster: ClusterState, machine: Machine, report: M.Report, reachable: bool, now: float) -> None:
+    if report.token != cluster.term or machine.synced:
+        return
+    machine.synced = True
+    machine.first_at = None
+    machine.reachable = reachable
+    machine.answered_at = now  # from now on it may be given work, and its session may have begun just now
+    if reachable:
+        machine.proved_at = now
+    if machine.rostered or machine.name in cluster.takeover.unconfirmed:
+        machine.rostered = True
+    cluster.takeover.confirm(machine.name)
+    cluster.machines_with_pending_commands[machine.name] = machine
+    if not machine.rostered:
+        cluster.to_roster[machine.name] = machine
+    cluster.reindex(machine)
+    cluster.wake_placing = True
+
+
+def _reconcile(cluster: ClusterState, machine: Machine, report: M.Report, now: float, proper: bool) -> None:
+    """Take over what the worker says of its tasks; `proper`: in a report, not in a direct answer."""
+    attempts = machine.attempts
+    seen = 0
+    for item in report.tasks:
+        attempt = attempts.get((item.task_id, item.attempt_number))
+        if attempt is None:
+            try:
+                job_id, index = item.split()
+            except ValueError as error:
+                # Guards against one damaged entry hiding the machine's other tasks.
+                log.error("report of %s: %s", machine.name, error)
+                continue
+            attempt = Attempt(job_id, index, item.attempt_number, machine, None, now)
+            if attempt.task_id != item.task_id:
+                log.error("report of %s: task %s", machine.name, item.task_id[:80])
+                continue
+            cluster.enter(attempt)
+            job = cluster.jobs.get(job_id)
+            if item.phase != "exited":
+                if job is not None:
+                    cluster.adopt(attempt, job)
+                else:
+                    attempt.stop = True
+                    cluster.machines_with_pending_commands[machine.name] = machine
+        elif attempt.phase == item.phase and attempt.confirmed:
+            seen += 1
+            continue
+        seen += 1
+        if not attempt.confirmed:
+            attempt.confirmed = True
+            if attempt.stop:
+                cluster.machines_with_pending_commands[machine.name] = machine
+        if attempt.exited:
+            continue
+        if item.phase == "exited":
+            _exited(cluster, attempt, item, now)
+            continue
+        attempt.phase = item.phase
+        if item.phase == "waiting" and attempt.spec is not None:
+            cluster.hold_image(machine, attempt.spec)  # it has its image, and waits for the rest of its group
+        if item.phase == "running" and attempt.running_since is None:
+            attempt.running_since = now
+            log.debug("runs %s on %s, %.2f s after it was bound", attempt.task_id, machine.name, now - attempt.created)
+            if attempt.spec is not None:
+                cluster.hold_image(machine, attempt.spec)
+                cluster.dirty.add(attempt.job_id)
+    if seen == len(attempts):
+        return
+    names = {(item.task_id, item.attempt_number) for item in report.tasks}
+    for attempt in [a for k, a in attempts.items() if k not in names]:
+        if attempt.unanswered_starts and not attempt.confirmed:
+            continue  # its direct start may still be executed, so its absence proves nothing
+        if attempt.confirmed or (proper and (attempt.exited or attempt.stop)):
+            # Cleared, vanished, or never started and no longer wanted: this newer report proves it.
+            cluster.leave(attempt)
+            cluster.unbind(attempt, now)
+
+
+def _exited(cluster: ClusterState, attempt: Attempt, item: M.TaskReport, now: float) -> None:
+    cluster.count_unknown(attempt, -1)
+    attempt.exited = True
+    attempt.phase = "exited"
+    job = cluster.jobs.get(attempt.job_id)
+    cause = item.exit_cause or "unknown"
+    machine = attempt.machine
+    if cause == "done":
+        if job is not None and 0 <= attempt.index < job.spec.shards and not job.spec.endless:
+            # The tasks of a group complete together, also those whose machines die before they tell.
+            for index in range(job.spec.shards) if job.spec.whole else (attempt.index,):
+                if job.done.add(index):
+                    job.dirty_parts.add(index // C.PART_SHARDS)
+                    cluster.dirty.add(attempt.job_id)
+            _accuse(cluster, job, job.failures.success(machine.name))
+        else:
+            attempt.clearable = True
+        # Another attempt of the same task would be wasted: the result is there.
+        other = job.bound.get(attempt.index) if job is not None else None
+        if other is not None and other is not attempt:
+            other.stop = True
+            cluster.machines_with_pending_commands[other.machine.name] = other.machine
+        cluster.unbind(attempt, now, requeue=job is not None and job.spec.endless)
+        return
+    attempt.clearable = True
+    if attempt.start_sent:
+        attempt.clear_after = now + C.REPEAT_S
+    cluster.unbind(attempt, now)
+    if job is None:
+        return
+    if cause == "halted":
+        job.note(
+            f"task {attempt.index}: stopped{', saved' if item.saved else ''}"
+            f" ({attempt.stop_reason or 'by an earlier leader'})"
+        )
+        return
+    if cause in (M.PEERS, M.ALONE):
+        # Another task of its group is gone or never came: the fault of neither this machine nor the job.
+        job.note(f"task {attempt.index}: {cause}, its group is started anew")
+        return
+    job.note(f"task {attempt.index}: {cause} on {machine.name}")
+    job.avoid[machine.name] = now + C.HOST_AVOID_S
+    if cause == "error":
+        _failed(cluster, job, machine, now)
+
+
+def _failed(cluster: ClusterState, job: Job, machine: Machine, now: float) -> None:
+    """Guards against jobs that fail wherever they run: their failures must not cost machines their good name."""
+    failures = job.failures
+    if job.spec.endless:
+        for replica in job.bound.values():
+            if replica.running_since is not None and now - replica.running_since >= C.REPLICA_PROOF_S:
+                _accuse(cluster, job, failures.success(replica.machine.name))
+                break
+    _accuse(cluster, job, failures.failed(machine.name, now))
+    if failures.suspect(len(job.bound)):
+        # The other machines are not to blame: avoiding them all would leave it waiting beside free room.
+        job.avoid = {machine.name: job.avoid[machine.name]}
+        wait_s = max(0.0, failures.next_trial_at - now)
+        job.note(f"failed on all {len(failures.machines)} machines tried; next try in {wait_s:.0f} s")
+
+
+def _accuse(cluster: ClusterState, job: Job, names: set[str]) -> None:
+    """The job failed on these machines and succeeded on another. A machine accused by several jobs is faulty."""
+    for name in names:
+        machine = cluster.machines.get(name)
+        if machine is None:
+            continue
+        machine.accused_by.add(job.spec.job_id)
+        if len(machine.accused_by) >= C.HOST_ERRORS_SUSPECT and not machine.faulty:
+            log.info("%s is faulty: %s failed there and succeeded elsewhere", name, sorted(machine.accused_by))
+            machine.faulty = True
+            cluster.reindex(machine)
