--- a/sorrelsill/fleet/__init__.py
+++ b/sorrelsill/fleet/__init__.py
@@ -3,19 +3,21 @@
 from sorrelsill.fleet.boot_times import BootTimes
 from sorrelsill.fleet.catalog import Catalog, MachineType, parse_catalog
 from sorrelsill.fleet.manager import Cloud, FleetManager
-from sorrelsill.fleet.rentals import Need, Offer, Pending, counted_on, given_up, plan
+from sorrelsill.fleet.rentals import Need, Offer, Pending, counted_on, given_up, lead_time_s, plan, time_to_rent
 
 __all__ = [
     "BootTimes",
     "Catalog",
     "Cloud",
-    "MachineType",
     "FleetManager",
+    "MachineType",
     "Need",
     "Offer",
     "Pending",
     "counted_on",
     "given_up",
+    "lead_time_s",
     "parse_catalog",
     "plan",
+    "time_to_rent",
 ]
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -15,7 +15,7 @@
 from sorrelsill.fleet.boot_times import BootTimes
 from sorrelsill.fleet.catalog import Catalog, parse_catalog
 from sorrelsill.fleet.consolidate import machines_to_drain
-from sorrelsill.fleet.rentals import Need, Offer, Pending, counted_on, given_up, plan
+from sorrelsill.fleet.rentals import Need, Offer, Pending, counted_on, given_up, lead_time_s, plan, time_to_rent
 from sorrelsill.http import Client, NoAnswer, NotSent, always
 from sorrelsill.settings import CloudLimits
 from sorrelsill.store.budget import Bucket
@@ -95,7 +95,7 @@
         prompt: set[str],
     ) -> None:
         self._cloud = cloud
-        self._ledger = cluster
+        self._cluster = cluster
         self._valid = valid
         self._demand = demand
         self._hurried = hurried
@@ -123,9 +123,9 @@
     async def step(self) -> None:
         """One action at the most; what is most urgent goes first."""
         now = trio.current_time()
-        if not self._ledger.catalog.machine_types or now - self._catalog_at > C.CATALOG_EVERY_S:
+        if not self._cluster.catalog.machine_types or now - self._catalog_at > C.CATALOG_EVERY_S:
             await self._read_catalog()
-            if not self._ledger.catalog.machine_types:
+            if not self._cluster.catalog.machine_types:
                 return
         self._forget_arrived(now)
         self._report_use(now)
@@ -182,9 +182,9 @@
         self._lists += 1
         for name, item in found.items():
             phase = item.get("phase")
-            machine = self._ledger.machines.get(name)
+            machine = self._cluster.machines.get(name)
             if phase == "failed":
-                self._ledger.gone_for_certain(name, now, "machine failed")
+                self._cluster.gone_for_certain(name, now, "machine failed")
                 self.pending.pop(name, None)
                 self._give_back[name] = "failed"
                 continue
@@ -207,9 +207,9 @@
         for name, pending in list(self.pending.items()):
             if name not in found and now - pending.since > patience:
                 del self.pending[name]
-        for name, machine in list(self._ledger.machines.items()):
+        for name, machine in list(self._cluster.machines.items()):
             if name not in found and machine.lost and now - machine.seen_at > patience:
-                self._ledger.drop(machine)
+                self._cluster.drop(machine)
 
     def _report_use(self, now: float) -> None:
         """For operators who ask where the money goes: machines, room and use by kind."""
@@ -217,7 +217,7 @@
             return
         self._reported_at = now
         kinds: dict[tuple[str, bool], list[float]] = {}
-        for machine in self._ledger.machines.values():
+        for machine in self._cluster.machines.values():
             row = kinds.setdefault((machine.machine_type, machine.spot), [0, 0, 0, 0, 0])
             row[0] += 1
             row[1] += machine.cap_cpus
@@ -239,7 +239,7 @@
     # --- returning ---
 
     def _forget_arrived(self, now: float) -> None:
-        for name in [n for n in self.pending if n in self._ledger.machines]:
+        for name in [n for n in self.pending if n in self._cluster.machines]:
             arrived = self.pending.pop(name)
             if arrived.ours:
                 self._boots.note(arrived.machine_type, now - arrived.since)
@@ -252,11 +252,11 @@
         awaited = [(u.job.spec, u.zone) for u in self._demand() if u.job.spec.whole and not u.limited]
         free, kept = self._group_room()
         room: dict[str, int] | None = None  # worked out only if a machine could go, since it walks all of them
-        for machine in self._ledger.machines.values():
+        for machine in self._cluster.machines.values():
             if machine.name in self._give_back:
                 continue
             if machine.lost:
-                if now - machine.seen_at > self._ledger.loss_s + C.SILENT_RETURN_S:
+                if now - machine.seen_at > self._cluster.loss_s + C.SILENT_RETURN_S:
                     self._give_back[machine.name] = "silent"
                 continue
             if machine.live or machine.unknown or machine.evict_at is not None or not machine.synced:
@@ -267,7 +267,7 @@
                 self._start_return(machine, "faulty")
             elif machine.draining:
                 self._start_return(machine, "drained")
-            elif now - max(machine.idle_since, self._ledger.started) > self._patience(machine):
+            elif now - max(machine.idle_since, self._cluster.started) > self._patience(machine):
                 if any(zone in (None, machine.zone) and machine.allows(spec) for spec, zone in awaited):
                     continue
                 if kept and not machine.spot:
@@ -286,10 +286,10 @@
                     room[machine.zone] -= mine
                 self._start_return(machine, "idle")
         for name, pending in self.pending.items():
-            if name in self._ledger.unconfirmed:
+            if name in self._cluster.unconfirmed:
                 continue
             up = self._running_since.get(name)
-            if given_up(pending, self._boots, self._ledger.catalog, now, self._ledger.started):
+            if given_up(pending, self._boots, self._cluster.catalog, now, self._cluster.started):
                 self._give_back.setdefault(name, "never came up")
             elif up is not None and now - up > 2 * C.SILENT_RETURN_S:
                 self._give_back.setdefault(name, "up but silent")
@@ -298,28 +298,28 @@
         """How long a machine may idle: it is paid for its first minute anyway."""
         if self._hurried:
             return C.IDLE_RETURN_HURRIED_S
-        kind = self._ledger.catalog.machine_types.get(machine.machine_type)
+        kind = self._cluster.catalog.machine_types.get(machine.machine_type)
         return C.IDLE_OF_BOOT * (kind.boot_s if kind is not None else C.MIN_CHARGE_S)
 
     def _start_return(self, machine: Machine, why: str) -> None:
         machine.returning = True
-        self._ledger.reindex(machine)
+        self._cluster.reindex(machine)
         self._give_back[machine.name] = why
 
     async def _return(self) -> None:
         """Nothing is bound to what goes back; that was decided without an await in between."""
         names = []
         for name in list(self._give_back):
-            machine = self._ledger.machines.get(name)
+            machine = self._cluster.machines.get(name)
             if machine is not None and (machine.live or machine.unknown):
                 # It came back to life, with work: it stays.
                 machine.returning = False
-                self._ledger.reindex(machine)
+                self._cluster.reindex(machine)
                 del self._give_back[name]
                 continue
             if machine is not None:
                 machine.returning = True
-                self._ledger.reindex(machine)
+                self._cluster.reindex(machine)
             names.append(name)
         names = names[: C.RETURN_MAX]
         if not names:
@@ -335,12 +335,12 @@
             self._give_back.pop(name, None)
             self.pending.pop(name, None)
             self._returned[name] = now
-            self._ledger.gone_for_certain(name, now, "machine returned")
+            self._cluster.gone_for_certain(name, now, "machine returned")
 
     def _consolidate(self, now: float) -> None:
         """In quiet times, a few machines at a time: their services move to fuller ones and they go back. One at a time
         was too slow for hundreds, and so was waiting for a moment when none is coming up: there is none."""
-        cluster = self._ledger
+        cluster = self._cluster
         if self._hurried or self._open or now - self._drained_at < C.DRAIN_EVERY_S:
             return
         few = int(C.DRAIN_SHARE * len(cluster.ready))
@@ -362,7 +362,7 @@
             self.on_drain()
 
     def _price(self, machine: Machine) -> float:
-        kind = self._ledger.catalog.machine_types.get(machine.machine_type)
+        kind = self._cluster.catalog.machine_types.get(machine.machine_type)
         return kind.cost(machine.spot) if kind is not None else 0.0
 
     # --- renting ---
@@ -397,11 +397,11 @@
     def _headroom(self) -> list[Need]:
         """Where time counts, whole machines ahead of the work: in a burst of arrays a boot costs more than their run.
         What is coming up is filled first, by the plan."""
-        kinds = list(self._ledger.catalog.machine_types.values())
+        kinds = list(self._cluster.catalog.machine_types.values())
         if not kinds:
             return []
         used = free = 0.0
-        for machine in self._ledger.ready.values():
+        for machine in self._cluster.ready.values():
             used += machine.cpus
             free += machine.cap_cpus - machine.cpus
         kind = min(kinds, key=lambda f: f.cost(False) / max(f.cpus, 0.1))
@@ -410,12 +410,12 @@
 
     def _group_room(self) -> tuple[dict[str, float], float]:
         """CPUs on ordinary machines, free or coming, by zone; and how many are kept ready in one zone for groups."""
-        kept = 0.0 if self._hurried else self._ledger.group_spare(self._prompt)
+        kept = 0.0 if self._hurried else self._cluster.group_spare(self._prompt)
         if not kept:
             return {}, 0.0
-        free = dict.fromkeys(self._ledger.catalog.zones, 0.0) | self._ledger.ordinary_room()
+        free = dict.fromkeys(self._cluster.catalog.zones, 0.0) | self._cluster.ordinary_room()
         for p in self._counted_on(trio.current_time()):
-            kind = self._ledger.catalog.machine_types.get(p.machine_type)
+            kind = self._cluster.catalog.machine_types.get(p.machine_type)
             if kind is not None and not p.spot:
                 free[p.zone] = free.get(p.zone, 0.0) + kind.cpus
         return free, kept
@@ -425,7 +425,7 @@
         if not kept:
             return []
         zone = max(sorted(free), key=lambda z: free[z])
-        groups = [s for name in self._prompt if (s := self._ledger.largest_group.get(name)) is not None]
+        groups = [s for name in self._prompt if (s := self._cluster.largest_group.get(name)) is not None]
         spec = max(groups, key=lambda s: (s.cpus, s.job_id))
         missing = math.ceil((kept - free[zone]) / max(spec.cpus, 0.1))
         if missing <= 0:
@@ -435,17 +435,17 @@
     def _spare_spec(self) -> JobSpec | None:
         """The largest live service of a class whose tasks should start within seconds: room for one more of
         it is kept ready, since a machine takes far longer to boot."""
-        jobs = [j.spec for j in self._ledger.jobs.values() if j.spec.endless and j.spec.workload in self._prompt]
+        jobs = [j.spec for j in self._cluster.jobs.values() if j.spec.endless and j.spec.workload in self._prompt]
         return max(jobs, key=lambda s: (s.zone_limit * s.cpus, s.job_id), default=None)
 
     def _spare_room(self, spec: JobSpec) -> dict[str, int]:
         """Tasks of this kind that could start at once, by zone: in free room or in place of lesser work."""
-        room: dict[str, int] = {z: 0 for z in self._ledger.catalog.zones if spec.zone in (None, z)}
-        for machine in self._ledger.ready.values():
+        room: dict[str, int] = {z: 0 for z in self._cluster.catalog.zones if spec.zone in (None, z)}
+        for machine in self._cluster.ready.values():
             if machine.allows(spec):
                 room[machine.zone] = room.get(machine.zone, 0) + self._spare_on(machine, spec)
         for p in self._counted_on(trio.current_time()):
-            kind = self._ledger.catalog.machine_types.get(p.machine_type)
+            kind = self._cluster.catalog.machine_types.get(p.machine_type)
             if kind is not None and not p.spot and (spec.machine_types is None or p.machine_type in spec.machine_types):
                 room[p.zone] = room.get(p.zone, 0) + int(kind.cpus // max(spec.cpus, 0.1))
         return room
@@ -475,21 +475,13 @@
         spec = item.job.spec
         if spec.due_s is None:
             return False
-        boot, pull = self._lead_time(spec)
-        need = boot + pull + spec.expected_s * C.ESTIMATE_SLACK + C.PATIENCE_S
-        return item.job.submitted + spec.due_s - now > need
-
-    def _lead_time(self, spec: JobSpec) -> tuple[float, float]:
-        """Boot and fetch of the quickest machine type that fits."""
-        kinds = [f for f in self._ledger.catalog.machine_types.values() if f.fits(spec.cpus, spec.gpus, spec.memory)]
-        boot = min((f.boot_s for f in kinds), default=0.0)
-        return boot, max((spec.image_gb / f.pull_rate for f in kinds), default=0.0)
+        return time_to_rent(spec, self._cluster.catalog, item.job.submitted + spec.due_s - now)
 
     def _enough(self, item: Unplaced, now: float) -> int:
         """How many more tasks at once meet the deadline: machines beyond that cost without use."""
         job, spec = item.job, item.job.spec
         assert spec.due_s is not None
-        boot, pull = self._lead_time(spec)
+        boot, pull = lead_time_s(spec, self._cluster.catalog)
         left = (job.submitted + spec.due_s - now) * C.DEADLINE_USE - boot - pull
         waves = max(1, int(left / max(1.0, spec.expected_s)))
         tasks = spec.shards - job.done.count
@@ -502,14 +494,14 @@
             return
         self._planned_at = now
         in_zone: dict[str, int] = {}
-        for machine in self._ledger.machines.values():
+        for machine in self._cluster.machines.values():
             in_zone[machine.zone] = in_zone.get(machine.zone, 0) + 1
         for p in self.pending.values():
             in_zone[p.zone] = in_zone.get(p.zone, 0) + 1
         wanted = plan(
             self.needs(now),
             self._counted_on(now),
-            self._ledger.catalog,
+            self._cluster.catalog,
             self.refused,
             now,
             in_zone,
@@ -517,11 +509,11 @@
         )
         for offer, count in sorted(wanted.items(), key=lambda i: -i[1]):
             self._counter += 1
-            ref = f"r-{self._ledger.term}-{self._counter}"
+            ref = f"r-{self._cluster.term}-{self._counter}"
             self._open.append(_Rental(ref, offer, min(count, C.RENT_MAX)))
 
     def _counted_on(self, now: float) -> list[Pending]:
-        return counted_on(list(self.pending.values()), self._boots, self._ledger.catalog, now)
+        return counted_on(list(self.pending.values()), self._boots, self._cluster.catalog, now)
 
     def _refuse(self, offer: Offer, now: float) -> None:
         """Not again for a while, longer each time: refused calls use up the cloud's rate all the same."""
@@ -565,7 +557,7 @@
         now = trio.current_time()
         self._open.remove(rental)
         for name in names:
-            if name not in self._ledger.machines:
+            if name not in self._cluster.machines:
                 self.pending[name] = Pending(name, machine_type, zone, spot, now, ours=True)
         self._refusals.pop(rental.offer, None)
         if len(names) < rental.count:
--- a/sorrelsill/fleet/rentals.py
+++ b/sorrelsill/fleet/rentals.py
@@ -4,11 +4,15 @@
 
 import math
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from sorrelsill import constants as C
 from sorrelsill.fleet.boot_times import BootTimes
 from sorrelsill.fleet.catalog import Catalog
 
+if TYPE_CHECKING:
+    from sorrelsill.jobs import JobSpec
+
 Offer = tuple[str, str, bool]  # machine type, zone, spot
 
 
@@ -90,6 +94,19 @@
     return wanted
 
 
+def lead_time_s(spec: JobSpec, catalog: Catalog) -> tuple[float, float]:
+    """Boot and image fetch of the quickest machine type that fits a task."""
+    kinds = [t for t in catalog.machine_types.values() if t.fits(spec.cpus, spec.gpus, spec.memory)]
+    boot_s = min((t.boot_s for t in kinds), default=0.0)
+    return boot_s, max((spec.image_gb / t.pull_rate for t in kinds), default=0.0)
+
+
+def time_to_rent(spec: JobSpec, catalog: Catalog, left_s: float) -> bool:
+    """Whether a task on a machine that is still to be rented can be done within the time that is left."""
+    boot_s, pull_s = lead_time_s(spec, catalog)
+    return left_s > boot_s + pull_s + spec.expected_s * C.ESTIMATE_SLACK + C.PATIENCE_S
+
+
 def _allows(need: Need, offer: Offer) -> bool:
     return (
         (need.machine_types is None or offer[0] in need.machine_types)
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -68,7 +68,7 @@
     def __init__(self, store: Store, view: View, cluster: ClusterState, valid: Callable[[], bool]) -> None:
         self._store = store
         self._view = view
-        self._ledger = cluster
+        self._cluster = cluster
         self._valid = valid
         self._alone = 0  # steps in which each change goes by itself, after a refusal
         self._aside: dict[str, float] = {}  # changes that were refused alone: until when they are left out
@@ -84,7 +84,7 @@
             return False
         now = trio.current_time()
         self._aside = {unit: until for unit, until in self._aside.items() if until > now}
-        batch = _Batch(self._ledger.term, self._store.txn_ops)
+        batch = _Batch(self._cluster.term, self._store.txn_ops)
         over, turned, progress = self._due()
         # Jobs that are over go first, since their users wait for it, then machines that wait for their first work,
         # then jobs that begin or stop to run. Mere progress never costs what these need next.
@@ -137,7 +137,7 @@
         """Machines that may hold work, many to a key. Each write carries the revision of what it replaces: found by
         reading, a removal that was carried out late or twice could undo a later entry of the same term, and the next
         leader would not have waited for that machine."""
-        cluster = self._ledger
+        cluster = self._cluster
         bases: dict[str, str] = {}  # key of a part -> a machine of it
         add: dict[str, dict[str, Machine]] = {}
         for name in list(cluster.gone):
@@ -182,7 +182,7 @@
     def _rostered(self, write: RosterWrite, added: list[tuple[Machine, int]], rev: int) -> None:
         """A part of the roster is committed: its machines may be given work, unless they changed meanwhile. Machines
         that are gone stay due until they stand in no part any more."""
-        cluster = self._ledger
+        cluster = self._cluster
         self._view.apply(write.key, write.value, rev, True)
         for machine, session in added:
             cluster.to_roster.pop(machine.name, None)
@@ -197,7 +197,7 @@
         """Jobs that are over, that begin or stop to run, and whose progress is due. That is for display, and its
         results stay on the workers until they are recorded, so it is gathered: found on a measured day, writing each
         job at each change used up the store's rate, and submissions waited. With many jobs it is gathered longer."""
-        cluster = self._ledger
+        cluster = self._cluster
         cluster.dirty.intersection_update(cluster.jobs)
         now = trio.current_time()
         pace = max(C.PROGRESS_EVERY_S, len(cluster.dirty) / (C.PROGRESS_SHARE * self._store.writes.rate))
@@ -221,7 +221,7 @@
                 return
 
     def _record(self, batch: _Batch, job: Job) -> bool:
-        cluster, spec, store = self._ledger, job.spec, self._store
+        cluster, spec, store = self._cluster, job.spec, self._store
         job_id = spec.job_id
         results = cluster.unrecorded(job_id)
         if job.done.count == spec.shards and not spec.endless:
--- a/sorrelsill/placement/engine.py
+++ b/sorrelsill/placement/engine.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass
 
 from sorrelsill import constants as C
+from sorrelsill.fleet import time_to_rent
 from sorrelsill.jobs import JobSpec
 from sorrelsill.placement import groups
 from sorrelsill.settings import Objective, Team
@@ -120,16 +121,14 @@
         return missed, job.submitted
 
     def _order(self, cluster: ClusterState, now: float) -> list[str]:
-        def key(job: Job) -> tuple[int, int, int, int, int, int, float, float]:
+        def key(job: Job) -> tuple[int, int, int, int, int, float, float]:
             spec = job.spec
             missed, due = self.due(job, now)
             # The least work first: by their marks alone, in a burst all jobs share what room there is and all miss.
             work = 0.0 if spec.endless else (spec.shards - job.done.count) * spec.cpus * spec.expected_s
             guaranteed = 0 if job.spec.job_id in self.guaranteed else 1
             aged = 0 if aged_out(job, now) else 1
-            # Guests come after all others of their rank: with the least work first, their many small jobs went before.
-            guest = 1 if self._is_guest(spec.team) else 0
-            return (min(spec.rank, 1), aged, guaranteed, spec.rank, guest, missed, work, due)
+            return (min(spec.rank, 1), aged, guaranteed, spec.rank, missed, work, due)
 
         return [j.spec.job_id for j in sorted((j for j in cluster.jobs.values() if j.waiting > 0), key=key)]
 
@@ -520,6 +519,12 @@
         """Whether the job may take room from any lower work: others wait, so that low work gets done as well."""
         return job.spec.rank == _PROD or job.spec.whole or job.spec.job_id in self.guaranteed
 
+    def _presses(self, cluster: ClusterState, job: Job, now: float) -> bool:
+        """Whether the next moment that matters to the job's user would pass before a rented machine could help. Until
+        then guests keep their room: guards against stopping work for a job that can be in time without."""
+        missed, mark = self.due(job, now)
+        return mark > now and not time_to_rent(job.spec, cluster.catalog, mark - now)
+
     def _yields(self, victim: JobSpec, claimant: JobSpec) -> bool:
         """Guests, whose team has no guarantee, run on what nobody else needs: guards against their arrays filling all
         machines while work of others with a deadline waits."""
@@ -534,7 +539,7 @@
     ) -> int:
         """Stop the least work that lets waiting tasks in; their room is awaited before more is stopped."""
         spec = job.spec
-        if not self._may_preempt(job) and not (self._guests - {spec.team}):
+        if not self._may_preempt(job) and not (self._guests - {spec.team} and self._presses(cluster, job, now)):
             return 0
         wanted = min(job.waiting - self._claimed(job, now), C.PREEMPT_PER_ROUND)
         kind = (spec.rank, spec.team, spec.job_id in self.guaranteed, spec.cpus, spec.memory, spec.gpus, spec.spot)
--- a/tests/scenarios/test_bad_nights.py
+++ b/tests/scenarios/test_bad_nights.py
@@ -227,10 +227,11 @@
         )
         await world.until(lambda: len(world.running("run-g")) >= 96, 60)
         await trio.sleep(5)
-        await world.submit(job("run-d", shards=10, vcpus=4.0, expectedRunS=10.0, dueS=60.0))
+        await world.submit(job("run-d", shards=10, vcpus=4.0, expectedRunS=10.0, dueS=28.0))
         submitted = trio.current_time()
-        await world.until(lambda: len(world.running("run-d")) == 10, 4)
-        print(f"all of an array within {trio.current_time() - submitted:.1f} s")
+        await world.until(lambda: len(world.running("run-d")) == 10, 6)
+        await world.until_phase("run-d", "done", 28)
+        assert trio.current_time() - submitted < 28, "in time"
         await world.submit(service("run-s", shards=2, rank="prod", vcpus=4.0))
         await world.until(lambda: len(world.running("run-s")) == 2, 3)
         await world.calm()
@@ -238,6 +239,22 @@
     story(tell, teams=[Team("red"), Team("guests")])
 
 
+def test_guests_keep_their_room_while_machines_can_still_be_rented_in_time() -> None:
+    async def tell(world: World) -> None:
+        await world.until_leader()
+        await world.submit(
+            job("run-g", owner="guests", rank="best_effort", shards=60, vcpus=0.5, memoryGb=0.5, expectedRunS=60.0)
+        )
+        await world.until(lambda: len(world.running("run-g")) == 60, 60)
+        before = len(world.starts)
+        await world.submit(job("run-d", shards=10, vcpus=4.0, expectedRunS=10.0, dueS=60.0))
+        await world.until_phase("run-d", "done", 60)
+        assert len(world.starts) == before + 10, "no task of the guests was stopped"
+        await world.calm()
+
+    story(tell, teams=[Team("red"), Team("guests")])
+
+
 def test_a_huge_array_and_a_swarm_starve_nobody_and_are_served() -> None:
     async def tell(world: World) -> None:
         world.cloud.capacity = 8
