--- /dev/null
+++ b/sorrelsill/fleet/cloud.py
@@ -0,0 +1,55 @@
+"""The cloud's client: its calls, under its rate."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+
+from sorrelsill import constants as C
+from sorrelsill.http import Client, NoAnswer, NotSent, always
+from sorrelsill.settings import CloudLimits
+from sorrelsill.store.budget import Bucket
+
+_encode = msgspec.msgpack.Encoder().encode
+_decode = msgspec.msgpack.Decoder().decode
+
+
+class CloudError(Exception):
+    """`sent` tells whether the request may have been carried out."""
+
+    def __init__(self, text: str, status: int = 0, sent: bool = False) -> None:
+        super().__init__(text)
+        self.status = status
+        self.sent = sent
+
+
+class Cloud:
+    """The cloud's calls, under its rate."""
+
+    def __init__(self, client: Client, limits: CloudLimits) -> None:
+        self._client = client
+        self.bucket = Bucket(limits.rps * C.CLOUD_SHARE, max(1.0, limits.rps))
+
+    async def call(
+        self, method: str, target: str, body: Any = None, may_send: Callable[[], bool] = always
+    ) -> dict[str, Any]:
+        """One call; `may_send` is asked right before it goes out. The cloud knows no tokens, so this alone keeps a
+        deposed leader from renting or returning machines."""
+        await self.bucket.wait()
+        try:
+            status, raw = await self._client.request(
+                method, target, _encode(body) if body is not None else b"", C.CLOUD_TIMEOUT_S, may_send
+            )
+            answer = _decode(raw) if raw else {}
+        except NotSent as error:
+            raise CloudError(str(error)) from None
+        except (NoAnswer, msgspec.DecodeError) as error:
+            raise CloudError(str(error), sent=True) from None
+        if status == 429:
+            self.bucket.drain()
+        if status != 200 or not isinstance(answer, dict):
+            why = answer.get("error") if isinstance(answer, dict) else None
+            raise CloudError(f"{status} {why}", status, sent=status not in (400, 429, 503))
+        return answer
--- /dev/null
+++ b/sorrelsill/fleet/demand.py
@@ -0,0 +1,154 @@
+"""What the fleet should have room for: tasks that wait, and room kept ready where aims leave no time to boot."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from sorrelsill import constants as C
+from sorrelsill.fleet.rentals import Need, Pending, lead_time_s, time_to_rent
+
+if TYPE_CHECKING:
+    from sorrelsill.jobs import JobSpec
+    from sorrelsill.placement import Unplaced
+    from sorrelsill.workers import ClusterState, Machine
+
+
+class Demand:
+    """Pure decisions on the cluster state and the machines on their way."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        unplaced: Callable[[], list[Unplaced]],
+        counted_on: Callable[[], list[Pending]],
+        hurried: bool,
+        prompt: set[str],
+    ) -> None:
+        self._cluster = cluster
+        self._unplaced = unplaced
+        self._counted_on = counted_on  # machines on their way that are expected to come up in time
+        self._hurried = hurried  # time counts, not money
+        self._prompt = prompt  # classes whose tasks should start within seconds
+
+    def needs(self, now: float) -> list[Need]:
+        """Room that is missing for waiting tasks, and what is kept ready ahead of work."""
+        out = []
+        for item in self._unplaced():
+            if item.limited:
+                continue
+            job, spec = item.job, item.job.spec
+            count = min(item.count, 40 * C.RENT_MAX)
+            if spec.due_s is not None and not spec.endless and not spec.whole:
+                count = min(count, self._enough(item, now))
+            if count > 0:
+                patient = spec.spot and not self._hurried and self._can_wait(item, now)
+                out.append(
+                    Need(
+                        count,
+                        spec.cpus,
+                        spec.gpus,
+                        spec.memory,
+                        spec.machine_types,
+                        spec.zone or item.zone,
+                        spec.spot,
+                        spec.zone_limit if spec.scatter else None,
+                        dict(job.zones),
+                        patient,
+                    )
+                )
+        return out + self._spare_needs() + self._group_needs() + (self._headroom() if self._hurried else [])
+
+    def _headroom(self) -> list[Need]:
+        """Where time counts, whole machines ahead of the work: in a burst of arrays a boot costs more than their run.
+        What is coming up is filled first, by the plan."""
+        kinds = list(self._cluster.catalog.machine_types.values())
+        if not kinds:
+            return []
+        used = free = 0.0
+        for machine in self._cluster.ready.values():
+            used += machine.cpus
+            free += machine.cap_cpus - machine.cpus
+        kind = min(kinds, key=lambda f: f.cost(False) / max(f.cpus, 0.1))
+        missing = int((C.HEADROOM * used - free) / max(kind.cpus, 0.1))
+        return [Need(missing, kind.cpus, 0.0, kind.memory, None, None, True, None)] if missing > 0 else []
+
+    def group_room(self) -> tuple[dict[str, float], float]:
+        """CPUs on ordinary machines, free or coming, by zone; and how many are kept ready in one zone for groups."""
+        kept = 0.0 if self._hurried else self._cluster.group_spare(self._prompt)
+        if not kept:
+            return {}, 0.0
+        free = dict.fromkeys(self._cluster.catalog.zones, 0.0) | self._cluster.ordinary_room()
+        for p in self._counted_on():
+            kind = self._cluster.catalog.machine_types.get(p.machine_type)
+            if kind is not None and not p.spot:
+                free[p.zone] = free.get(p.zone, 0.0) + kind.cpus
+        return free, kept
+
+    def _group_needs(self) -> list[Need]:
+        free, kept = self.group_room()
+        if not kept:
+            return []
+        zone = max(sorted(free), key=lambda z: free[z])
+        groups = [s for name in self._prompt if (s := self._cluster.largest_group.get(name)) is not None]
+        spec = max(groups, key=lambda s: (s.cpus, s.job_id))
+        missing = math.ceil((kept - free[zone]) / max(spec.cpus, 0.1))
+        if missing <= 0:
+            return []
+        return [Need(missing, spec.cpus, spec.gpus, spec.memory, spec.machine_types, zone, False, None)]
+
+    def spare_spec(self) -> JobSpec | None:
+        """The largest live service of a class whose tasks should start within seconds: room for one more of
+        it is kept ready, since a machine takes far longer to boot."""
+        jobs = [j.spec for j in self._cluster.jobs.values() if j.spec.endless and j.spec.workload in self._prompt]
+        return max(jobs, key=lambda s: (s.zone_limit * s.cpus, s.job_id), default=None)
+
+    def spare_room(self, spec: JobSpec) -> dict[str, int]:
+        """Tasks of this kind that could start at once, by zone: in free room or in place of lesser work."""
+        room: dict[str, int] = {z: 0 for z in self._cluster.catalog.zones if spec.zone in (None, z)}
+        for machine in self._cluster.ready.values():
+            if machine.allows(spec):
+                room[machine.zone] = room.get(machine.zone, 0) + self.spare_on(machine, spec)
+        for p in self._counted_on():
+            kind = self._cluster.catalog.machine_types.get(p.machine_type)
+            if kind is not None and not p.spot and (spec.machine_types is None or p.machine_type in spec.machine_types):
+                room[p.zone] = room.get(p.zone, 0) + int(kind.cpus // max(spec.cpus, 0.1))
+        return room
+
+    @staticmethod
+    def spare_on(machine: Machine, spec: JobSpec) -> int:
+        cpus, memory = machine.cap_cpus, machine.cap_memory
+        for attempt in machine.attempts.values() if machine.live else ():
+            kept = attempt.spec
+            if kept is not None and (kept.rank <= spec.rank or kept.whole):
+                cpus -= kept.cpus
+                memory -= kept.memory
+        return max(0, int(min(cpus / max(spec.cpus, 0.1), memory / max(spec.memory, 0.1)) + 1e-6))
+
+    def _spare_needs(self) -> list[Need]:
+        spec = self.spare_spec()
+        if spec is None:
+            return []
+        return [
+            Need(spec.zone_limit - have, spec.cpus, spec.gpus, spec.memory, spec.machine_types, zone, False, None)
+            for zone, have in sorted(self.spare_room(spec).items())
+            if have < spec.zone_limit
+        ]
+
+    def _can_wait(self, item: Unplaced, now: float) -> bool:
+        """Whether a task started on a machine that is rented later can still be in time."""
+        spec = item.job.spec
+        if spec.due_s is None:
+            return False
+        return time_to_rent(spec, self._cluster.catalog, item.job.submitted + spec.due_s - now)
+
+    def _enough(self, item: Unplaced, now: float) -> int:
+        """How many more tasks at once meet the deadline: machines beyond that cost without use."""
+        job, spec = item.job, item.job.spec
+        assert spec.due_s is not None
+        boot, pull = lead_time_s(spec, self._cluster.catalog)
+        left = (job.submitted + spec.due_s - now) * C.DEADLINE_USE - boot - pull
+        waves = max(1, int(left / max(1.0, spec.expected_s)))
+        tasks = spec.shards - job.done.count
+        return max(0, -(-tasks // waves) - len(job.bound))
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import logging
-import math
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
@@ -14,14 +13,12 @@
 from sorrelsill import constants as C
 from sorrelsill.fleet.boot_times import BootTimes
 from sorrelsill.fleet.catalog import Catalog, parse_catalog
+from sorrelsill.fleet.cloud import Cloud, CloudError
 from sorrelsill.fleet.consolidate import machines_to_drain
-from sorrelsill.fleet.rentals import Need, Offer, Pending, counted_on, given_up, lead_time_s, plan, time_to_rent
-from sorrelsill.http import Client, NoAnswer, NotSent, always
-from sorrelsill.settings import CloudLimits
-from sorrelsill.store.budget import Bucket
+from sorrelsill.fleet.demand import Demand
+from sorrelsill.fleet.rentals import Offer, Pending, counted_on, given_up, plan
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
     from sorrelsill.placement import Unplaced
     from sorrelsill.workers import ClusterState, Machine
 
@@ -31,45 +28,6 @@
 _decode = msgspec.msgpack.Decoder().decode
 
 
-class CloudError(Exception):
-    """`sent` tells whether the request may have been carried out."""
-
-    def __init__(self, text: str, status: int = 0, sent: bool = False) -> None:
-        super().__init__(text)
-        self.status = status
-        self.sent = sent
-
-
-class Cloud:
-    """The cloud's calls, under its rate."""
-
-    def __init__(self, client: Client, limits: CloudLimits) -> None:
-        self._client = client
-        self.bucket = Bucket(limits.rps * C.CLOUD_SHARE, max(1.0, limits.rps))
-
-    async def call(
-        self, method: str, target: str, body: Any = None, may_send: Callable[[], bool] = always
-    ) -> dict[str, Any]:
-        """One call; `may_send` is asked right before it goes out. The cloud knows no tokens, so this alone keeps a
-        deposed leader from renting or returning machines."""
-        await self.bucket.wait()
-        try:
-            status, raw = await self._client.request(
-                method, target, _encode(body) if body is not None else b"", C.CLOUD_TIMEOUT_S, may_send
-            )
-            answer = _decode(raw) if raw else {}
-        except NotSent as error:
-            raise CloudError(str(error)) from None
-        except (NoAnswer, msgspec.DecodeError) as error:
-            raise CloudError(str(error), sent=True) from None
-        if status == 429:
-            self.bucket.drain()
-        if status != 200 or not isinstance(answer, dict):
-            why = answer.get("error") if isinstance(answer, dict) else None
-            raise CloudError(f"{status} {why}", status, sent=status not in (400, 429, 503))
-        return answer
-
-
 @dataclass(slots=True)
 class _Rental:
     """A request under its own name; after a lost answer it is repeated under the same name."""
@@ -89,7 +47,7 @@
         cloud: Cloud,
         cluster: ClusterState,
         valid: Callable[[], bool],
-        demand: Callable[[], list[Unplaced]],
+        unplaced: Callable[[], list[Unplaced]],
         hurried: bool,
         lag_s: float,
         prompt: set[str],
@@ -97,7 +55,8 @@
         self._cloud = cloud
         self._cluster = cluster
         self._valid = valid
-        self._demand = demand
+        self._unplaced = unplaced
+        self._demand = Demand(cluster, unplaced, lambda: self._counted_on(trio.current_time()), hurried, prompt)
         self._hurried = hurried
         self._lag = lag_s
         self._prompt = prompt  # classes whose tasks should start within seconds
@@ -233,7 +192,7 @@
                 " spot" if spot else "",
                 *row,
             )
-        waiting = [(u.job.spec.job_id, u.count, u.job.spec.expected_s) for u in self._demand()]
+        waiting = [(u.job.spec.job_id, u.count, u.job.spec.expected_s) for u in self._unplaced()]
         log.debug("waiting: %s", waiting)
 
     # --- returning ---
@@ -246,11 +205,11 @@
         self.refused = {o: t for o, t in self.refused.items() if t > now}
 
     def _choose_returns(self, now: float) -> None:
-        spare = self._spare_spec()
+        spare = self._demand.spare_spec()
         # A group that waits needs several machines at once: found in a story, each machine rented for it went back as
         # idle before the next was up.
-        awaited = [(u.job.spec, u.zone) for u in self._demand() if u.job.spec.whole and not u.limited]
-        free, kept = self._group_room()
+        awaited = [(u.job.spec, u.zone) for u in self._unplaced() if u.job.spec.whole and not u.limited]
+        free, kept = self._demand.group_room()
         room: dict[str, int] | None = None  # worked out only if a machine could go, since it walks all of them
         for machine in self._cluster.machines.values():
             if machine.name in self._give_back:
@@ -279,8 +238,8 @@
                     free[machine.zone] -= machine.cap_cpus
                 if spare is not None and machine.allows(spare):
                     if room is None:
-                        room = self._spare_room(spare)
-                    mine = self._spare_on(machine, spare)
+                        room = self._demand.spare_room(spare)
+                    mine = self._demand.spare_on(machine, spare)
                     if room.get(machine.zone, 0) - mine < spare.zone_limit:
                         continue  # giving it back would leave too little room ready
                     room[machine.zone] -= mine
@@ -346,11 +305,11 @@
         few = int(C.DRAIN_SHARE * len(cluster.ready))
         if len(self.pending) > few or cluster.unconfirmed:
             return
-        if any(u.count for u in self._demand()) or any(h.draining for h in cluster.machines.values()):
+        if any(u.count for u in self._unplaced()) or any(h.draining for h in cluster.machines.values()):
             return
         self._drained_at = now
-        spare = self._spare_spec()
-        zones = sorted(self._spare_room(spare)) if spare is not None else []
+        spare = self._demand.spare_spec()
+        zones = sorted(self._demand.spare_room(spare)) if spare is not None else []
         machines = machines_to_drain(cluster.ready.values(), cluster.jobs, now, self._price, spare, zones, max(1, few))
         for machine in machines:
             log.info("draining %s: its services fit elsewhere", machine.name)
@@ -367,126 +326,6 @@
 
     # --- renting ---
 
-    def needs(self, now: float) -> list[Need]:
-        out = []
-        for item in self._demand():
-            if item.limited:
-                continue
-            job, spec = item.job, item.job.spec
-            count = min(item.count, 40 * C.RENT_MAX)
-            if spec.due_s is not None and not spec.endless and not spec.whole:
-                count = min(count, self._enough(item, now))
-            if count > 0:
-                patient = spec.spot and not self._hurried and self._can_wait(item, now)
-                out.append(
-                    Need(
-                        count,
-                        spec.cpus,
-                        spec.gpus,
-                        spec.memory,
-                        spec.machine_types,
-                        spec.zone or item.zone,
-                        spec.spot,
-                        spec.zone_limit if spec.scatter else None,
-                        dict(job.zones),
-                        patient,
-                    )
-                )
-        return out + self._spare_needs() + self._group_needs() + (self._headroom() if self._hurried else [])
-
-    def _headroom(self) -> list[Need]:
-        """Where time counts, whole machines ahead of the work: in a burst of arrays a boot costs more than their run.
-        What is coming up is filled first, by the plan."""
-        kinds = list(self._cluster.catalog.machine_types.values())
-        if not kinds:
-            return []
-        used = free = 0.0
-        for machine in self._cluster.ready.values():
-            used += machine.cpus
-            free += machine.cap_cpus - machine.cpus
-        kind = min(kinds, key=lambda f: f.cost(False) / max(f.cpus, 0.1))
-        missing = int((C.HEADROOM * used - free) / max(kind.cpus, 0.1))
-        return [Need(missing, kind.cpus, 0.0, kind.memory, None, None, True, None)] if missing > 0 else []
-
-    def _group_room(self) -> tuple[dict[str, float], float]:
-        """CPUs on ordinary machines, free or coming, by zone; and how many are kept ready in one zone for groups."""
-        kept = 0.0 if self._hurried else self._cluster.group_spare(self._prompt)
-        if not kept:
-            return {}, 0.0
-        free = dict.fromkeys(self._cluster.catalog.zones, 0.0) | self._cluster.ordinary_room()
-        for p in self._counted_on(trio.current_time()):
-            kind = self._cluster.catalog.machine_types.get(p.machine_type)
-            if kind is not None and not p.spot:
-                free[p.zone] = free.get(p.zone, 0.0) + kind.cpus
-        return free, kept
-
-    def _group_needs(self) -> list[Need]:
-        free, kept = self._group_room()
-        if not kept:
-            return []
-        zone = max(sorted(free), key=lambda z: free[z])
-        groups = [s for name in self._prompt if (s := self._cluster.largest_group.get(name)) is not None]
-        spec = max(groups, key=lambda s: (s.cpus, s.job_id))
-        missing = math.ceil((kept - free[zone]) / max(spec.cpus, 0.1))
-        if missing <= 0:
-            return []
-        return [Need(missing, spec.cpus, spec.gpus, spec.memory, spec.machine_types, zone, False, None)]
-
-    def _spare_spec(self) -> JobSpec | None:
-        """The largest live service of a class whose tasks should start within seconds: room for one more of
-        it is kept ready, since a machine takes far longer to boot."""
-        jobs = [j.spec for j in self._cluster.jobs.values() if j.spec.endless and j.spec.workload in self._prompt]
-        return max(jobs, key=lambda s: (s.zone_limit * s.cpus, s.job_id), default=None)
-
-    def _spare_room(self, spec: JobSpec) -> dict[str, int]:
-        """Tasks of this kind that could start at once, by zone: in free room or in place of lesser work."""
-        room: dict[str, int] = {z: 0 for z in self._cluster.catalog.zones if spec.zone in (None, z)}
-        for machine in self._cluster.ready.values():
-            if machine.allows(spec):
-                room[machine.zone] = room.get(machine.zone, 0) + self._spare_on(machine, spec)
-        for p in self._counted_on(trio.current_time()):
-            kind = self._cluster.catalog.machine_types.get(p.machine_type)
-            if kind is not None and not p.spot and (spec.machine_types is None or p.machine_type in spec.machine_types):
-                room[p.zone] = room.get(p.zone, 0) + int(kind.cpus // max(spec.cpus, 0.1))
-        return room
-
-    @staticmethod
-    def _spare_on(machine: Machine, spec: JobSpec) -> int:
-        cpus, memory = machine.cap_cpus, machine.cap_memory
-        for attempt in machine.attempts.values() if machine.live else ():
-            kept = attempt.spec
-            if kept is not None and (kept.rank <= spec.rank or kept.whole):
-                cpus -= kept.cpus
-                memory -= kept.memory
-        return max(0, int(min(cpus / max(spec.cpus, 0.1), memory / max(spec.memory, 0.1)) + 1e-6))
-
-    def _spare_needs(self) -> list[Need]:
-        spec = self._spare_spec()
-        if spec is None:
-            return []
-        return [
-            Need(spec.zone_limit - have, spec.cpus, spec.gpus, spec.memory, spec.machine_types, zone, False, None)
-            for zone, have in sorted(self._spare_room(spec).items())
-            if have < spec.zone_limit
-        ]
-
-    def _can_wait(self, item: Unplaced, now: float) -> bool:
-        """Whether a task started on a machine that is rented later can still be in time."""
-        spec = item.job.spec
-        if spec.due_s is None:
-            return False
-        return time_to_rent(spec, self._cluster.catalog, item.job.submitted + spec.due_s - now)
-
-    def _enough(self, item: Unplaced, now: float) -> int:
-        """How many more tasks at once meet the deadline: machines beyond that cost without use."""
-        job, spec = item.job, item.job.spec
-        assert spec.due_s is not None
-        boot, pull = lead_time_s(spec, self._cluster.catalog)
-        left = (job.submitted + spec.due_s - now) * C.DEADLINE_USE - boot - pull
-        waves = max(1, int(left / max(1.0, spec.expected_s)))
-        tasks = spec.shards - job.done.count
-        return max(0, -(-tasks // waves) - len(job.bound))
-
     def _choose_rentals(self, now: float) -> None:
         if self._open or self._lists == 0:
             return  # first learn what is there: an earlier leader's rentals are still coming up
@@ -499,7 +338,7 @@
         for p in self.pending.values():
             in_zone[p.zone] = in_zone.get(p.zone, 0) + 1
         wanted = plan(
-            self.needs(now),
+            self._demand.needs(now),
             self._counted_on(now),
             self._cluster.catalog,
             self.refused,
--- a/tests/scenarios/test_cancelled.py
+++ b/tests/scenarios/test_cancelled.py
@@ -7,75 +7,71 @@
 
 from sorrelsill import constants as C
 from sorrelsill.http import Request
-from tests.simulation import World, job, story
-from tests.simulation.world import CANCEL_S, LABELS, LEASE_S
+from tests.simulation import SimulatedCluster, run_scenario, service
+from tests.simulation.simulated_cluster import CANCEL_S, LABELS, LEASE_S
 
 
-def service(job_id: str, **fields: object) -> dict[str, object]:
-    return job(job_id, **{"shape": "standing", "expectedRunS": 0.0, **fields})
-
-
-async def two_services(world: World, *cancelled: str) -> str:
+async def two_services(simulation: SimulatedCluster, *cancelled: str) -> str:
     """`run-s`, which stays, and those to be cancelled. Returns the leader."""
     for job_id in ("run-s", *cancelled):
-        await world.submit(service(job_id, vcpus=1.0))
-    await world.until(lambda: all(len(world.running(job_id)) == 2 for job_id in ("run-s", *cancelled)))
-    return await world.until_leader()
+        await simulation.submit(service(job_id, vcpus=1.0))
+    await simulation.until(lambda: all(len(simulation.running(job_id)) == 2 for job_id in ("run-s", *cancelled)))
+    return await simulation.until_leader()
 
 
 def others(leader: str) -> list[str]:
     return [label for label in LABELS if label != leader]
 
 
-def no_watch_is_answered(world: World) -> None:
+def no_watch_is_answered(simulation: SimulatedCluster) -> None:
     """What is committed from now on reaches no other controller's view."""
-    world.net.drop_answers = lambda src, dst, request: dst == "store" and request.path == "/follow"
+    simulation.net.drop_answers = lambda src, dst, request: dst == "store" and request.path == "/follow"
 
 
-def workers_reach_only(world: World, label: str) -> None:
-    world.net.refused = {(name, other) for name in world.workers for other in others(label)}
+def workers_reach_only(simulation: SimulatedCluster, label: str) -> None:
+    simulation.net.refused = {(name, other) for name in simulation.workers for other in others(label)}
 
 
-async def cancel_at(world: World, label: str, job_id: str) -> None:
-    status, answer = await world.ask(label, "POST", f"/v2/runs/{job_id}/cancel")
+async def cancel_at(simulation: SimulatedCluster, label: str, job_id: str) -> None:
+    status, answer = await simulation.ask(label, "POST", f"/v2/runs/{job_id}/cancel")
     assert status == 200 and answer["phase"] == "cancelled"
 
 
 def test_what_another_controller_cancelled_goes_while_the_old_leader_renews_leases() -> None:
     """The gap: the old leader has followed nothing since it was refused, and went on renewing."""
 
-    async def tell(world: World) -> None:
-        old = await two_services(world, "run-c")
-        world.store.refused.add(old)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        old = await two_services(simulation, "run-c")
+        simulation.store.refused.add(old)
         await trio.sleep(0.5)
-        await cancel_at(world, others(old)[0], "run-c")
+        await cancel_at(simulation, others(old)[0], "run-c")
         await trio.sleep(1)
-        world.store.begin_outage()
+        simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
-        assert world.running("run-c") == []
-        assert len(world.running("run-s")) == 2, "what was not cancelled lives through the whole outage"
-        world.store.end_outage()
-        world.store.refused.clear()
-        await world.until_leader()
+        assert simulation.running("run-c") == []
+        assert len(simulation.running("run-s")) == 2, "what was not cancelled lives through the whole outage"
+        simulation.store.end_outage()
+        simulation.store.refused.clear()
+        await simulation.until_leader()
         await trio.sleep(5)
-        assert len(world.running("run-s")) == 2 and (await world.poll("run-c"))[1]["phase"] == "cancelled"
+        assert len(simulation.running("run-s")) == 2 and (await simulation.poll("run-c"))[1]["phase"] == "cancelled"
 
-    story(tell)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 0.02, 0.3])
 def test_the_outage_begins_within_the_same_second(pause_s: float) -> None:
-    async def tell(world: World) -> None:
-        old = await two_services(world, "run-c")
-        world.store.refused.add(old)
-        no_watch_is_answered(world)
-        await cancel_at(world, others(old)[0], "run-c")
+    async def scenario(simulation: SimulatedCluster) -> None:
+        old = await two_services(simulation, "run-c")
+        simulation.store.refused.add(old)
+        no_watch_is_answered(simulation)
+        await cancel_at(simulation, others(old)[0], "run-c")
         await trio.sleep(pause_s)
-        world.store.begin_outage()
+        simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
-        assert world.running("run-c") == [] and len(world.running("run-s")) == 2
+        assert simulation.running("run-c") == [] and len(simulation.running("run-s")) == 2
 
-    story(tell)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("reached", ["the old leader", "the one that died", "the third"])
@@ -83,76 +79,76 @@
 def test_the_confirming_controller_dies_right_after_its_answer(away_s: float, reached: str) -> None:
     """Nobody else knows then. So leases are renewed only as long as what it told still goes in time without a halt."""
 
-    async def tell(world: World) -> None:
-        old = await two_services(world, "run-c")
+    async def scenario(simulation: SimulatedCluster) -> None:
+        old = await two_services(simulation, "run-c")
         await trio.sleep(CANCEL_S + 5)  # all have followed for long enough to know what a blind process lacks
-        world.store.refused.add(old)
+        simulation.store.refused.add(old)
         other, third = others(old)
-        no_watch_is_answered(world)
-        await cancel_at(world, other, "run-c")
-        world.store.begin_outage()
-        world.kill(other)
+        no_watch_is_answered(simulation)
+        await cancel_at(simulation, other, "run-c")
+        simulation.store.begin_outage()
+        simulation.kill(other)
         told = trio.current_time()
         await trio.sleep(away_s)
-        world.start(other)
-        workers_reach_only(world, {"the old leader": old, "the one that died": other, "the third": third}[reached])
+        simulation.start(other)
+        workers_reach_only(simulation, {"the old leader": old, "the one that died": other, "the third": third}[reached])
         await trio.sleep_until(told + CANCEL_S - LEASE_S - C.RENEW_MARGIN_S - 1.5)
-        assert len(world.running("run-s")) == 2, "as long as it is safe, leases are renewed"
+        assert len(simulation.running("run-s")) == 2, "as long as it is safe, leases are renewed"
         await trio.sleep_until(told + 2 * CANCEL_S)
-        assert world.running("run-c") == []
-        world.net.drop_answers = lambda src, dst, request: False
-        world.net.refused.clear()
-        world.store.end_outage()
-        world.store.refused.clear()
-        await world.until(lambda: len(world.running("run-s")) == 2, 60)
+        assert simulation.running("run-c") == []
+        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.refused.clear()
+        simulation.store.end_outage()
+        simulation.store.refused.clear()
+        await simulation.until(lambda: len(simulation.running("run-s")) == 2, 60)
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_all_controllers_lose_their_memory_in_the_outage() -> None:
     """Three blind processes can't know what their predecessors told, so they renew no lease at all: the cancellation
     may be older than the time that leases could still be renewed in."""
 
-    async def tell(world: World) -> None:
-        old = await two_services(world, "run-c")
-        world.store.refused.add(old)
-        no_watch_is_answered(world)
-        await cancel_at(world, others(old)[0], "run-c")
-        world.store.begin_outage()
-        world.net.drop_answers = lambda src, dst, request: False
+    async def scenario(simulation: SimulatedCluster) -> None:
+        old = await two_services(simulation, "run-c")
+        simulation.store.refused.add(old)
+        no_watch_is_answered(simulation)
+        await cancel_at(simulation, others(old)[0], "run-c")
+        simulation.store.begin_outage()
+        simulation.net.drop_answers = lambda src, dst, request: False
         for label in LABELS:
-            world.kill(label)
+            simulation.kill(label)
         await trio.sleep(4)
         for label in LABELS:
-            world.start(label)
+            simulation.start(label)
         await trio.sleep(2 * CANCEL_S)
-        assert world.running("run-c") == []
-        world.store.end_outage()
-        world.store.refused.clear()
-        await world.until(lambda: len(world.running("run-s")) == 2, 40)
+        assert simulation.running("run-c") == []
+        simulation.store.end_outage()
+        simulation.store.refused.clear()
+        await simulation.until(lambda: len(simulation.running("run-s")) == 2, 40)
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_all_controllers_are_new_and_read_the_records_just_before_the_outage() -> None:
     """None of them learnt of the cancellation, as they only read what is live: what is not live has to go."""
 
-    async def tell(world: World) -> None:
-        old = await two_services(world, "run-c")
-        world.kill(old)
-        await cancel_at(world, others(old)[0], "run-c")
+    async def scenario(simulation: SimulatedCluster) -> None:
+        old = await two_services(simulation, "run-c")
+        simulation.kill(old)
+        await cancel_at(simulation, others(old)[0], "run-c")
         for label in others(old):
-            world.kill(label)
+            simulation.kill(label)
         await trio.sleep(0.2)
         for label in LABELS:
-            world.start(label)
-        await world.until(lambda: all(node.view.loaded for node in world.nodes.values()), 3)
-        assert world.leader() is None and len(world.running("run-c")) == 2
-        world.store.begin_outage()
+            simulation.start(label)
+        await simulation.until(lambda: all(node.view.loaded for node in simulation.nodes.values()), 3)
+        assert simulation.leader() is None and len(simulation.running("run-c")) == 2
+        simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
-        assert world.running("run-c") == [] and len(world.running("run-s")) == 2
+        assert simulation.running("run-c") == [] and len(simulation.running("run-s")) == 2
 
-    story(tell)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("confirms_old", [True, False])
@@ -160,35 +156,35 @@
     """It names no cancellations, so the bound is what our own view and new peers prove. A leader of that version renews
     without any bound; that can't be helped."""
 
-    async def tell(world: World) -> None:
-        leader = await two_services(world, "run-c")
+    async def scenario(simulation: SimulatedCluster) -> None:
+        leader = await two_services(simulation, "run-c")
         first, second = others(leader)
-        world.kill(first)
-        world.start(first, old=True)
+        simulation.kill(first)
+        simulation.start(first, old=True)
         await trio.sleep(60)
-        assert await world.until_leader() == leader
+        assert await simulation.until_leader() == leader
         # The former version goes on renewing, so the workers only reach the refused leader.
-        workers_reach_only(world, leader)
-        world.store.refused.add(leader)
-        no_watch_is_answered(world)
+        workers_reach_only(simulation, leader)
+        simulation.store.refused.add(leader)
+        no_watch_is_answered(simulation)
         await trio.sleep(0.3)
-        await cancel_at(world, first if confirms_old else second, "run-c")
-        world.store.begin_outage()
+        await cancel_at(simulation, first if confirms_old else second, "run-c")
+        simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
-        assert world.running("run-c") == []
-        world.net.refused.clear()
-        world.net.drop_answers = lambda src, dst, request: False
-        world.store.end_outage()
-        world.store.refused.clear()
-        await world.until(lambda: len(world.running("run-s")) == 2, 60)
+        assert simulation.running("run-c") == []
+        simulation.net.refused.clear()
+        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.store.end_outage()
+        simulation.store.refused.clear()
+        await simulation.until(lambda: len(simulation.running("run-s")) == 2, 60)
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_cancellation_whose_answer_was_lost_and_that_is_told_out_of_a_later_read() -> None:
-    async def tell(world: World) -> None:
-        old = await two_services(world, "run-c")
-        world.store.refused.add(old)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        old = await two_services(simulation, "run-c")
+        simulation.store.refused.add(old)
         first, second = others(old)
         lost: list[str] = []
 
@@ -198,97 +194,97 @@
                 lost.append(src)
             return hit
 
-        world.net.drop_answers = drop
-        assert (await world.ask(first, "POST", "/v2/runs/run-c/cancel"))[0] == 503
+        simulation.net.drop_answers = drop
+        assert (await simulation.ask(first, "POST", "/v2/runs/run-c/cancel"))[0] == 503
         assert lost
-        assert (await world.poll("run-c", second))[1]["phase"] == "cancelled"
-        world.store.begin_outage()
+        assert (await simulation.poll("run-c", second))[1]["phase"] == "cancelled"
+        simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
-        assert world.running("run-c") == [] and len(world.running("run-s")) == 2
+        assert simulation.running("run-c") == [] and len(simulation.running("run-s")) == 2
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_the_old_leader_goes_on_with_its_term_after_the_outage() -> None:
     """It is valid at its next ping, on a view that may be a minute old."""
 
-    async def tell(world: World) -> None:
-        old = await two_services(world, "run-c")
-        term = world.nodes[old].elector.term
-        world.store.refused.add(old)
-        await cancel_at(world, others(old)[0], "run-c")
-        world.store.begin_outage()
+    async def scenario(simulation: SimulatedCluster) -> None:
+        old = await two_services(simulation, "run-c")
+        term = simulation.nodes[old].elector.term
+        simulation.store.refused.add(old)
+        await cancel_at(simulation, others(old)[0], "run-c")
+        simulation.store.begin_outage()
         await trio.sleep(8)
         # Its watches hang on, though it is served again.
-        node = world.nodes[old]
-        world.net.hold_request = lambda src, dst, request: src == old and request.path == "/follow"
-        world.store.refused.clear()
-        world.store.end_outage()
-        await world.until(lambda: node.elector.valid(), 10)
+        node = simulation.nodes[old]
+        simulation.net.hold_request = lambda src, dst, request: src == old and request.path == "/follow"
+        simulation.store.refused.clear()
+        simulation.store.end_outage()
+        await simulation.until(lambda: node.elector.valid(), 10)
         assert node.elector.term == term
         await trio.sleep(2 * CANCEL_S)
-        world.net.hold_request = lambda src, dst, request: False
-        await world.until(lambda: len(world.running("run-s")) == 2, 60)
-        assert world.running("run-c") == []
+        simulation.net.hold_request = lambda src, dst, request: False
+        await simulation.until(lambda: len(simulation.running("run-s")) == 2, 60)
+        assert simulation.running("run-c") == []
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_more_cancellations_than_one_answer_may_name(monkeypatch: pytest.MonkeyPatch) -> None:
     """The list is left out then, not cut: no answer counts as one that names all."""
     monkeypatch.setattr(C, "CANCELLED_NAMED", 3)
 
-    async def tell(world: World) -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
         names = [f"run-c{i}" for i in range(5)]
-        old = await two_services(world, *names)
-        world.store.refused.add(old)
+        old = await two_services(simulation, *names)
+        simulation.store.refused.add(old)
         await trio.sleep(0.2)
         for job_id in names:
-            await cancel_at(world, others(old)[0], job_id)
-        world.store.begin_outage()
+            await cancel_at(simulation, others(old)[0], job_id)
+        simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
-        assert not any(world.running(job_id) for job_id in names)
+        assert not any(simulation.running(job_id) for job_id in names)
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_machine_hangs_with_the_halt_in_flight() -> None:
-    async def tell(world: World) -> None:
-        old = await two_services(world, "run-c")
-        world.store.refused.add(old)
-        await cancel_at(world, others(old)[0], "run-c")
-        world.store.begin_outage()
-        for _, name in world.running("run-c"):
-            world.workers[name].hung = True
+    async def scenario(simulation: SimulatedCluster) -> None:
+        old = await two_services(simulation, "run-c")
+        simulation.store.refused.add(old)
+        await cancel_at(simulation, others(old)[0], "run-c")
+        simulation.store.begin_outage()
+        for _, name in simulation.running("run-c"):
+            simulation.workers[name].hung = True
         await trio.sleep(9)
-        for worker in world.workers.values():
+        for worker in simulation.workers.values():
             worker.hung = False
         await trio.sleep(2 * CANCEL_S)
-        assert world.running("run-c") == []
+        assert simulation.running("run-c") == []
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_damaged_list_of_a_peer_proves_nothing() -> None:
     """It must never be taken for 'nothing was cancelled'."""
 
-    async def tell(world: World) -> None:
-        old = await two_services(world, "run-c")
-        world.store.refused.add(old)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        old = await two_services(simulation, "run-c")
+        simulation.store.refused.add(old)
         for label in others(old):
-            tell_all = world.nodes[label].cancellations.tell
+            tell_all = simulation.nodes[label].cancellations.tell
             damaged = [{"cancelled": None}, {"cancelled": [7], "back": 1e9}, {"cancelled": [], "back": "x"}, [], None]
 
             def lie(asked: dict[str, object], now: float, tell_all=tell_all, damaged=damaged) -> object:  # type: ignore[no-untyped-def]
                 tell_all(asked, now)
                 return damaged[int(now * 10) % len(damaged)]
 
-            world.nodes[label].cancellations.tell = lie  # type: ignore[method-assign, assignment]
+            simulation.nodes[label].cancellations.tell = lie  # type: ignore[method-assign, assignment]
         await trio.sleep(0.2)
-        await cancel_at(world, others(old)[0], "run-c")
-        world.store.begin_outage()
-        workers_reach_only(world, old)
+        await cancel_at(simulation, others(old)[0], "run-c")
+        simulation.store.begin_outage()
+        workers_reach_only(simulation, old)
         await trio.sleep(2 * CANCEL_S)
-        assert world.running("run-c") == []
+        assert simulation.running("run-c") == []
 
-    story(tell)
+    run_scenario(scenario)
--- a/tests/scenarios/test_groups.py
+++ b/tests/scenarios/test_groups.py
@@ -7,7 +7,7 @@
 
 from sorrelsill import constants as C
 from sorrelsill.settings import Team
-from tests.simulation import World, job, story
+from tests.simulation import SimulatedCluster, job, run_scenario
 
 
 def group(name: str, **fields: Any) -> dict[str, Any]:
@@ -19,256 +19,262 @@
     return group(name, **{"snapshotEveryS": 8.0, "snapshotCostS": 2.0, "expectedRunS": 40.0, **fields})
 
 
-async def runs(world: World, job_id: str, limit: float = 60.0) -> list[str]:
+async def runs(simulation: SimulatedCluster, job_id: str, limit: float = 60.0) -> list[str]:
     """Until all tasks run, as the workers tell it; the machines they are on."""
-    shards = world.specs[job_id]["shards"]
+    shards = simulation.specs[job_id]["shards"]
 
     def whole() -> bool:
-        tasks = [t for w in world.workers.values() for (s, _), t in w.tasks.items() if s.startswith(job_id + "/")]
+        tasks = [t for w in simulation.workers.values() for (s, _), t in w.tasks.items() if s.startswith(job_id + "/")]
         return sum(1 for t in tasks if t["phase"] == "running") == shards
 
-    await world.until(whole, limit)
-    return sorted({machine for _, machine in world.running(job_id)})
+    await simulation.until(whole, limit)
+    return sorted({machine for _, machine in simulation.running(job_id)})
 
 
 def test_a_group_runs_as_one_and_needs_the_whole_limit_of_its_team() -> None:
-    async def tell(world: World) -> None:
-        assert await world.submit(group("run-g")) == 201
-        assert await world.submit(group("run-big", shards=11)) == 422, "22 CPUs of 20, together"
-        assert await world.submit(group("run-bad", oneZone=None)) == 400
-        await runs(world, "run-g")
-        await world.until_phase("run-g", "running", 3)
-        await world.until_phase("run-g", "done")
-        assert await world.submit(group("run-g")) == 200
-        assert len(world.gangs.begun) == 1 and world.gangs.reasons == ["done"] * 6
+    async def scenario(simulation: SimulatedCluster) -> None:
+        assert await simulation.submit(group("run-g")) == 201
+        assert await simulation.submit(group("run-big", shards=11)) == 422, "22 CPUs of 20, together"
+        assert await simulation.submit(group("run-bad", oneZone=None)) == 400
+        await runs(simulation, "run-g")
+        await simulation.until_phase("run-g", "running", 3)
+        await simulation.until_phase("run-g", "done")
+        assert await simulation.submit(group("run-g")) == 200
+        assert len(simulation.gangs.begun) == 1 and simulation.gangs.reasons == ["done"] * 6
 
-    story(tell, teams=[Team("red", cpus_max=20.0)])
+    run_scenario(scenario, teams=[Team("red", cpus_max=20.0)])
 
 
 def test_waiting_tasks_are_not_running_to_users() -> None:
-    async def tell(world: World) -> None:
-        world.cloud.capacity = 2
-        await world.submit(job("run-warm", shards=8, expectedRunS=1.0))
-        await world.until(lambda: len(world.workers) >= 2, 60)
-        slow = sorted(world.workers)[1]
-        world.workers[slow].pull_rate = 0.02
-        await world.submit(group("run-g", shards=8, sizeGb=0.4, bundle="other", oneZone=False))
-        await world.until(
-            lambda: any(t["phase"] == "waiting" for w in world.workers.values() for t in w.tasks.values())
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 2
+        await simulation.submit(job("run-warm", shards=8, expectedRunS=1.0))
+        await simulation.until(lambda: len(simulation.workers) >= 2, 60)
+        slow = sorted(simulation.workers)[1]
+        simulation.workers[slow].pull_rate = 0.02
+        await simulation.submit(group("run-g", shards=8, sizeGb=0.4, bundle="other", oneZone=False))
+        await simulation.until(
+            lambda: any(t["phase"] == "waiting" for w in simulation.workers.values() for t in w.tasks.values())
         )
         await trio.sleep(8)
-        assert (await world.poll("run-g"))[1] == {"uid": "run-g", "phase": "pending", "done": 0, "running": 0}
-        await runs(world, "run-g")
-        await world.until_phase("run-g", "done")
+        assert (await simulation.poll("run-g"))[1] == {"uid": "run-g", "phase": "pending", "done": 0, "running": 0}
+        await runs(simulation, "run-g")
+        await simulation.until_phase("run-g", "done")
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_group_that_loses_a_machine_starts_anew_as_a_whole() -> None:
-    async def tell(world: World) -> None:
-        await world.submit(saving("run-g"))
-        machines = await runs(world, "run-g")
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(saving("run-g"))
+        machines = await runs(simulation, "run-g")
         await trio.sleep(11)
-        world.kill_machine(machines[0])
-        await world.until(lambda: len(world.gangs.begun) == 2, 60)
-        assert world.gangs.saved["run-g"] >= 8, "from the last checkpoint"
-        await world.until_phase("run-g", "done")
-        assert len({n for _, n in world.gangs.begun}) == 2, "each start has a number of its own"
-        _, answer = await world.ask("n0", "GET", "/v2/runs/run-g/why")
+        simulation.kill_machine(machines[0])
+        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
+        assert simulation.gangs.saved["run-g"] >= 8, "from the last checkpoint"
+        await simulation.until_phase("run-g", "done")
+        assert len({n for _, n in simulation.gangs.begun}) == 2, "each start has a number of its own"
+        _, answer = await simulation.ask("n0", "GET", "/v2/runs/run-g/why")
         assert any("started anew" in note or "not whole" in note for note in answer["why"])
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_machine_that_dies_before_the_start_costs_no_more_than_a_new_start() -> None:
-    async def tell(world: World) -> None:
-        await world.submit(group("run-g", sizeGb=4.0))
-        await world.until(lambda: sum(1 for w in world.workers.values() for _ in w.tasks) == 6)
-        victim = next(n for n, w in world.workers.items() if w.tasks)
-        world.kill_machine(victim)
-        await world.until_phase("run-g", "done", 120)
-        assert len(world.gangs.begun) == 1
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(group("run-g", sizeGb=4.0))
+        await simulation.until(lambda: sum(1 for w in simulation.workers.values() for _ in w.tasks) == 6)
+        victim = next(n for n, w in simulation.workers.items() if w.tasks)
+        simulation.kill_machine(victim)
+        await simulation.until_phase("run-g", "done", 120)
+        assert len(simulation.gangs.begun) == 1
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_notice_for_one_machine_saves_the_whole_group() -> None:
-    async def tell(world: World) -> None:
-        await world.submit(saving("run-g", reclaimable=True, expectedRunS=60.0, snapshotEveryS=40.0))
-        machines = await runs(world, "run-g")
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(saving("run-g", reclaimable=True, expectedRunS=60.0, snapshotEveryS=40.0))
+        machines = await runs(simulation, "run-g")
         await trio.sleep(10)
-        world.workers[machines[0]].evict = trio.current_time() + 12
+        simulation.workers[machines[0]].evict = trio.current_time() + 12
         await trio.sleep(12)
-        world.kill_machine(machines[0])
-        assert world.gangs.saved.get("run-g", 0) > 10, "in order, and as late as is safe"
-        assert world.gangs.reasons == ["halted"] * 6
-        await world.until_phase("run-g", "done", 200)
+        simulation.kill_machine(machines[0])
+        assert simulation.gangs.saved.get("run-g", 0) > 10, "in order, and as late as is safe"
+        assert simulation.gangs.reasons == ["halted"] * 6
+        await simulation.until_phase("run-g", "done", 200)
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_room_for_production_stops_a_group_as_a_whole_but_arrays_first() -> None:
-    async def tell(world: World) -> None:
-        world.cloud.capacity = 3
-        await world.submit(group("run-g", shards=4, rank="best_effort", expectedRunS=300.0, oneZone=False))
-        await runs(world, "run-g")
-        await world.submit(job("run-a", shards=8, rank="best_effort", expectedRunS=300.0))
-        await world.until(lambda: len(world.running("run-a")) == 8)
-        await world.submit(job("run-s", shape="standing", shards=2, rank="prod", expectedRunS=0.0))
-        await world.until(lambda: len(world.running("run-s")) == 2, 10)
-        assert len(world.running("run-g")) == 4 and len(world.running("run-a")) == 6
-        await world.submit(job("run-t", shape="standing", shards=10, rank="prod", expectedRunS=0.0))
-        await world.until(lambda: len(world.running("run-t")) == 10, 30)
-        assert not world.running("run-g")
-
-    story(tell)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 3
+        await simulation.submit(group("run-g", shards=4, rank="best_effort", expectedRunS=300.0, oneZone=False))
+        await runs(simulation, "run-g")
+        await simulation.submit(job("run-a", shards=8, rank="best_effort", expectedRunS=300.0))
+        await simulation.until(lambda: len(simulation.running("run-a")) == 8)
+        await simulation.submit(job("run-s", shape="standing", shards=2, rank="prod", expectedRunS=0.0))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 2, 10)
+        assert len(simulation.running("run-g")) == 4 and len(simulation.running("run-a")) == 6
+        await simulation.submit(job("run-t", shape="standing", shards=10, rank="prod", expectedRunS=0.0))
+        await simulation.until(lambda: len(simulation.running("run-t")) == 10, 30)
+        assert not simulation.running("run-g")
+
+    run_scenario(scenario)
 
 
 def test_a_group_makes_room_as_a_whole_or_not_at_all() -> None:
-    async def tell(world: World) -> None:
-        world.cloud.capacity = 2
-        await world.submit(job("run-low", shards=8, rank="best_effort", expectedRunS=300.0))
-        await world.until(lambda: len(world.running("run-low")) == 8)
-        await world.submit(group("run-huge", shards=6, vcpus=4.0, owner="blue"))
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 2
+        await simulation.submit(job("run-low", shards=8, rank="best_effort", expectedRunS=300.0))
+        await simulation.until(lambda: len(simulation.running("run-low")) == 8)
+        await simulation.submit(group("run-huge", shards=6, vcpus=4.0, owner="blue"))
         await trio.sleep(10)
-        assert len(world.running("run-low")) == 8, "twelve CPUs more than there are: nothing is stopped in vain"
-        await world.cancel("run-huge")
-        await world.submit(group("run-g", shards=3, owner="blue", oneZone=False))
-        await runs(world, "run-g", 15)
+        assert len(simulation.running("run-low")) == 8, "twelve CPUs more than there are: nothing is stopped in vain"
+        await simulation.cancel("run-huge")
+        await simulation.submit(group("run-g", shards=3, owner="blue", oneZone=False))
+        await runs(simulation, "run-g", 15)
 
-    story(tell, teams=[Team("red"), Team("blue", cpus=16.0)])
+    run_scenario(scenario, teams=[Team("red"), Team("blue", cpus=16.0)])
 
 
 def test_a_stream_of_small_tasks_does_not_starve_a_group_nor_the_group_them() -> None:
-    async def tell(world: World) -> None:
-        world.cloud.capacity = 4
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 4
 
         async def stream() -> None:
             for number in range(200):
-                await world.submit(job(f"run-{number}", shards=2, expectedRunS=6.0))
+                await simulation.submit(job(f"run-{number}", shards=2, expectedRunS=6.0))
                 await trio.sleep(0.8)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(stream)
             await trio.sleep(40)
             began = trio.current_time()
-            await world.submit(group("run-g", shards=8, expectedRunS=30.0))
-            await runs(world, "run-g", 240)
+            await simulation.submit(group("run-g", shards=8, expectedRunS=30.0))
+            await runs(simulation, "run-g", 240)
             assert trio.current_time() - began < 200
-            before = len(world.finished)
-            await world.until_phase("run-g", "done")
-            assert len(world.finished) > before + 10
+            before = len(simulation.finished)
+            await simulation.until_phase("run-g", "done")
+            assert len(simulation.finished) > before + 10
             nursery.cancel_scope.cancel()
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_cancelled_group_is_gone_in_time_also_while_it_waits_or_saves() -> None:
-    async def tell(world: World) -> None:
-        await world.submit(saving("run-g"))
-        await runs(world, "run-g")
-        await world.cancel("run-g")
-        await world.until(lambda: not world.running("run-g"), 5)
-        await world.submit(group("run-w", sizeGb=20.0))
-        await world.until(lambda: any(k[0].startswith("run-w/") for w in world.workers.values() for k in w.tasks))
-        await world.cancel("run-w")
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(saving("run-g"))
+        await runs(simulation, "run-g")
+        await simulation.cancel("run-g")
+        await simulation.until(lambda: not simulation.running("run-g"), 5)
+        await simulation.submit(group("run-w", sizeGb=20.0))
+        await simulation.until(
+            lambda: any(k[0].startswith("run-w/") for w in simulation.workers.values() for k in w.tasks)
+        )
+        await simulation.cancel("run-w")
         await trio.sleep(30)
-        assert world.running("run-w") == []
+        assert simulation.running("run-w") == []
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_one_done_completes_the_group_though_the_others_die() -> None:
-    async def tell(world: World) -> None:
-        await world.submit(group("run-g", shards=4, vcpus=4.0))
-        machines = await runs(world, "run-g")
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(group("run-g", shards=4, vcpus=4.0))
+        machines = await runs(simulation, "run-g")
         assert len(machines) == 2
         await trio.sleep(15)
-        world.net.hold_request = lambda src, dst, request: src == machines[0]
-        await world.until(lambda: "run-g" in world.gangs.done)
-        world.kill_machine(machines[0])
-        world.net.hold_request = lambda src, dst, request: False
-        await world.until_phase("run-g", "done", 10)
+        simulation.net.hold_request = lambda src, dst, request: src == machines[0]
+        await simulation.until(lambda: "run-g" in simulation.gangs.done)
+        simulation.kill_machine(machines[0])
+        simulation.net.hold_request = lambda src, dst, request: False
+        await simulation.until_phase("run-g", "done", 10)
         await trio.sleep(40)
-        assert len(world.gangs.begun) == 1 and len(world.starts) == 4
+        assert len(simulation.gangs.begun) == 1 and len(simulation.starts) == 4
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_takeover_with_half_of_the_starts_sent_starts_no_second_attempt_beside_the_first() -> None:
-    async def tell(world: World) -> None:
-        await world.submit(job("run-warm", shards=12, expectedRunS=1.0))
-        await world.until_phase("run-warm", "done")
-        leader = await world.until_leader()
-        machines = sorted(world.workers)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(job("run-warm", shards=12, expectedRunS=1.0))
+        await simulation.until_phase("run-warm", "done")
+        leader = await simulation.until_leader()
+        machines = sorted(simulation.workers)
         lost = set(machines[: len(machines) // 2])
-        world.net.hold_request = lambda src, dst, request: src == leader and dst in lost and request.path == "/commands"
-        await world.submit(group("run-g", shards=8, oneZone=False))
-        await world.until(lambda: any(k[0].startswith("run-g/") for w in world.workers.values() for k in w.tasks))
-        world.kill(leader)
-        world.net.hold_request = lambda src, dst, request: False
+        simulation.net.hold_request = lambda src, dst, request: (
+            src == leader and dst in lost and request.path == "/commands"
+        )
+        await simulation.submit(group("run-g", shards=8, oneZone=False))
+        await simulation.until(
+            lambda: any(k[0].startswith("run-g/") for w in simulation.workers.values() for k in w.tasks)
+        )
+        simulation.kill(leader)
+        simulation.net.hold_request = lambda src, dst, request: False
         await trio.sleep(3)
-        world.net.release()  # the late starts come while nobody leads, or a new one does
-        await world.until_phase("run-g", "done", 120)
-        assert len(world.gangs.begun) == 1
+        simulation.net.release()  # the late starts come while nobody leads, or a new one does
+        await simulation.until_phase("run-g", "done", 120)
+        assert len(simulation.gangs.begun) == 1
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_leader_that_dies_while_it_tells_a_group_to_save_leaves_it_to_its_successor() -> None:
     """The next leader finds some saving and some running; nothing runs twice and the group goes on."""
 
-    async def tell(world: World) -> None:
-        await world.submit(saving("run-g", snapshotCostS=4.0, expectedRunS=60.0))
-        machines = await runs(world, "run-g")
-        leader = await world.until_leader()
-        node = world.nodes[leader]
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(saving("run-g", snapshotCostS=4.0, expectedRunS=60.0))
+        machines = await runs(simulation, "run-g")
+        leader = await simulation.until_leader()
+        node = simulation.nodes[leader]
         assert node.cluster is not None
         other = machines[-1]
-        world.net.hold_request = lambda src, dst, request: dst == other and src == leader
+        simulation.net.hold_request = lambda src, dst, request: dst == other and src == leader
         attempt = next(iter(node.cluster.groups["run-g"].bound.values()))
         node.cluster.stop(attempt, "for the story")
         await trio.sleep(1.2)
-        world.kill(leader)
-        world.net.hold_request = lambda src, dst, request: False
-        await world.until_leader()
-        await world.until(lambda: len(world.gangs.begun) == 2, 60)
-        await world.until_phase("run-g", "done", 120)
+        simulation.kill(leader)
+        simulation.net.hold_request = lambda src, dst, request: False
+        await simulation.until_leader()
+        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
+        await simulation.until_phase("run-g", "done", 120)
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_hung_machine_and_a_deaf_one_cost_a_new_start_and_no_rule() -> None:
-    async def tell(world: World) -> None:
-        await world.submit(saving("run-g"))
-        machines = await runs(world, "run-g")
-        world.workers[machines[0]].hung = True
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(saving("run-g"))
+        machines = await runs(simulation, "run-g")
+        simulation.workers[machines[0]].hung = True
         await trio.sleep(8)
-        assert set(world.gangs.reasons) == {"peers"}
-        world.workers[machines[0]].hung = False
-        await world.until(lambda: len(world.gangs.begun) == 2, 60)
-        machines = await runs(world, "run-g")
+        assert set(simulation.gangs.reasons) == {"peers"}
+        simulation.workers[machines[0]].hung = False
+        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
+        machines = await runs(simulation, "run-g")
         hears_no_worker = machines[0]
-        world.net.drop_answers = lambda src, dst, request: src == hears_no_worker and request.path == "/hello"
-        world.net.hold_request = lambda src, dst, request: dst == hears_no_worker
+        simulation.net.drop_answers = lambda src, dst, request: src == hears_no_worker and request.path == "/hello"
+        simulation.net.hold_request = lambda src, dst, request: dst == hears_no_worker
         await trio.sleep(25)
-        world.net.drop_answers = lambda src, dst, request: False
-        world.net.hold_request = lambda src, dst, request: False
-        await world.until_phase("run-g", "done", 200)
+        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.hold_request = lambda src, dst, request: False
+        await simulation.until_phase("run-g", "done", 200)
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_peers_and_alone_are_nobodys_fault() -> None:
-    async def tell(world: World) -> None:
-        world.gangs.wait_s = 3.0
-        await world.submit(job("run-warm", shards=8, expectedRunS=1.0))
-        await world.until_phase("run-warm", "done")
-        for worker in list(world.workers.values())[1:]:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.gangs.wait_s = 3.0
+        await simulation.submit(job("run-warm", shards=8, expectedRunS=1.0))
+        await simulation.until_phase("run-warm", "done")
+        for worker in list(simulation.workers.values())[1:]:
             worker.pull_rate = 0.05
-        await world.submit(group("run-g", shards=8, bundle="other", oneZone=False))
-        await world.until(lambda: "alone" in world.gangs.reasons, 60)
-        leader = world.nodes[await world.until_leader()]
+        await simulation.submit(group("run-g", shards=8, bundle="other", oneZone=False))
+        await simulation.until(lambda: "alone" in simulation.gangs.reasons, 60)
+        leader = simulation.nodes[await simulation.until_leader()]
         await trio.sleep(2)
         assert leader.cluster is not None
         held = leader.cluster.groups["run-g"]
@@ -277,58 +283,58 @@
             and not held.failures.failures
             and not any(h.faulty for h in leader.cluster.machines.values())
         )
-        for worker in world.workers.values():
+        for worker in simulation.workers.values():
             worker.pull_rate = 1.0
-        world.gangs.wait_s = 40.0
-        await world.until_phase("run-g", "done", 120)
+        simulation.gangs.wait_s = 40.0
+        await simulation.until_phase("run-g", "done", 120)
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_new_attempt_waits_for_the_old_one_and_for_its_zone() -> None:
     """A task of the old attempt on a machine that is cut off holds the zone until it is proved gone."""
 
-    async def tell(world: World) -> None:
-        await world.submit(group("run-g", shards=6, expectedRunS=60.0))
-        machines = await runs(world, "run-g")
-        world.cut_machine(machines[0])
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(group("run-g", shards=6, expectedRunS=60.0))
+        machines = await runs(simulation, "run-g")
+        simulation.cut_machine(machines[0])
         began = trio.current_time()
-        await world.until(lambda: len(world.gangs.begun) == 2, 60)
+        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
         assert trio.current_time() - began > 10
-        world.net.heal()
-        await world.until_phase("run-g", "done", 200)
+        simulation.net.heal()
+        await simulation.until_phase("run-g", "done", 200)
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_damaged_report_or_record_of_one_group_never_stops_the_rest() -> None:
-    async def tell(world: World) -> None:
-        await world.submit(group("run-g"))
-        await runs(world, "run-g")
-        for worker in world.workers.values():
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(group("run-g"))
+        await runs(simulation, "run-g")
+        for worker in simulation.workers.values():
             worker.tasks[("run-g/x", 1)] = {"phase": "dreaming", "exitCause": "bored"}
             worker.tasks[("run-g/99", 2)] = {"phase": "dreaming"}
             break
-        world.store.kv["s/j/run-odd"] = ({"s": {"shape": "group"}}, world.store.rev, None)
-        world.kill(await world.until_leader())
-        await world.until_phase("run-g", "done")
-        await world.submit(group("run-h"))
-        await world.until_phase("run-h", "done")
+        simulation.store.kv["s/j/run-odd"] = ({"s": {"shape": "group"}}, simulation.store.rev, None)
+        simulation.kill(await simulation.until_leader())
+        await simulation.until_phase("run-g", "done")
+        await simulation.submit(group("run-h"))
+        await simulation.until_phase("run-h", "done")
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_numbers_of_groups_that_wait_are_not_used_up() -> None:
     """Found by reading: each look for room took an attempt number, some hundreds a second of 16 million a term."""
 
-    async def tell(world: World) -> None:
-        world.cloud.capacity = 1
-        await world.submit(group("run-g"))
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 1
+        await simulation.submit(group("run-g"))
         await trio.sleep(30)
-        leader = world.nodes[await world.until_leader()]
+        leader = simulation.nodes[await simulation.until_leader()]
         assert leader.cluster is not None and leader.cluster.next_attempt_number() & ((1 << C.TRY_BITS) - 1) < 5
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_room_is_kept_ready_for_one_more_group_where_money_counts_but_not_for_ever() -> None:
--- a/tests/scenarios/test_limits.py
+++ b/tests/scenarios/test_limits.py
@@ -11,19 +11,19 @@
 from sorrelsill.jobs.roster import next_write
 from sorrelsill.settings import NextLimits
 from sorrelsill.store import chunk_key, job_key, part_key, roster_key
-from tests.simulation import World, job, story
+from tests.simulation import SimulatedCluster, job, run_scenario
 
 COMING = NextLimits(write_rps=40.0, value_kb=2.0, txn_ops=5)
 SMALL = 2048
 
 
-def narrow(world: World) -> None:
+def narrow(simulation: SimulatedCluster) -> None:
     assert COMING.txn_ops and COMING.value_kb
-    world.store.narrow(COMING.value_kb, COMING.txn_ops, COMING.write_rps)
+    simulation.store.narrow(COMING.value_kb, COMING.txn_ops, COMING.write_rps)
 
 
-def sizes(world: World, prefix: str) -> list[int]:
-    return [json_size(v) for k, (v, _, _) in world.store.kv.items() if k.startswith(prefix)]
+def sizes(simulation: SimulatedCluster, prefix: str) -> list[int]:
+    return [json_size(v) for k, (v, _, _) in simulation.store.kv.items() if k.startswith(prefix)]
 
 
 def entry(number: int) -> dict[str, Any]:
@@ -31,60 +31,60 @@
 
 
 def test_everything_goes_on_under_smaller_limits() -> None:
-    async def tell(world: World) -> None:
-        await world.submit(job("run-s", shape="standing", shards=4, rank="prod", expectedRunS=0.0))
-        await world.submit(job("run-a", shards=40, expectedRunS=4.0))
-        await world.until(lambda: len(world.finished) > 4)
-        narrow(world)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(job("run-s", shape="standing", shards=4, rank="prod", expectedRunS=0.0))
+        await simulation.submit(job("run-a", shards=40, expectedRunS=4.0))
+        await simulation.until(lambda: len(simulation.finished) > 4)
+        narrow(simulation)
         for number in range(25):
-            assert await world.submit(job(f"run-{number}", shards=2, expectedRunS=2.0), 10) == 201
-        await world.cancel("run-3")
+            assert await simulation.submit(job(f"run-{number}", shards=2, expectedRunS=2.0), 10) == 201
+        await simulation.cancel("run-3")
         for job_id in ["run-a", *(f"run-{n}" for n in range(25) if n != 3)]:
-            await world.until_phase(job_id, "done", 90)
-        world.kill(await world.until_leader())
-        await world.submit(job("run-after"))
-        await world.until_phase("run-after", "done")
-        assert world.store.throttled <= 12, "the rate is kept once it was met"
-        assert max(sizes(world, "s/")) <= SMALL
+            await simulation.until_phase(job_id, "done", 90)
+        simulation.kill(await simulation.until_leader())
+        await simulation.submit(job("run-after"))
+        await simulation.until_phase("run-after", "done")
+        assert simulation.store.throttled <= 12, "the rate is kept once it was met"
+        assert max(sizes(simulation, "s/")) <= SMALL
 
-    story(tell, coming=COMING)
+    run_scenario(scenario, coming=COMING)
 
 
 def test_progress_is_written_at_the_lower_rate_too_but_never_before_what_is_urgent() -> None:
     """Found by reading: what progress leaves to others was all that could be saved up, so it was never written."""
 
-    async def tell(world: World) -> None:
-        world.store.narrow(2.0, 5, 18.0)
-        world.cloud.capacity = 2
-        await world.submit(job("run-a", shards=60, expectedRunS=6.0))
-        await world.until(lambda: len(world.finished) >= 10)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.store.narrow(2.0, 5, 18.0)
+        simulation.cloud.capacity = 2
+        await simulation.submit(job("run-a", shards=60, expectedRunS=6.0))
+        await simulation.until(lambda: len(simulation.finished) >= 10)
         await trio.sleep(8)
-        _, answer = await world.poll("run-a")
+        _, answer = await simulation.poll("run-a")
         assert answer["phase"] == "running" and answer["done"] >= 8
         await trio.sleep(8)
-        assert (await world.poll("run-a"))[1]["done"] > answer["done"]
+        assert (await simulation.poll("run-a"))[1]["done"] > answer["done"]
 
-    story(tell, coming=NextLimits(write_rps=18.0, value_kb=2.0, txn_ops=5))
+    run_scenario(scenario, coming=NextLimits(write_rps=18.0, value_kb=2.0, txn_ops=5))
 
 
 def test_a_refused_rate_lowers_it_for_good() -> None:
-    async def tell(world: World) -> None:
-        leader = world.nodes[await world.until_leader()]
+    async def scenario(simulation: SimulatedCluster) -> None:
+        leader = simulation.nodes[await simulation.until_leader()]
         before = leader.store.writes.rate
-        narrow(world)
+        narrow(simulation)
 
         async def user(job_id: str) -> None:
-            await world.submit(job(job_id, shards=1, expectedRunS=1.0))
+            await simulation.submit(job(job_id, shards=1, expectedRunS=1.0))
 
         async with trio.open_nursery() as nursery:
             for number in range(120):
                 nursery.start_soon(user, f"run-{number}")
         for number in range(120):
-            await world.until_phase(f"run-{number}", "done", 200)
-        assert 0 < world.store.throttled <= 12
+            await simulation.until_phase(f"run-{number}", "done", 200)
+        assert 0 < simulation.store.throttled <= 12
         assert leader.store.writes.rate < before
 
-    story(tell, coming=COMING)
+    run_scenario(scenario, coming=COMING)
 
 
 def scattered(shards: int, seed: int = 5) -> TaskSet:
@@ -98,27 +98,27 @@
 def test_finished_tasks_in_no_order_move_beside_a_record_that_would_be_too_long() -> None:
     """Whatever crashes between the writes: each end finds at least what was recorded before."""
 
-    async def tell(world: World, seed: int) -> None:
+    async def scenario(simulation: SimulatedCluster, seed: int) -> None:
         dice = random.Random(seed)
-        leader = world.nodes[await world.until_leader()]
+        leader = simulation.nodes[await simulation.until_leader()]
         shards = 16_000
-        await world.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
+        await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
         assert leader.cluster is not None
         task = leader.cluster.jobs["run-big"]
         finished = scattered(shards)
         for index in range(shards):
             if index in finished:
                 task.done.add(index)
-                world.finished.add(f"run-big/{index}")
+                simulation.finished.add(f"run-big/{index}")
                 task.dirty_parts.add(index // C.PART_SHARDS)
         leader.cluster.dirty.add("run-big")
-        await world.until(lambda: world.store.kv["s/j/run-big"][0]["n"] > 7000, 30)
-        assert max(sizes(world, "s/j/")) > SMALL, "written while longer values were allowed"
-        narrow(world)
+        await simulation.until(lambda: simulation.store.kv["s/j/run-big"][0]["n"] > 7000, 30)
+        assert max(sizes(simulation, "s/j/")) > SMALL, "written while longer values were allowed"
+        narrow(simulation)
         known: set[int] = set()
         for _ in range(4):
-            label = await world.until_leader()
-            node = world.nodes[label]
+            label = await simulation.until_leader()
+            node = simulation.nodes[label]
             assert node.cluster is not None
             task = node.cluster.jobs["run-big"]
             have = {i for i in range(shards) if i in task.done}
@@ -129,39 +129,41 @@
                 task.dirty_parts.add(index // C.PART_SHARDS)
             node.cluster.dirty.add("run-big")
             await trio.sleep(dice.choice((0.3, 0.5, 8.0)))
-            parts = [(k, v) for k, (v, _, _) in world.store.kv.items() if k.startswith(("s/d/run-big", "s/e/run-big"))]
+            parts = [
+                (k, v) for k, (v, _, _) in simulation.store.kv.items() if k.startswith(("s/d/run-big", "s/e/run-big"))
+            ]
             stored = TaskSet(shards)
-            stored.merge(world.store.kv["s/j/run-big"][0]["d"], 0)
+            stored.merge(simulation.store.kv["s/j/run-big"][0]["d"], 0)
             for key, text in parts:
                 number = int(key.rpartition("/")[2])
                 stored.merge(text, number * (C.CHUNK_SHARDS if key.startswith("s/d/") else C.PART_SHARDS))
             known = {i for i in range(shards) if i in stored}
-            world.kill(label)
+            simulation.kill(label)
             await trio.sleep(0.2)
-            world.start(label)
+            simulation.start(label)
         await trio.sleep(20)
-        assert json_size(world.store.kv["s/j/run-big"][0]) <= SMALL
-        assert (await world.cancel("run-big"))["phase"] == "cancelled"
+        assert json_size(simulation.store.kv["s/j/run-big"][0]) <= SMALL
+        assert (await simulation.cancel("run-big"))["phase"] == "cancelled"
         await trio.sleep(15)
-        left = [k for k in world.store.kv if k.startswith(("s/d/", "s/e/"))]
+        left = [k for k in simulation.store.kv if k.startswith(("s/d/", "s/e/"))]
         assert left == [], "parts that the cancellation had no room for are swept"
 
     for seed in range(3):
 
-        async def told(world: World, seed: int = seed) -> None:
-            world.may_refuse = 7  # each process learns of the limits by one refusal
-            await tell(world, seed)
+        async def told(simulation: SimulatedCluster, seed: int = seed) -> None:
+            simulation.may_refuse = 7  # each process learns of the limits by one refusal
+            await scenario(simulation, seed)
 
-        story(told, seed=seed, coming=COMING)
+        run_scenario(told, seed=seed, coming=COMING)
 
 
 def test_a_hundred_thousand_tasks_in_no_order_fit_small_values() -> None:
-    async def tell(world: World) -> None:
-        narrow(world)
-        world.may_refuse = 2
-        leader = world.nodes[await world.until_leader()]
+    async def scenario(simulation: SimulatedCluster) -> None:
+        narrow(simulation)
+        simulation.may_refuse = 2
+        leader = simulation.nodes[await simulation.until_leader()]
         shards = 100_000
-        await world.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
+        await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
         assert leader.cluster is not None
         task, done = leader.cluster.jobs["run-big"], scattered(shards)
         for index in range(shards):
@@ -169,45 +171,47 @@
                 task.done.add(index)
                 task.dirty_parts.add(index // C.PART_SHARDS)
         leader.cluster.dirty.add("run-big")
-        await world.until(lambda: not task.dirty_parts, 40)
-        world.kill(await world.until_leader())
-        after = world.nodes[await world.until_leader()]
+        await simulation.until(lambda: not task.dirty_parts, 40)
+        simulation.kill(await simulation.until_leader())
+        after = simulation.nodes[await simulation.until_leader()]
         assert after.cluster is not None
         found = after.cluster.jobs["run-big"].done
         assert found.count == done.count and all(i in found for i in range(shards) if i in done)
-        await world.submit(job("run-x"))
-        await world.until_phase("run-x", "done")
-        assert max(sizes(world, "s/")) <= SMALL
+        await simulation.submit(job("run-x"))
+        await simulation.until_phase("run-x", "done")
+        assert max(sizes(simulation, "s/")) <= SMALL
 
-    story(tell, coming=COMING)
+    run_scenario(scenario, coming=COMING)
 
 
 def test_a_record_accepted_under_larger_limits_lives_to_its_end_under_smaller_ones() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
         long = {"flavours": ["c8", *(f"type-{n:04d}" for n in range(190))]}
-        assert await world.submit(job("run-long", shards=6, expectedRunS=4.0, **long)) == 201
-        await world.until(lambda: len(world.running("run-long")) > 0)
-        narrow(world)
-        world.may_refuse = 3
-        assert await world.submit(job("run-next", **long), 5) in (400, 201)
-        assert await world.submit(job("run-long", shards=6, expectedRunS=4.0, **long)) == 200, "known: not judged anew"
-        assert await world.submit(job("run-later", **long), 5) == 400, "and told so at once"
-        await world.until_phase("run-long", "done")
-        await world.submit(job("run-x"))
-        await world.until_phase("run-x", "done")
+        assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long)) == 201
+        await simulation.until(lambda: len(simulation.running("run-long")) > 0)
+        narrow(simulation)
+        simulation.may_refuse = 3
+        assert await simulation.submit(job("run-next", **long), 5) in (400, 201)
+        assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long)) == 200, (
+            "known: not judged anew"
+        )
+        assert await simulation.submit(job("run-later", **long), 5) == 400, "and told so at once"
+        await simulation.until_phase("run-long", "done")
+        await simulation.submit(job("run-x"))
+        await simulation.until_phase("run-x", "done")
 
-    story(tell, coming=COMING)
+    run_scenario(scenario, coming=COMING)
 
 
 def test_one_submission_that_is_too_long_does_not_hold_up_its_batch() -> None:
-    async def tell(world: World) -> None:
-        narrow(world)
-        world.may_refuse = 6
+    async def scenario(simulation: SimulatedCluster) -> None:
+        narrow(simulation)
+        simulation.may_refuse = 6
         long = {"flavours": ["c8", *(f"type-{n:04d}" for n in range(190))]}
         answers: dict[str, int] = {}
 
         async def user(job_id: str, **fields: Any) -> None:
-            answers[job_id] = await world.submit(job(job_id, **fields), 8)
+            answers[job_id] = await simulation.submit(job(job_id, **fields), 8)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(lambda: user("run-long", **long))
@@ -215,13 +219,13 @@
                 nursery.start_soon(user, f"run-{number}")
         assert answers == {"run-long": 400, **{f"run-{n}": 201 for n in range(8)}}
 
-    story(tell, coming=COMING)
+    run_scenario(scenario, coming=COMING)
 
 
 def test_a_change_that_is_refused_alone_is_set_aside_and_the_rest_goes_on() -> None:
-    async def tell(world: World) -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
         refused = []
-        judge = world.store._too_large
+        judge = simulation.store._too_large
 
         def odd(body: dict[str, Any]) -> str | None:
             if any(w.get("set") == job_key("run-odd") for w in body["writes"]) and body["if"][0]["k"] == "s/leader":
@@ -229,19 +233,19 @@
                 return "for a reason of its own"
             return judge(body)
 
-        world.store._too_large = odd  # type: ignore[method-assign]
-        world.may_refuse = 40
-        await world.submit(job("run-odd", shards=3, expectedRunS=20.0))
+        simulation.store._too_large = odd  # type: ignore[method-assign]
+        simulation.may_refuse = 40
+        await simulation.submit(job("run-odd", shards=3, expectedRunS=20.0))
         for number in range(6):
-            await world.submit(job(f"run-{number}", shards=2))
+            await simulation.submit(job(f"run-{number}", shards=2))
         for number in range(6):
-            await world.until_phase(f"run-{number}", "done", 60)
-        state = world.nodes[await world.until_leader()].state()
+            await simulation.until_phase(f"run-{number}", "done", 60)
+        state = simulation.nodes[await simulation.until_leader()].state()
         assert state["set_aside"] == 1 and state["refused"] >= 1
         assert len(refused) <= 6, "not again and again"
-        await world.until_phase("run-odd", "done")
+        await simulation.until_phase("run-odd", "done")
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_the_roster_of_half_as_many_machines_again_fits_and_old_parts_shrink() -> None:
@@ -269,90 +273,93 @@
 
 
 def test_new_machines_get_work_though_their_roster_part_is_full() -> None:
-    async def tell(world: World) -> None:
-        await world.until_leader()
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
         parts: dict[str, dict[str, Any]] = {}
         for number in range(1200):
             part = parts.setdefault(roster_key(f"m-{number}"), {})
             if len(part) < 27:
                 part[f"m-{number}"] = entry(number)
         for key, full in parts.items():
-            world.store.rev += 1
-            world.store.kv[key] = (full, world.store.rev, None)
-            world.store.log.append((world.store.rev, key, full, True))
-        narrow(world)
-        world.may_refuse = 3  # each process learns of the limits by one refusal
-        await world.submit(job("run-a", shards=12))
-        await world.until_phase("run-a", "done", 60)
-        world.kill(await world.until_leader())
+            simulation.store.rev += 1
+            simulation.store.kv[key] = (full, simulation.store.rev, None)
+            simulation.store.log.append((simulation.store.rev, key, full, True))
+        narrow(simulation)
+        simulation.may_refuse = 3  # each process learns of the limits by one refusal
+        await simulation.submit(job("run-a", shards=12))
+        await simulation.until_phase("run-a", "done", 60)
+        simulation.kill(await simulation.until_leader())
         await trio.sleep(30)  # nobody hears of those machines: they leave the roster, entry by entry
-        await world.submit(job("run-b"))
-        await world.until_phase("run-b", "done")
-        await world.until(
+        await simulation.submit(job("run-b"))
+        await simulation.until_phase("run-b", "done")
+        await simulation.until(
             lambda: (
                 not any(
-                    n.startswith("m-") for k, (v, _, _) in world.store.kv.items() if k.startswith("s/m/") for n in v
+                    n.startswith("m-")
+                    for k, (v, _, _) in simulation.store.kv.items()
+                    if k.startswith("s/m/")
+                    for n in v
                 )
             ),
             120,
         )
 
-    story(tell, coming=COMING)
+    run_scenario(scenario, coming=COMING)
 
 
 def test_parts_of_a_finished_job_are_swept() -> None:
-    async def tell(world: World) -> None:
-        await world.until_leader()
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
         for number in range(12):
-            world.store.rev += 1
+            simulation.store.rev += 1
             key = part_key("run-gone", number) if number % 2 else chunk_key("run-gone", number)
-            world.store.kv[key] = ("1-2", world.store.rev, None)
-            world.store.log.append((world.store.rev, key, "1-2", True))
-        await world.submit(job("run-a"))
-        await world.until_phase("run-a", "done")
-        await world.until(lambda: not [k for k in world.store.kv if "run-gone" in k], 30)
+            simulation.store.kv[key] = ("1-2", simulation.store.rev, None)
+            simulation.store.log.append((simulation.store.rev, key, "1-2", True))
+        await simulation.submit(job("run-a"))
+        await simulation.until_phase("run-a", "done")
+        await simulation.until(lambda: not [k for k in simulation.store.kv if "run-gone" in k], 30)
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_leadership_changes_under_the_smaller_limits_with_late_writes() -> None:
-    async def tell(world: World) -> None:
-        await world.submit(job("run-a", shards=30, expectedRunS=5.0))
-        await world.until(lambda: len(world.finished) > 3)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(job("run-a", shards=30, expectedRunS=5.0))
+        await simulation.until(lambda: len(simulation.finished) > 3)
         dice = random.Random(2)
 
         def late(src: str, dst: str, request: Request) -> bool:
             return request.path == "/multi" and dice.random() < 0.1
 
-        world.net.hold_request = late
-        narrow(world)
+        simulation.net.hold_request = late
+        narrow(simulation)
         for _ in range(3):
             await trio.sleep(6)
-            label = await world.until_leader()
-            world.kill(label)
+            label = await simulation.until_leader()
+            simulation.kill(label)
             await trio.sleep(0.5)
-            world.net.release()
-            world.start(label)
-        world.net.hold_request = lambda src, dst, request: False
-        await world.until_phase("run-a", "done", 200)
+            simulation.net.release()
+            simulation.start(label)
+        simulation.net.hold_request = lambda src, dst, request: False
+        await simulation.until_phase("run-a", "done", 200)
 
-    story(tell, coming=COMING)
+    run_scenario(scenario, coming=COMING)
 
 
 def test_a_machine_in_two_parts_of_the_roster_is_heard_once() -> None:
-    async def tell(world: World) -> None:
-        await world.submit(job("run-s", shape="standing", shards=2, rank="prod", expectedRunS=0.0))
-        await world.until(lambda: len(world.running("run-s")) == 2)
-        for key, (value, _, _) in list(world.store.kv.items()):
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(job("run-s", shape="standing", shards=2, rank="prod", expectedRunS=0.0))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 2)
+        for key, (value, _, _) in list(simulation.store.kv.items()):
             if key.startswith("s/m/") and value:
-                world.store.rev += 1
-                world.store.kv[f"{key}.1"] = (value, world.store.rev, None)
-                world.store.log.append((world.store.rev, f"{key}.1", value, True))
-        await world.submit(job("run-a", shards=40, expectedRunS=3.0))
+                simulation.store.rev += 1
+                simulation.store.kv[f"{key}.1"] = (value, simulation.store.rev, None)
+                simulation.store.log.append((simulation.store.rev, f"{key}.1", value, True))
+        await simulation.submit(job("run-a", shards=40, expectedRunS=3.0))
         await trio.sleep(2)
-        world.kill(await world.until_leader())
-        await world.until_phase("run-a", "done", 60)
-        world.kill_machine(world.running("run-s")[0][1])
-        await world.until(lambda: len(world.running("run-s")) == 2, 40)
+        simulation.kill(await simulation.until_leader())
+        await simulation.until_phase("run-a", "done", 60)
+        simulation.kill_machine(simulation.running("run-s")[0][1])
+        await simulation.until(lambda: len(simulation.running("run-s")) == 2, 40)
 
-    story(tell)
+    run_scenario(scenario)
--- a/tests/scenarios/test_together.py
+++ b/tests/scenarios/test_together.py
@@ -5,25 +5,23 @@
 
 from sorrelsill.http import Request
 from sorrelsill.settings import Team
-from tests.simulation import World, job, story
-
-from .test_failures import service
+from tests.simulation import SimulatedCluster, job, run_scenario, service
 
 Sent = tuple[str, str, Request]
 
 
-async def busy(world: World) -> None:
+async def busy(simulation: SimulatedCluster) -> None:
     """Some twenty machines with services and arrays of two teams on them."""
-    world.cloud.capacity = 24
+    simulation.cloud.capacity = 24
     for number in range(4):
-        await world.submit(service(f"run-s{number}", shards=6, scatter=True, rank="prod", workload="live"))
+        await simulation.submit(service(f"run-s{number}", shards=6, scatter=True, rank="prod", workload="live"))
     for number in range(4):
         team = "red" if number % 2 else "blue"
-        await world.submit(job(f"run-{number}", shards=24, owner=team, vcpus=1.0, memoryGb=1.0, expectedRunS=25.0))
-    await world.until(lambda: sum(len(w.on) for w in world.workers.values()) > 90)
+        await simulation.submit(job(f"run-{number}", shards=24, owner=team, vcpus=1.0, memoryGb=1.0, expectedRunS=25.0))
+    await simulation.until(lambda: sum(len(w.on) for w in simulation.workers.values()) > 90)
 
 
-def remember(world: World) -> list[Sent]:
+def remember(simulation: SimulatedCluster) -> list[Sent]:
     """Reports and commands from now on, for late copies and repeats of them."""
     sent: list[Sent] = []
 
@@ -32,98 +30,98 @@
             sent.append((src, dst, request))
         return False
 
-    world.net.hold_request = reindex
+    simulation.net.hold_request = reindex
     return sent
 
 
-async def repeat(world: World, sent: list[Sent], count: int) -> None:
+async def repeat(simulation: SimulatedCluster, sent: list[Sent], count: int) -> None:
     """Copies reach whoever is there now: machines that still are, and every controller."""
-    for src, dst, request in world.rng.sample(sent, min(count, len(sent))):
-        targets = [dst] if dst in world.workers else [n for n in world.nodes if n not in world.net.down]
+    for src, dst, request in simulation.rng.sample(sent, min(count, len(sent))):
+        targets = [dst] if dst in simulation.workers else [n for n in simulation.nodes if n not in simulation.net.down]
         for target in targets:
             with trio.move_on_after(1):
-                await world.net.handlers[target](src, request)
+                await simulation.net.handlers[target](src, request)
 
 
-async def all_served(world: World) -> None:
+async def all_served(simulation: SimulatedCluster) -> None:
     for number in range(4):
-        await world.until_phase(f"run-{number}", "done", 240)
+        await simulation.until_phase(f"run-{number}", "done", 240)
     for number in range(4):
-        await world.until(lambda n=number: len(world.running(f"run-s{n}")) == 6, 120)  # type: ignore[misc]
+        await simulation.until(lambda n=number: len(simulation.running(f"run-s{n}")) == 6, 120)  # type: ignore[misc]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_half_the_machines_cut_and_others_hanging_around_a_takeover(seed: int) -> None:
-    async def tell(world: World) -> None:
-        await busy(world)
-        sent = remember(world)
-        names = sorted(world.workers)
-        cut = [n for n in names if world.workers[n].zone == "b"]
-        hung = world.rng.sample([n for n in names if n not in cut], 4)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await busy(simulation)
+        sent = remember(simulation)
+        names = sorted(simulation.workers)
+        cut = [n for n in names if simulation.workers[n].zone == "b"]
+        hung = simulation.rng.sample([n for n in names if n not in cut], 4)
         for name in cut:
-            world.cut_machine(name)
+            simulation.cut_machine(name)
         for name in hung:
-            world.workers[name].hung = True
-        await trio.sleep(world.rng.random() * 8)
-        leader = await world.until_leader()
-        world.kill(leader)
-        await trio.sleep(world.rng.random())
-        world.start(leader)
-        await world.cancel("run-0")
+            simulation.workers[name].hung = True
+        await trio.sleep(simulation.rng.random() * 8)
+        leader = await simulation.until_leader()
+        simulation.kill(leader)
+        await trio.sleep(simulation.rng.random())
+        simulation.start(leader)
+        await simulation.cancel("run-0")
         await trio.sleep(6)
         for name in hung:
-            if name in world.workers:
-                world.workers[name].hung = False
-        await repeat(world, sent, 60)
+            if name in simulation.workers:
+                simulation.workers[name].hung = False
+        await repeat(simulation, sent, 60)
         await trio.sleep(8)
-        world.net.heal()
-        await repeat(world, sent, 60)
+        simulation.net.heal()
+        await repeat(simulation, sent, 60)
         for number in range(1, 4):
-            await world.until_phase(f"run-{number}", "done", 240)
+            await simulation.until_phase(f"run-{number}", "done", 240)
         for number in range(4):
-            await world.until(lambda n=number: len(world.running(f"run-s{n}")) == 6, 120)  # type: ignore[misc]
-        assert not world.running("run-0")
+            await simulation.until(lambda n=number: len(simulation.running(f"run-s{n}")) == 6, 120)  # type: ignore[misc]
+        assert not simulation.running("run-0")
 
-    story(tell, seed, [Team("red", cpus_max=100.0), Team("blue", cpus_max=50.0)])
+    run_scenario(scenario, seed, [Team("red", cpus_max=100.0), Team("blue", cpus_max=50.0)])
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_every_controller_in_turn_while_machines_die(seed: int) -> None:
-    async def tell(world: World) -> None:
-        await busy(world)
-        sent = remember(world)
-        for label in sorted(world.nodes):
-            world.kill(label)
-            for name in world.rng.sample(sorted(world.workers), 3):
-                world.kill_machine(name)
-                world.cloud.machines[name]["phase"] = "failed"
-            await trio.sleep(world.rng.choice([0.2, 3.0]))
-            world.start(label)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await busy(simulation)
+        sent = remember(simulation)
+        for label in sorted(simulation.nodes):
+            simulation.kill(label)
+            for name in simulation.rng.sample(sorted(simulation.workers), 3):
+                simulation.kill_machine(name)
+                simulation.cloud.machines[name]["phase"] = "failed"
+            await trio.sleep(simulation.rng.choice([0.2, 3.0]))
+            simulation.start(label)
             await trio.sleep(5)
-            await repeat(world, sent, 30)
-        await all_served(world)
+            await repeat(simulation, sent, 30)
+        await all_served(simulation)
 
-    story(tell, seed)
+    run_scenario(scenario, seed)
 
 
 def test_all_controllers_at_once_with_an_outage_and_a_cut_zone() -> None:
-    async def tell(world: World) -> None:
-        await busy(world)
-        sent = remember(world)
-        for name in [n for n, w in world.workers.items() if w.zone == "a"]:
-            world.cut_machine(name)
-        world.store.begin_outage()
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await busy(simulation)
+        sent = remember(simulation)
+        for name in [n for n, w in simulation.workers.items() if w.zone == "a"]:
+            simulation.cut_machine(name)
+        simulation.store.begin_outage()
         await trio.sleep(3)
-        for label in list(world.nodes):
-            world.kill(label)
+        for label in list(simulation.nodes):
+            simulation.kill(label)
         await trio.sleep(0.3)
-        for label in list(world.nodes):
-            world.start(label)
+        for label in list(simulation.nodes):
+            simulation.start(label)
         await trio.sleep(9)
-        world.store.end_outage()
-        await repeat(world, sent, 60)
+        simulation.store.end_outage()
+        await repeat(simulation, sent, 60)
         await trio.sleep(6)
-        world.net.heal()
-        await all_served(world)
+        simulation.net.heal()
+        await all_served(simulation)
 
-    story(tell)
+    run_scenario(scenario)
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -13,29 +13,29 @@
 from sorrelsill.jobs.roster import next_write
 from sorrelsill.settings import NextLimits
 from sorrelsill.store import View
-from tests.simulation import World, job, production, story
-from tests.simulation.world import LABELS
+from tests.simulation import SimulatedCluster, job, production, run_scenario, service
+from tests.simulation.simulated_cluster import LABELS
 
 COMING = NextLimits(write_rps=100.0, value_kb=2.0, txn_ops=5)
 
 
-def service(name: str, **fields: Any) -> dict[str, Any]:
-    return job(name, **{"shape": "standing", "rank": "prod", "shards": 4, "expectedRunS": 0.0, **fields})
+def prod_service(name: str, **fields: Any) -> dict[str, Any]:
+    return service(name, **{"rank": "prod", "shards": 4, **fields})
 
 
-async def load(world: World) -> None:
+async def load(simulation: SimulatedCluster) -> None:
     """Services and arrays, some of which run all along."""
-    await world.submit(service("run-s", scatter=True))
-    await world.submit(job("run-long", shards=12, expectedRunS=9.0))
-    await world.submit(job("run-slow", shards=3, expectedRunS=70.0))
-    await world.until(lambda: len(world.running("run-s")) == 4)
+    await simulation.submit(prod_service("run-s", scatter=True))
+    await simulation.submit(job("run-long", shards=12, expectedRunS=9.0))
+    await simulation.submit(job("run-slow", shards=3, expectedRunS=70.0))
+    await simulation.until(lambda: len(simulation.running("run-s")) == 4)
 
 
-async def upgrade(world: World, order: list[str], pause: float = 12.0, back: float = 4.0) -> None:
+async def upgrade(simulation: SimulatedCluster, order: list[str], pause: float = 12.0, back: float = 4.0) -> None:
     for label in order:
-        world.kill(label)
+        simulation.kill(label)
         await trio.sleep(back)
-        world.start(label)
+        simulation.start(label)
         await trio.sleep(pause - back)
 
 
@@ -43,102 +43,102 @@
 def test_a_rolling_upgrade_costs_a_leader_or_two_and_no_task(turn: int) -> None:
     """Whichever is killed first; a new one takes the key from the first change on that finds one up."""
 
-    async def tell(world: World) -> None:
-        await load(world)
-        held = len(world.led)
-        await upgrade(world, [LABELS[(turn + i) % 3] for i in range(3)])
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await load(simulation)
+        held = len(simulation.led)
+        await upgrade(simulation, [LABELS[(turn + i) % 3] for i in range(3)])
         for number in range(6):
-            assert await world.submit(job(f"run-{number}")) == 201
-            await world.until_phase(f"run-{number}", "done")
-        await world.until_phase("run-long", "done")
-        await world.until_phase("run-slow", "done")
-        assert len(world.led) - held <= 2, world.led
-        assert len(world.running("run-s")) == 4
-        count = {s: sum(1 for _, t, _ in world.starts if t == s) for _, s, _ in world.starts}
+            assert await simulation.submit(job(f"run-{number}")) == 201
+            await simulation.until_phase(f"run-{number}", "done")
+        await simulation.until_phase("run-long", "done")
+        await simulation.until_phase("run-slow", "done")
+        assert len(simulation.led) - held <= 2, simulation.led
+        assert len(simulation.running("run-s")) == 4
+        count = {s: sum(1 for _, t, _ in simulation.starts if t == s) for _, s, _ in simulation.starts}
         assert set(count.values()) == {1}, "no task was started twice"
 
-    story(tell, seed=turn, old=True, coming=COMING)
+    run_scenario(scenario, seed=turn, old=True, coming=COMING)
 
 
 def test_a_new_controller_takes_the_key_before_old_ones_that_still_have_to_go() -> None:
     won = 0
     for seed in range(6):
 
-        async def tell(world: World) -> None:
+        async def scenario(simulation: SimulatedCluster) -> None:
             nonlocal won
-            leader = await world.until_leader()
-            assert type(world.nodes[leader]).__module__ == production.package() + ".node"
+            leader = await simulation.until_leader()
+            assert type(simulation.nodes[leader]).__module__ == production.package() + ".node"
             first, last = (label for label in LABELS if label != leader)
-            world.kill(first)
+            simulation.kill(first)
             await trio.sleep(0.5)
-            world.start(first)
+            simulation.start(first)
             await trio.sleep(5)
-            world.kill(leader)
-            await world.until(lambda: world.leader() is not None, 10)
-            won += world.leader() == first
+            simulation.kill(leader)
+            await simulation.until(lambda: simulation.leader() is not None, 10)
+            won += simulation.leader() == first
 
-        story(tell, seed=seed, old=True, coming=COMING)
+        run_scenario(scenario, seed=seed, old=True, coming=COMING)
     assert won >= 5
 
 
 def test_leadership_passes_to_and_fro_and_nothing_is_lost() -> None:
     """Versions change places in any order, also within a fraction of a second, with an outage and late messages."""
 
-    async def tell(world: World, seed: int) -> None:
+    async def scenario(simulation: SimulatedCluster, seed: int) -> None:
         dice = random.Random(seed)
-        await load(world)
+        await load(simulation)
         for number in range(10):
-            label = world.leader() if dice.random() < 0.6 else None
+            label = simulation.leader() if dice.random() < 0.6 else None
             label = label or dice.choice(LABELS)
-            world.kill(label)
-            held = world.net
+            simulation.kill(label)
+            held = simulation.net
             held.hold_request = lambda src, dst, request: dice.random() < 0.02
             await trio.sleep(dice.choice((0.2, 2.0, 5.0)))
-            world.start(label, old=dice.random() < 0.5)
-            assert await world.submit(job(f"run-{number}", shards=3)) in (200, 201)
+            simulation.start(label, old=dice.random() < 0.5)
+            assert await simulation.submit(job(f"run-{number}", shards=3)) in (200, 201)
             if number % 3 == 0:
-                await world.cancel(f"run-{number}")
+                await simulation.cancel(f"run-{number}")
             if number == 5:
-                world.store.begin_outage()
+                simulation.store.begin_outage()
                 await trio.sleep(14)
-                world.store.end_outage()
+                simulation.store.end_outage()
             await trio.sleep(dice.choice((1.0, 6.0)))
             held.hold_request = lambda src, dst, request: False
             held.release()
-        for job_id in [u for u in world.specs if u != "run-s"]:
-            if job_id not in world.over:
-                await world.until_phase(job_id, "done", 200)
-        await world.until(lambda: len(world.running("run-s")) == 4, 60)
+        for job_id in [u for u in simulation.specs if u != "run-s"]:
+            if job_id not in simulation.over:
+                await simulation.until_phase(job_id, "done", 200)
+        await simulation.until(lambda: len(simulation.running("run-s")) == 4, 60)
 
     for seed in range(4):
 
-        async def told(world: World, seed: int = seed) -> None:
-            await tell(world, seed)
+        async def told(simulation: SimulatedCluster, seed: int = seed) -> None:
+            await scenario(simulation, seed)
 
-        story(told, seed=seed, old=True, coming=COMING)
+        run_scenario(told, seed=seed, old=True, coming=COMING)
 
 
 def test_a_standstill_of_both_versions_keeps_every_task() -> None:
-    async def tell(world: World) -> None:
-        await load(world)
-        world.kill("n1")
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await load(simulation)
+        simulation.kill("n1")
         await trio.sleep(1)
-        world.start("n1")
+        simulation.start("n1")
         await trio.sleep(8)
-        before = sorted(world.running("run-s"))
-        world.store.begin_outage()
+        before = sorted(simulation.running("run-s"))
+        simulation.store.begin_outage()
         await trio.sleep(25)
-        world.store.end_outage()
-        await world.until_leader()
-        assert sorted(world.running("run-s")) == before
-        await world.until_phase("run-slow", "done")
+        simulation.store.end_outage()
+        await simulation.until_leader()
+        assert sorted(simulation.running("run-s")) == before
+        await simulation.until_phase("run-slow", "done")
 
-    story(tell, old=True, coming=COMING)
+    run_scenario(scenario, old=True, coming=COMING)
 
 
 def test_late_copies_for_former_processes_reach_the_new_ones_and_harm_nothing() -> None:
-    async def tell(world: World) -> None:
-        await load(world)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await load(simulation)
         held: list[Request] = []
 
         def hold(src: str, dst: str, request: Request) -> bool:
@@ -150,86 +150,86 @@
             held.append(request)
             return some
 
-        world.net.hold_request = hold
+        simulation.net.hold_request = hold
         await trio.sleep(4)
-        world.net.hold_request = lambda src, dst, request: False
-        await upgrade(world, list(LABELS), pause=6.0, back=0.3)
-        world.net.release()
+        simulation.net.hold_request = lambda src, dst, request: False
+        await upgrade(simulation, list(LABELS), pause=6.0, back=0.3)
+        simulation.net.release()
         await trio.sleep(20)
-        await world.until_phase("run-slow", "done")
-        assert len(world.running("run-s")) == 4
+        await simulation.until_phase("run-slow", "done")
+        assert len(simulation.running("run-s")) == 4
 
-    story(tell, old=True, coming=COMING)
+    run_scenario(scenario, old=True, coming=COMING)
 
 
 def test_one_that_dies_before_its_turn_comes_back_old_and_an_operator_goes_back() -> None:
-    async def tell(world: World) -> None:
-        await load(world)
-        await upgrade(world, ["n0"])
-        world.kill("n2")
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await load(simulation)
+        await upgrade(simulation, ["n0"])
+        simulation.kill("n2")
         await trio.sleep(0.3)
-        world.start("n2", old=True)
+        simulation.start("n2", old=True)
         await trio.sleep(5)
-        await upgrade(world, ["n1", "n2"])
+        await upgrade(simulation, ["n1", "n2"])
         for label in LABELS:  # and back
-            world.kill(label)
+            simulation.kill(label)
             await trio.sleep(1)
-            world.start(label, old=True)
+            simulation.start(label, old=True)
             await trio.sleep(9)
-        await world.until_phase("run-slow", "done")
-        assert await world.submit(job("run-last")) == 201
-        await world.until_phase("run-last", "done")
-        assert len(world.running("run-s")) == 4
+        await simulation.until_phase("run-slow", "done")
+        assert await simulation.submit(job("run-last")) == 201
+        await simulation.until_phase("run-last", "done")
+        assert len(simulation.running("run-s")) == 4
 
-    story(tell, old=True, coming=COMING)
+    run_scenario(scenario, old=True, coming=COMING)
 
 
 def test_what_an_old_leader_adds_to_a_job_kept_in_parts_is_not_lost() -> None:
     """Found by reading: a record that the former version wrote in full was left out of the parts beside it."""
 
-    async def tell(world: World) -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
         shards = 9000
-        await world.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
-        node = world.nodes[await world.until_leader()]
+        await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
+        node = simulation.nodes[await simulation.until_leader()]
         assert node.cluster is not None
-        world.store.rev += 1
-        world.store.kv["s/d/run-big/0"] = ("0-99", world.store.rev, None)
-        world.store.log.append((world.store.rev, "s/d/run-big/0", "0-99", True))
-        value, _, _ = world.store.kv["s/j/run-big"]
-        world.store.rev += 1
-        world.store.kv["s/j/run-big"] = ({**value, "d": "200-299", "n": 200}, world.store.rev, None)
-        world.store.log.append((world.store.rev, "s/j/run-big", world.store.kv["s/j/run-big"][0], True))
+        simulation.store.rev += 1
+        simulation.store.kv["s/d/run-big/0"] = ("0-99", simulation.store.rev, None)
+        simulation.store.log.append((simulation.store.rev, "s/d/run-big/0", "0-99", True))
+        value, _, _ = simulation.store.kv["s/j/run-big"]
+        simulation.store.rev += 1
+        simulation.store.kv["s/j/run-big"] = ({**value, "d": "200-299", "n": 200}, simulation.store.rev, None)
+        simulation.store.log.append((simulation.store.rev, "s/j/run-big", simulation.store.kv["s/j/run-big"][0], True))
         for _ in range(3):
-            label = await world.until_leader()
-            world.kill(label)
+            label = await simulation.until_leader()
+            simulation.kill(label)
             await trio.sleep(0.3)
-            world.start(label)
-            node = world.nodes[await world.until_leader()]
+            simulation.start(label)
+            node = simulation.nodes[await simulation.until_leader()]
             assert node.cluster is not None
             done = node.cluster.jobs["run-big"].done
             assert done.count == 200 and 0 in done and 299 in done
             node.cluster.dirty.add("run-big")
             await trio.sleep(9)
-        assert world.store.kv["s/j/run-big"][0]["d"] == "", "and the record is short again"
+        assert simulation.store.kv["s/j/run-big"][0]["d"] == "", "and the record is short again"
 
-    story(tell)
+    run_scenario(scenario)
 
 
 def test_a_group_that_old_leaders_come_upon_breaks_no_rule() -> None:
     """Nothing new is asked before all are new; but an operator may go back."""
 
-    async def tell(world: World) -> None:
-        await world.submit(job("run-g", shape="group", shards=6, oneZone=True, expectedRunS=30.0))
-        await world.until(lambda: len(world.gangs.begun) == 1)
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(job("run-g", shape="group", shards=6, oneZone=True, expectedRunS=30.0))
+        await simulation.until(lambda: len(simulation.gangs.begun) == 1)
         for label in LABELS:
-            world.kill(label)
+            simulation.kill(label)
             await trio.sleep(1)
-            world.start(label, old=True)
+            simulation.start(label, old=True)
             await trio.sleep(6)
-        await world.until_phase("run-g", "done", 200)
-        assert len(world.gangs.begun) == 1
+        await simulation.until_phase("run-g", "done", 200)
+        assert len(simulation.gangs.begun) == 1
 
-    story(tell)
+    run_scenario(scenario)
 
 
 # --- stored values ---
--- a/tests/simulation/world.py
+++ b/tests/simulation/simulated_cluster.py
@@ -67,7 +67,12 @@
     return {**base, **fields}
 
 
-class World:
+def service(job_id: str, **fields: Any) -> dict[str, Any]:
+    """A service as a user submits it."""
+    return job(job_id, **{"shape": "standing", "expectedRunS": 0.0, **fields})
+
+
+class SimulatedCluster:
     def __init__(
         self,
         nursery: trio.Nursery,
@@ -290,7 +295,7 @@
 
         self.net.copy = copy
 
-    async def calm(self) -> None:
+    async def wait_for_convergence(self) -> None:
         """All troubles end. Then what users check at a day's end: every job's users are answered within 75 s, and every
         job that was accepted and not cancelled runs or is done, as long as there is room."""
         self.net.late = lambda src, dst, request: None
@@ -443,26 +448,28 @@
         return [(s, w.name) for w in self.workers.values() for s in sorted(w.on) if s.startswith(job_id + "/")]
 
 
-def story(
-    tell: Callable[[World], Awaitable[None]],
+def run_scenario(
+    scenario: Callable[[SimulatedCluster], Awaitable[None]],
     seed: int = 1,
     teams: list[Team] | None = None,
     txn_ops: int = 16,
     coming: NextLimits | None = None,
     old: bool = False,
-) -> World:
+) -> SimulatedCluster:
     """Run a story on a virtual clock, and check at its end that no rule was broken on the way."""
-    worlds: list[World] = []
+    simulations: list[SimulatedCluster] = []
     gated = GatedTasks()
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            world = World(nursery, seed, teams or [Team("red"), Team("blue")], txn_ops, coming, old, gated)
-            worlds.append(world)
-            await tell(world)
+            simulation = SimulatedCluster(
+                nursery, seed, teams or [Team("red"), Team("blue")], txn_ops, coming, old, gated
+            )
+            simulations.append(simulation)
+            await scenario(simulation)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0), instruments=[gated])
-    assert not worlds[0].broken, worlds[0].broken
-    assert len(worlds[0].store.refusals) <= worlds[0].may_refuse, worlds[0].store.refusals
-    return worlds[0]
+    assert not simulations[0].broken, simulations[0].broken
+    assert len(simulations[0].store.refusals) <= simulations[0].may_refuse, simulations[0].store.refusals
+    return simulations[0]
