--- a/sorrelsill/cli.py
+++ b/sorrelsill/cli.py
@@ -12,9 +12,8 @@
 import orjson
 import trio
 
-from sorrelsill import __version__
-from sorrelsill import constants as C
-from sorrelsill.http import Client, NoAnswer, NotSent
+from sorrelsill import __version__, constants
+from sorrelsill.http import Client, NoAnswerError, NotSentError
 from sorrelsill.settings import SettingsError, Timings, load, load_operator, split_addr
 
 F = TypeVar("F", bound=Callable[..., Any])
@@ -28,9 +27,9 @@
         raise click.UsageError(f"--controller: {error}") from None
     data = msgspec.msgpack.encode(body) if body is not None else b""
     try:
-        status, raw = trio.run(Client(addr).request, method, target, data, C.CLI_TIMEOUT_S)
+        status, raw = trio.run(Client(addr).request, method, target, data, constants.CLI_TIMEOUT_S)
         answer = msgspec.msgpack.decode(raw) if raw else {}
-    except (NotSent, NoAnswer, msgspec.DecodeError) as error:
+    except (NotSentError, NoAnswerError, msgspec.DecodeError) as error:
         raise click.ClickException(str(error)) from None
     if status not in (200, 201):
         reason = answer.get("error") if isinstance(answer, dict) else None
--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -92,6 +92,7 @@
 ADMIT_QUEUE: Final = 256  # submissions waiting for one batch; more are answered 429 at once
 POLL_QUEUE: Final = 1024  # polls waiting for one shared read; more are answered 503 at once
 LOOKUPS_AT_ONCE: Final = 32  # reads of final records in flight for polls; a poll that needs one more is answered 503
+ADMIT_TRIES: Final = 3  # tries; of one batch, after a refusal for the rate or a job that was there already
 ADMIT_DEADLINE_S: Final = 3.0  # s; a user waits 5 s: the final answer has to be out before
 POLL_DEADLINE_S: Final = 1.4  # s; a user waits 2 s for a poll
 READY_STORE_S: Final = 3.0  # s; a node alone without the store for this long says it is not ready
--- a/sorrelsill/controller.py
+++ b/sorrelsill/controller.py
@@ -13,22 +13,22 @@
 import msgspec
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.fleet import Catalog, Cloud, FleetManager, parse_catalog
 from sorrelsill.http import Client, Reply, Request
-from sorrelsill.jobs import Admission, BadJob, Busy, Cancellations, RecordWriter, json_size, parse_record
+from sorrelsill.jobs import Admission, BusyError, Cancellations, InvalidJobError, RecordWriter, json_size, parse_record
 from sorrelsill.leadership import Elector, Watchdog
 from sorrelsill.peers import DegradedMode
 from sorrelsill.placement import Placer
 from sorrelsill.settings import Operator, Settings, Timings
-from sorrelsill.store import CATALOG, LEADER, Condition, Put, Store, Unavailable, View
-from sorrelsill.store import Ambiguous as StoreAmbiguous
+from sorrelsill.store import CATALOG, LEADER, Condition, Put, Store, UnavailableError, View
+from sorrelsill.store import AmbiguousError as StoreAmbiguous
 from sorrelsill.workers import (
-    BadReport,
     ClusterState,
+    InvalidReportError,
     Pusher,
     Report,
-    Superseded,
+    SupersededError,
     enforce_gang_completeness,
     parse_report,
     stop_command,
@@ -71,7 +71,7 @@
             rng,
             [member.label for member in settings.members],
         )
-        self.elector.acquire_after = trio.current_time() + (C.PROMISE_S if settings.members else 0.0)
+        self.elector.acquire_after = trio.current_time() + (constants.PROMISE_S if settings.members else 0.0)
         self._time_of_day = time_of_day
         self.cancellations = Cancellations(
             trio.current_time(), facts.workers.cancel_s, self.timings.renew_s, len(settings.members)
@@ -80,15 +80,15 @@
         self.admission = Admission(self.store, self.view, facts.teams, time_of_day)
         self.cloud = Cloud(make_client(settings.services.cloud), facts.cloud)
         self.degraded_mode = DegradedMode(self.store, self.elector, settings.members, make_client, self.cancellations)
-        self.placer = Placer(facts.teams, facts.objectives, rng, operator.sample or C.SAMPLE, settings.hurried)
-        self.tick_s = operator.tick_s or C.TICK_S
+        self.placer = Placer(facts.teams, facts.objectives, rng, operator.sample or constants.SAMPLE, settings.hurried)
+        self.tick_s = operator.tick_s or constants.TICK_S
         self.cluster: ClusterState | None = None
         self.fleet: FleetManager | None = None
         self.record_writer: RecordWriter | None = None
         self.catalog: Catalog | None = None
         self._catalog_raw: Any = None
         self._catalog_saved: Any = None
-        keep = max(8, int(facts.quota.sockets * C.PUSH_SOCKETS))
+        keep = max(8, int(facts.quota.sockets * constants.PUSH_SOCKETS))
         self.pusher = Pusher(make_client, self.elector.valid, self._fresh, keep)
         self.pusher.on_news = self._news
         self._labels = {m.label for m in settings.members}
@@ -159,7 +159,7 @@
                 continue
             try:
                 spec, done, _ = parse_record(value, self.view.chunks(job_id))
-            except (BadJob, ValueError, TypeError):
+            except (InvalidJobError, ValueError, TypeError):
                 return None
             left = spec.shards - done.count
             out.append((spec.team, left * spec.cpus, left * spec.gpus))
@@ -208,12 +208,12 @@
             self._wake.set()
 
     def _hears_no_worker(self) -> bool:
-        limit = C.DEAF_REPORTS * self.settings.facts.workers.report_s + C.DEAF_EXTRA_S
+        limit = constants.DEAF_REPORTS * self.settings.facts.workers.report_s + constants.DEAF_EXTRA_S
         return self.cluster is not None and self.cluster.hears_no_worker(trio.current_time(), limit)
 
     def _fresh(self) -> bool:
         """Whether the view of the jobs is recent enough to start anything on it."""
-        return trio.current_time() - self.view.fresh_at < C.VIEW_STALE_S
+        return trio.current_time() - self.view.fresh_at < constants.VIEW_STALE_S
 
     def _news(self) -> None:
         if self.cluster is not None and self.cluster.wake_placing:
@@ -223,7 +223,7 @@
         try:
             spec, done, why = parse_record(value, self.view.chunks(job_id))
             accepted = float(value.get("t") or 0.0)
-        except (BadJob, ValueError, TypeError) as error:
+        except (InvalidJobError, ValueError, TypeError) as error:
             # Guards against one damaged record stopping all the others.
             log.error("record of %s: %s", job_id, error)
             return False
@@ -237,7 +237,7 @@
         if job.split and value.get("d"):
             # Written by the version before this one, which knows of no parts beside the record of a smaller job: what
             # it adds stands only there, and has to go into the parts before the record leaves it out.
-            job.dirty_parts.update(range(-(-spec.shards // C.PART_SHARDS)))
+            job.dirty_parts.update(range(-(-spec.shards // constants.PART_SHARDS)))
         return True
 
     def _on_catalog(self, raw: dict[str, Any], catalog: Catalog) -> None:
@@ -294,10 +294,10 @@
     async def _users(self, call: Callable[[], Awaitable[tuple[int, dict[str, Any]]]]) -> Reply:
         try:
             status, answer = await call()
-        except Busy as busy:
+        except BusyError as busy:
             # Never held back: the user is told at once when to come back.
             self._count("busy")
-            return Reply(503, _encode({"error": str(busy)}), [("Retry-After", str(C.RETRY_AFTER_S))])
+            return Reply(503, _encode({"error": str(busy)}), [("Retry-After", str(constants.RETRY_AFTER_S))])
         self._count(f"answer_{status}")
         return Reply(status, _encode(answer))
 
@@ -307,7 +307,7 @@
     def _hello(self, request: Request) -> Reply:
         try:
             report = parse_report(request.body)
-        except BadReport as error:
+        except InvalidReportError as error:
             return Reply(400, _encode({"error": str(error)}))
         self._count("reports")
         log.debug("report: %s", report)
@@ -323,7 +323,7 @@
             if cluster is not None:
                 try:
                     commands = cluster.on_report(report, now, acting, self._fresh())
-                except Superseded as error:
+                except SupersededError as error:
                     self.elector.superseded(error.token)
                     return Reply(421, _encode({}))
                 if commands is None:
@@ -362,7 +362,7 @@
         """Able to serve. If all lack the store, staying ready and answering 503 beats a refused connection."""
         if not self.view.loaded:
             return False
-        return self.store.failing_for() < C.READY_STORE_S or self.degraded_mode.others_fail_too()
+        return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.others_fail_too()
 
     def state(self) -> dict[str, Any]:
         """For operators: what this controller believes."""
@@ -408,8 +408,8 @@
             nursery.start_soon(self.degraded_mode.run)
             self._nursery = nursery
             nursery.start_soon(self._loop, "place", self._place, self.tick_s)
-            nursery.start_soon(self._loop, "record", self._record, C.WRITER_TICK_S)
-            nursery.start_soon(self._loop, "fleet", self._fleet, C.FLEET_TICK_S)
+            nursery.start_soon(self._loop, "record", self._record, constants.WRITER_TICK_S)
+            nursery.start_soon(self._loop, "fleet", self._fleet, constants.FLEET_TICK_S)
 
     async def _loop(self, name: str, step: Callable[[], Awaitable[None]], tick: float) -> None:
         """A leader's loop: an error is logged and the next round goes on; beats feed the watchdog."""
@@ -435,7 +435,7 @@
         cluster.drain(now)
         enforce_gang_completeness(cluster)
         cluster.wake_placing = False
-        if not self.placer.round(cluster, now, trio.current_time, C.ROUND_BUDGET_S) or lost:
+        if not self.placer.round(cluster, now, trio.current_time, constants.ROUND_BUDGET_S) or lost:
             self._wake.set()
         self.pusher.start_due(cluster, self._nursery)
         for name in cluster.unconfirmed:
@@ -456,7 +456,7 @@
                 txn = await self.store.multi([Condition(LEADER, self.elector.term or 0)], [Put(CATALOG, raw)])
                 if txn.ok:
                     self._catalog_saved = raw
-            except (Unavailable, StoreAmbiguous) as error:
+            except (UnavailableError, StoreAmbiguous) as error:
                 log.debug("catalog not saved: %s", error)
 
     async def _fleet(self) -> None:
--- a/sorrelsill/fleet/boot_times.py
+++ b/sorrelsill/fleet/boot_times.py
@@ -8,7 +8,7 @@
 import statistics
 from collections import deque
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.fleet.catalog import Catalog
 
 
@@ -20,29 +20,29 @@
 
     def note(self, machine_type: str, boot_s: float) -> None:
         """A machine that we rented has reported for the first time, `boot_s` after it was rented."""
-        self._seen.setdefault(machine_type, deque(maxlen=C.BOOTS_KEPT)).append(boot_s)
+        self._seen.setdefault(machine_type, deque(maxlen=constants.BOOTS_KEPT)).append(boot_s)
 
     def late_after_s(self, machine_type: str, catalog: Catalog) -> float:
         """A machine that takes longer than this is late: the plan no longer counts on it."""
         published = _published_s(machine_type, catalog)
         seen = self._enough(machine_type)
-        usual = C.BOOT_LATE_OF_SEEN * statistics.median(seen) if seen else 0.0
-        return max(C.BOOT_LATE * published, usual) + C.BOOT_EXTRA_S
+        usual = constants.BOOT_LATE_OF_SEEN * statistics.median(seen) if seen else 0.0
+        return max(constants.BOOT_LATE * published, usual) + constants.BOOT_EXTRA_S
 
     def give_up_after_s(self, machine_type: str, catalog: Catalog) -> float:
         """A machine that takes longer than this is deleted."""
         published = _published_s(machine_type, catalog)
         seen = self._enough(machine_type)
         if not seen:
-            return C.BOOT_GIVE_UP * published + C.BOOT_EXTRA_S
-        longest = C.BOOT_GIVE_UP_OF_SEEN * max(seen)
-        return max(C.BOOT_GIVE_UP_SEEN * published, longest) + C.BOOT_EXTRA_S
+            return constants.BOOT_GIVE_UP * published + constants.BOOT_EXTRA_S
+        longest = constants.BOOT_GIVE_UP_OF_SEEN * max(seen)
+        return max(constants.BOOT_GIVE_UP_SEEN * published, longest) + constants.BOOT_EXTRA_S
 
     def _enough(self, machine_type: str) -> deque[float] | None:
         seen = self._seen.get(machine_type)
-        return seen if seen is not None and len(seen) >= C.BOOTS_ENOUGH else None
+        return seen if seen is not None and len(seen) >= constants.BOOTS_ENOUGH else None
 
 
 def _published_s(machine_type: str, catalog: Catalog) -> float:
     kind = catalog.machine_types.get(machine_type)
-    return kind.boot_s if kind is not None else C.MIN_CHARGE_S
+    return kind.boot_s if kind is not None else constants.MIN_CHARGE_S
--- a/sorrelsill/fleet/cloud.py
+++ b/sorrelsill/fleet/cloud.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from sorrelsill import constants as C
-from sorrelsill.http import Client, NoAnswer, NotSent, always
+from sorrelsill import constants
+from sorrelsill.http import Client, NoAnswerError, NotSentError, always
 from sorrelsill.settings import CloudLimits
 from sorrelsill.store.budget import Bucket
 
@@ -30,7 +30,7 @@
 
     def __init__(self, client: Client, limits: CloudLimits) -> None:
         self._client = client
-        self.bucket = Bucket(limits.rps * C.CLOUD_SHARE, max(1.0, limits.rps))
+        self.bucket = Bucket(limits.rps * constants.CLOUD_SHARE, max(1.0, limits.rps))
 
     async def call(
         self, method: str, target: str, body: Any = None, may_send: Callable[[], bool] = always
@@ -40,12 +40,12 @@
         await self.bucket.wait()
         try:
             status, raw = await self._client.request(
-                method, target, _encode(body) if body is not None else b"", C.CLOUD_TIMEOUT_S, may_send
+                method, target, _encode(body) if body is not None else b"", constants.CLOUD_TIMEOUT_S, may_send
             )
             answer = _decode(raw) if raw else {}
-        except NotSent as error:
+        except NotSentError as error:
             raise CloudError(str(error)) from None
-        except (NoAnswer, msgspec.DecodeError) as error:
+        except (NoAnswerError, msgspec.DecodeError) as error:
             raise CloudError(str(error), sent=True) from None
         if status == 429:
             self.bucket.drain()
--- a/sorrelsill/fleet/consolidate.py
+++ b/sorrelsill/fleet/consolidate.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 
 if TYPE_CHECKING:
     from sorrelsill.jobs import JobSpec
@@ -117,7 +117,7 @@
             or a.spec is None
             or not a.spec.endless
             or a.running_since is None
-            or now - a.running_since < C.SETTLED_S
+            or now - a.running_since < constants.SETTLED_S
             for a in tasks
         ):
             continue
@@ -125,7 +125,7 @@
     found.sort(key=lambda item: item[0])
     plan = _Plan(usable, jobs)
     out: list[Machine] = []
-    for _, machine in found[: C.DRAIN_TRIES * most]:
+    for _, machine in found[: constants.DRAIN_TRIES * most]:
         if len(out) == most:
             break
         if machine.name in plan.targets or not plan.move(machine):
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.fleet.rentals import Need, Pending, lead_time_s, time_to_rent
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
             if item.limited:
                 continue
             job, spec = item.job, item.job.spec
-            count = min(item.count, 40 * C.RENT_MAX)
+            count = min(item.count, 40 * constants.RENT_MAX)
             if spec.due_s is not None and not spec.endless and not spec.whole:
                 count = min(count, self._enough(item, now))
             if count > 0:
@@ -71,7 +71,7 @@
             used += machine.cpus
             free += machine.cap_cpus - machine.cpus
         kind = min(kinds, key=lambda f: f.cost(False) / max(f.cpus, 0.1))
-        missing = int((C.HEADROOM * used - free) / max(kind.cpus, 0.1))
+        missing = int((constants.HEADROOM * used - free) / max(kind.cpus, 0.1))
         return [Need(missing, kind.cpus, 0.0, kind.memory, None, None, True, None)] if missing > 0 else []
 
     def group_room(self) -> tuple[dict[str, float], float]:
@@ -148,7 +148,43 @@
         job, spec = item.job, item.job.spec
         assert spec.due_s is not None
         boot, pull = lead_time_s(spec, self._cluster.catalog)
-        left = (job.submitted + spec.due_s - now) * C.DEADLINE_USE - boot - pull
+        left = (job.submitted + spec.due_s - now) * constants.DEADLINE_USE - boot - pull
         waves = max(1, int(left / max(1.0, spec.expected_s)))
         tasks = spec.shards - job.done.count
         return max(0, -(-tasks // waves) - len(job.bound))
+
+
+class RoomToKeep:
+    """The room that returns must leave: for gangs that wait, for one more gang, for one more service."""
+
+    def __init__(self, demand: Demand, unplaced: list[Unplaced]) -> None:
+        self._demand = demand
+        self._spare = demand.spare_spec()
+        # A gang that waits needs several machines at once. Guards against each machine rented for it going back as
+        # idle before the next one is up.
+        self._awaited = [(u.job.spec, u.zone) for u in unplaced if u.job.spec.whole and not u.limited]
+        self._free, self._kept = demand.group_room()
+        self._room: dict[str, int] | None = None  # worked out only if a machine could go, since it walks all of them
+
+    def lets_go(self, machine: Machine) -> bool:
+        """Whether an idle machine may go back; if so it is counted as gone."""
+        if any(zone in (None, machine.zone) and machine.allows(spec) for spec, zone in self._awaited):
+            return False
+        if self._kept and not machine.spot:
+            fullest = max(sorted(self._free), key=lambda zone: self._free[zone])
+            if machine.zone == fullest and self._free[machine.zone] - machine.cap_cpus < self._kept:
+                return False
+            self._free[machine.zone] -= machine.cap_cpus
+        return self._leaves_spare(machine)
+
+    def _leaves_spare(self, machine: Machine) -> bool:
+        spare = self._spare
+        if spare is None or not machine.allows(spare):
+            return True
+        if self._room is None:
+            self._room = self._demand.spare_room(spare)
+        mine = self._demand.spare_on(machine, spare)
+        if self._room.get(machine.zone, 0) - mine < spare.zone_limit:
+            return False
+        self._room[machine.zone] -= mine
+        return True
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -10,12 +10,12 @@
 import msgspec
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.fleet.boot_times import BootTimes
 from sorrelsill.fleet.catalog import Catalog, parse_catalog
 from sorrelsill.fleet.cloud import Cloud, CloudError
 from sorrelsill.fleet.consolidate import machines_to_drain
-from sorrelsill.fleet.demand import Demand
+from sorrelsill.fleet.demand import Demand, RoomToKeep
 from sorrelsill.fleet.rentals import Offer, Pending, counted_on, given_up, plan
 
 if TYPE_CHECKING:
@@ -82,16 +82,16 @@
     async def step(self) -> None:
         """One action at the most; what is most urgent goes first."""
         now = trio.current_time()
-        if not self._cluster.catalog.machine_types or now - self._catalog_at > C.CATALOG_EVERY_S:
+        if not self._cluster.catalog.machine_types or now - self._catalog_at > constants.CATALOG_EVERY_S:
             await self._read_catalog()
             if not self._cluster.catalog.machine_types:
                 return
         self._forget_arrived(now)
         self._report_use(now)
-        if now - self._returns_at >= C.PLAN_EVERY_S:
+        if now - self._returns_at >= constants.PLAN_EVERY_S:
             self._returns_at = now
             self._choose_returns(now)
-        if now - self._listed_at >= C.LIST_EVERY_S:
+        if now - self._listed_at >= constants.LIST_EVERY_S:
             await self._read_list()
         if not self._valid():
             return
@@ -112,7 +112,7 @@
             catalog = parse_catalog(raw)
         except (CloudError, ValueError) as error:
             log.info("catalog: %s", error)
-            self._catalog_at += C.RETRY_S * 8 - C.CATALOG_EVERY_S
+            self._catalog_at += constants.RETRY_S * 8 - constants.CATALOG_EVERY_S
             return
         self.on_catalog(raw, catalog)
 
@@ -122,7 +122,7 @@
         last = ""
         try:
             while True:
-                target = f"/rentals?page={C.LIST_PAGE}" + (f"&from={last}" if last else "")
+                target = f"/rentals?page={constants.LIST_PAGE}" + (f"&from={last}" if last else "")
                 answer = await self._cloud.call("GET", target)
                 machines = answer.get("hosts") or []
                 for item in machines:
@@ -161,7 +161,7 @@
                 self.pending[name].booted_for = age
         for name in [n for n in self._running_since if n not in found]:
             del self._running_since[name]
-        patience = 3 * self._lag + C.LIST_EVERY_S
+        patience = 3 * self._lag + constants.LIST_EVERY_S
         self._returned = {n: at for n, at in self._returned.items() if now - at < 2 * patience}
         for name, pending in list(self.pending.items()):
             if name not in found and now - pending.since > patience:
@@ -172,7 +172,7 @@
 
     def _report_use(self, now: float) -> None:
         """For operators who ask where the money goes: machines, room and use by kind."""
-        if not log.isEnabledFor(logging.DEBUG) or now - self._reported_at < C.USE_LOG_S:
+        if not log.isEnabledFor(logging.DEBUG) or now - self._reported_at < constants.USE_LOG_S:
             return
         self._reported_at = now
         kinds: dict[tuple[str, bool], list[float]] = {}
@@ -205,60 +205,41 @@
         self.refused = {o: t for o, t in self.refused.items() if t > now}
 
     def _choose_returns(self, now: float) -> None:
-        spare = self._demand.spare_spec()
-        # A group that waits needs several machines at once: found in a story, each machine rented for it went back as
-        # idle before the next was up.
-        awaited = [(u.job.spec, u.zone) for u in self._unplaced() if u.job.spec.whole and not u.limited]
-        free, kept = self._demand.group_room()
-        room: dict[str, int] | None = None  # worked out only if a machine could go, since it walks all of them
+        keep = RoomToKeep(self._demand, self._unplaced())
         for machine in self._cluster.machines.values():
-            if machine.name in self._give_back:
-                continue
-            if machine.lost:
-                if now - machine.seen_at > self._cluster.loss_s + C.SILENT_RETURN_S:
-                    self._give_back[machine.name] = "silent"
-                continue
-            if machine.live or machine.unknown or machine.evict_at is not None or not machine.synced:
-                continue
-            if any(not a.clearable for a in machine.attempts.values()):
-                continue  # a result that is not recorded yet
-            if machine.faulty:
-                self._start_return(machine, "faulty")
-            elif machine.draining:
-                self._start_return(machine, "drained")
-            elif now - max(machine.idle_since, self._cluster.started) > self._patience(machine):
-                if any(zone in (None, machine.zone) and machine.allows(spec) for spec, zone in awaited):
-                    continue
-                if kept and not machine.spot:
-                    if (
-                        machine.zone == max(sorted(free), key=lambda z: free[z])
-                        and free[machine.zone] - machine.cap_cpus < kept
-                    ):
-                        continue
-                    free[machine.zone] -= machine.cap_cpus
-                if spare is not None and machine.allows(spare):
-                    if room is None:
-                        room = self._demand.spare_room(spare)
-                    mine = self._demand.spare_on(machine, spare)
-                    if room.get(machine.zone, 0) - mine < spare.zone_limit:
-                        continue  # giving it back would leave too little room ready
-                    room[machine.zone] -= mine
-                self._start_return(machine, "idle")
+            if machine.name not in self._give_back:
+                self._choose_return(machine, keep, now)
         for name, pending in self.pending.items():
             if name in self._cluster.unconfirmed:
                 continue
             up = self._running_since.get(name)
             if given_up(pending, self._boots, self._cluster.catalog, now, self._cluster.started):
                 self._give_back.setdefault(name, "never came up")
-            elif up is not None and now - up > 2 * C.SILENT_RETURN_S:
+            elif up is not None and now - up > 2 * constants.SILENT_RETURN_S:
                 self._give_back.setdefault(name, "up but silent")
 
+    def _choose_return(self, machine: Machine, keep: RoomToKeep, now: float) -> None:
+        if machine.lost:
+            if now - machine.seen_at > self._cluster.loss_s + constants.SILENT_RETURN_S:
+                self._give_back[machine.name] = "silent"
+            return
+        if machine.live or machine.unknown or machine.evict_at is not None or not machine.synced:
+            return
+        if any(not a.clearable for a in machine.attempts.values()):
+            return  # a result that is not recorded yet
+        if machine.faulty:
+            self._start_return(machine, "faulty")
+        elif machine.draining:
+            self._start_return(machine, "drained")
+        elif now - max(machine.idle_since, self._cluster.started) > self._patience(machine) and keep.lets_go(machine):
+            self._start_return(machine, "idle")
+
     def _patience(self, machine: Machine) -> float:
         """How long a machine may idle: it is paid for its first minute anyway."""
         if self._hurried:
-            return C.IDLE_RETURN_HURRIED_S
+            return constants.IDLE_RETURN_HURRIED_S
         kind = self._cluster.catalog.machine_types.get(machine.machine_type)
-        return C.IDLE_OF_BOOT * (kind.boot_s if kind is not None else C.MIN_CHARGE_S)
+        return constants.IDLE_OF_BOOT * (kind.boot_s if kind is not None else constants.MIN_CHARGE_S)
 
     def _start_return(self, machine: Machine, why: str) -> None:
         machine.returning = True
@@ -280,7 +261,7 @@
                 machine.returning = True
                 self._cluster.reindex(machine)
             names.append(name)
-        names = names[: C.RETURN_MAX]
+        names = names[: constants.RETURN_MAX]
         if not names:
             return
         try:
@@ -300,9 +281,9 @@
         """In quiet times, a few machines at a time: their services move to fuller ones and they go back. One at a time
         was too slow for hundreds, and so was waiting for a moment when none is coming up: there is none."""
         cluster = self._cluster
-        if self._hurried or self._open or now - self._drained_at < C.DRAIN_EVERY_S:
+        if self._hurried or self._open or now - self._drained_at < constants.DRAIN_EVERY_S:
             return
-        few = int(C.DRAIN_SHARE * len(cluster.ready))
+        few = int(constants.DRAIN_SHARE * len(cluster.ready))
         if len(self.pending) > few or cluster.unconfirmed:
             return
         if any(u.count for u in self._unplaced()) or any(h.draining for h in cluster.machines.values()):
@@ -329,7 +310,7 @@
     def _choose_rentals(self, now: float) -> None:
         if self._open or self._lists == 0:
             return  # first learn what is there: an earlier leader's rentals are still coming up
-        if now - self._planned_at < C.PLAN_EVERY_S:
+        if now - self._planned_at < constants.PLAN_EVERY_S:
             return
         self._planned_at = now
         in_zone: dict[str, int] = {}
@@ -349,7 +330,7 @@
         for offer, count in sorted(wanted.items(), key=lambda i: -i[1]):
             self._counter += 1
             ref = f"r-{self._cluster.term}-{self._counter}"
-            self._open.append(_Rental(ref, offer, min(count, C.RENT_MAX)))
+            self._open.append(_Rental(ref, offer, min(count, constants.RENT_MAX)))
 
     def _counted_on(self, now: float) -> list[Pending]:
         return counted_on(list(self.pending.values()), self._boots, self._cluster.catalog, now)
@@ -358,7 +339,7 @@
         """Not again for a while, longer each time: refused calls use up the cloud's rate all the same."""
         times = self._refusals.get(offer, 0)
         self._refusals[offer] = times + 1
-        self.refused[offer] = now + min(C.NO_CAPACITY_MAX_S, C.NO_CAPACITY_S * 2**times)
+        self.refused[offer] = now + min(constants.NO_CAPACITY_MAX_S, constants.NO_CAPACITY_S * 2**times)
 
     async def _rent(self) -> None:
         now = trio.current_time()
@@ -384,13 +365,13 @@
             if "no capacity" in str(error) or status == 400:
                 self._refuse(rental.offer, now)
                 self._open.remove(rental)
-            elif rental.tries >= C.RENT_TRIES and not getattr(error, "sent", True):
+            elif rental.tries >= constants.RENT_TRIES and not getattr(error, "sent", True):
                 self._open.remove(rental)
-            elif rental.tries >= 3 * C.RENT_TRIES:
+            elif rental.tries >= 3 * constants.RENT_TRIES:
                 # If it was carried out after all, the machines show up by their reports and in the list.
                 self._open.remove(rental)
             else:
-                rental.next_at = now + min(5.0, C.RETRY_S * 2**rental.tries)
+                rental.next_at = now + min(5.0, constants.RETRY_S * 2**rental.tries)
             log.info("renting %d %s in %s: %s", rental.count, machine_type, zone, error)
             return
         now = trio.current_time()
--- a/sorrelsill/fleet/rentals.py
+++ b/sorrelsill/fleet/rentals.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.fleet.boot_times import BootTimes
 from sorrelsill.fleet.catalog import Catalog
 
@@ -89,7 +89,7 @@
             left -= put
             bins.append(b)
             wanted[offer] = wanted.get(offer, 0) + 1
-            if sum(wanted.values()) >= 2 * C.RENT_MAX:
+            if sum(wanted.values()) >= 2 * constants.RENT_MAX:
                 return wanted
     return wanted
 
@@ -104,7 +104,7 @@
 def time_to_rent(spec: JobSpec, catalog: Catalog, left_s: float) -> bool:
     """Whether a task on a machine that is still to be rented can be done within the time that is left."""
     boot_s, pull_s = lead_time_s(spec, catalog)
-    return left_s > boot_s + pull_s + spec.expected_s * C.ESTIMATE_SLACK + C.PATIENCE_S
+    return left_s > boot_s + pull_s + spec.expected_s * constants.ESTIMATE_SLACK + constants.PATIENCE_S
 
 
 def _allows(need: Need, offer: Offer) -> bool:
@@ -176,7 +176,7 @@
     of them: when all are late, further rentals would be late as well and cost as much."""
     late = [p for p in pending if now - p.since > boots.late_after_s(p.machine_type, catalog)]
     late.sort(key=lambda p: p.since)
-    replaced = min(len(late), max(C.LATE_REPLACED_MIN, math.ceil(C.LATE_REPLACED_SHARE * len(late))))
+    replaced = min(len(late), max(constants.LATE_REPLACED_MIN, math.ceil(constants.LATE_REPLACED_SHARE * len(late))))
     left_out = {p.name for p in late[:replaced]}
     return [p for p in pending if p.name not in left_out]
 
--- a/sorrelsill/fleet/test_boot_times.py
+++ b/sorrelsill/fleet/test_boot_times.py
@@ -1,6 +1,6 @@
 """When a machine on its way is late, replaced and given up."""
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.fleet import BootTimes, Catalog, MachineType, Pending, counted_on, given_up
 
 KIND = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
@@ -20,13 +20,13 @@
 
 def test_few_boots_seen_leave_the_published_time_in_force() -> None:
     boots = seen(200.0, 200.0)
-    assert boots.late_after_s("c8", CATALOG) == C.BOOT_LATE * 30.0 + C.BOOT_EXTRA_S
-    assert boots.give_up_after_s("c8", CATALOG) == C.BOOT_GIVE_UP * 30.0 + C.BOOT_EXTRA_S
+    assert boots.late_after_s("c8", CATALOG) == constants.BOOT_LATE * 30.0 + constants.BOOT_EXTRA_S
+    assert boots.give_up_after_s("c8", CATALOG) == constants.BOOT_GIVE_UP * 30.0 + constants.BOOT_EXTRA_S
 
 
 def test_quick_boots_end_the_patience_sooner_and_slow_ones_later() -> None:
     quick, slow = seen(*[25.0] * 10), seen(*[30.0] * 10, 160.0)
-    assert quick.give_up_after_s("c8", CATALOG) == C.BOOT_GIVE_UP_SEEN * 30.0 + C.BOOT_EXTRA_S
+    assert quick.give_up_after_s("c8", CATALOG) == constants.BOOT_GIVE_UP_SEEN * 30.0 + constants.BOOT_EXTRA_S
     assert slow.give_up_after_s("c8", CATALOG) > 160.0
     assert seen(*[100.0] * 10).late_after_s("c8", CATALOG) > 100.0
 
--- a/sorrelsill/http/client.py
+++ b/sorrelsill/http/client.py
@@ -7,16 +7,16 @@
 import h11
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.http import heads
 from sorrelsill.settings import split_addr
 
 
-class NotSent(Exception):
+class NotSentError(Exception):
     """No connection: the request was certainly not carried out."""
 
 
-class NoAnswer(Exception):
+class NoAnswerError(Exception):
     """Sent, but no proper answer: the request may have been carried out, or may yet be."""
 
 
@@ -63,7 +63,7 @@
         method: str,
         target: str,
         body: bytes = b"",
-        timeout: float = C.STORE_TIMEOUT_S,
+        timeout: float = constants.STORE_TIMEOUT_S,
         may_send: MaySend = always,
     ) -> tuple[int, bytes]:
         """Status and body, or NotSent or NoAnswer."""
@@ -75,7 +75,7 @@
                 data = heads.write_request(method, target, self.addr, len(body)) + body
                 # Guards against a process that stood still while it connected and now acts on what it decided before.
                 if not may_send():
-                    raise NotSent(f"{self.addr}: not entitled to send it any more")
+                    raise NotSentError(f"{self.addr}: not entitled to send it any more")
                 sent = True
                 await conn.stream.send_all(data)
                 status, answer = await self._answer(conn, method)
@@ -83,11 +83,11 @@
                 conn = None
                 return status, answer
             except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError) as error:
-                raise (NoAnswer if sent else NotSent)(f"{self.addr}: {error}") from None
+                raise (NoAnswerError if sent else NotSentError)(f"{self.addr}: {error}") from None
             finally:
                 if conn is not None:
                     await trio.aclose_forcefully(conn.stream)
-        raise (NoAnswer if sent else NotSent)(f"{self.addr}: no answer within {timeout:.1f} s")
+        raise (NoAnswerError if sent else NotSentError)(f"{self.addr}: no answer within {timeout:.1f} s")
 
     def close(self) -> None:
         """Drop the kept connections; one in use closes by itself when it is through."""
@@ -96,11 +96,11 @@
 
     async def _answer(self, conn: _Conn, method: str) -> tuple[int, bytes]:
         buffer = bytearray()
-        while (end := buffer.find(heads.END)) < 0 and len(buffer) <= C.HEAD_PLAIN:
+        while (end := buffer.find(heads.END)) < 0 and len(buffer) <= constants.HEAD_PLAIN:
             if not await _more(conn, buffer):
                 break
         end += len(heads.END)
-        head = heads.read_reply(bytes(buffer[:end])) if len(heads.END) <= end <= C.HEAD_PLAIN else None
+        head = heads.read_reply(bytes(buffer[:end])) if len(heads.END) <= end <= constants.HEAD_PLAIN else None
         if head is None:
             return await self._by_h11(conn, method, buffer)
         while len(buffer) < end + head.length:
@@ -136,18 +136,18 @@
         now = trio.current_time()
         while self._idle:
             conn = self._idle.pop()
-            if now - conn.used < C.POOL_IDLE_S:
+            if now - conn.used < constants.POOL_IDLE_S:
                 return conn
             _close_now(conn.stream)
         return None
 
     async def _open(self) -> _Conn:
-        with trio.move_on_after(C.CONNECT_S):
+        with trio.move_on_after(constants.CONNECT_S):
             return _Conn(await self._connect(self.addr))
         raise OSError("connecting took too long")
 
     def _keep(self, conn: _Conn) -> None:
-        if conn.kept and len(self._idle) < C.POOL_MAX:
+        if conn.kept and len(self._idle) < constants.POOL_MAX:
             conn.kept = False
             conn.used = trio.current_time()
             self._idle.append(conn)
--- a/sorrelsill/http/heads.py
+++ b/sorrelsill/http/heads.py
@@ -11,7 +11,7 @@
 
 import h11
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 
 END = b"\r\n\r\n"
 _ODD = frozenset({b"connection", b"transfer-encoding", b"expect", b"upgrade"})  # these change how a connection goes on
@@ -42,7 +42,7 @@
     return length
 
 
-@lru_cache(maxsize=C.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEADS_KEPT)
 def read_request(head: bytes) -> RequestHead | None:
     conn = h11.Connection(h11.SERVER)
     conn.receive_data(head)
@@ -53,13 +53,13 @@
     if not isinstance(event, h11.Request) or event.http_version != b"1.1":
         return None
     length = _length(event.headers)
-    if length is None or length > C.MAX_BODY or event.method not in (b"GET", b"POST"):
+    if length is None or length > constants.MAX_BODY or event.method not in (b"GET", b"POST"):
         return None
     path, _, query = event.target.decode("ascii", "replace").partition("?")
     return RequestHead(event.method.decode("ascii"), path, query, length)
 
 
-@lru_cache(maxsize=C.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEADS_KEPT)
 def read_reply(head: bytes) -> ReplyHead | None:
     conn = h11.Connection(h11.CLIENT)
     conn.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
@@ -77,7 +77,7 @@
     return ReplyHead(event.status_code, length) if length is not None else None
 
 
-@lru_cache(maxsize=C.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEADS_KEPT)
 def write_reply(status: int, kind: str, headers: tuple[tuple[str, str], ...], length: int) -> bytes:
     """The head of an answer to a plain request."""
     conn = h11.Connection(h11.SERVER)
@@ -88,7 +88,7 @@
     return conn.send(h11.Response(status_code=status, headers=lines)) or b""
 
 
-@lru_cache(maxsize=C.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEADS_KEPT)
 def _head_without_length(method: str, target: str, host: str, body: bool) -> bytes:
     conn = h11.Connection(h11.CLIENT)
     head = [("Host", host), *([("Content-Type", "application/msgpack")] if body else []), ("Content-Length", "0")]
--- a/sorrelsill/http/server.py
+++ b/sorrelsill/http/server.py
@@ -9,7 +9,7 @@
 import h11
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.http import heads
 
 log = logging.getLogger(__name__)
@@ -35,7 +35,7 @@
 Handler = Callable[[Request], Awaitable[Reply]]
 
 
-class _TooLong(Exception):
+class _TooLongError(Exception):
     pass
 
 
@@ -59,7 +59,7 @@
     only one: a new one ends the earlier, which a cut may have left dead, and none is ended for want of room."""
 
     def __init__(
-        self, handler: Handler, max_connections: int, name: str = "http", owner_idle_s: float = C.IDLE_S
+        self, handler: Handler, max_connections: int, name: str = "http", owner_idle_s: float = constants.IDLE_S
     ) -> None:
         self._handler = handler
         self._max = max_connections
@@ -80,7 +80,7 @@
                 scope.shield = False
                 await trio.aclose_forcefully(stream)
             return
-        link = _Link(stream, C.IDLE_S)
+        link = _Link(stream, constants.IDLE_S)
         self._links.add(link)
         try:
             await self._serve(link)
@@ -143,7 +143,7 @@
         link.used = trio.current_time()
         if reply.owner:
             self._own(link, reply.owner)
-        scope.deadline = link.used + C.REQUEST_S
+        scope.deadline = link.used + constants.REQUEST_S
         return reply
 
     async def _plain(self, link: _Link, scope: trio.CancelScope) -> Request | None:
@@ -152,19 +152,19 @@
         buffer = link.buffer
         searched = 0
         while (end := buffer.find(heads.END, searched)) < 0:
-            if len(buffer) > C.HEAD_PLAIN:
+            if len(buffer) > constants.HEAD_PLAIN:
                 return None
             searched = max(0, len(buffer) - len(heads.END) + 1)
             if buffer:
-                scope.deadline = min(scope.deadline, trio.current_time() + C.REQUEST_S)
+                scope.deadline = min(scope.deadline, trio.current_time() + constants.REQUEST_S)
             if not await self._more(link):
                 return None
         end += len(heads.END)
-        head = heads.read_request(bytes(buffer[:end])) if end <= C.HEAD_PLAIN else None
+        head = heads.read_request(bytes(buffer[:end])) if end <= constants.HEAD_PLAIN else None
         if head is None:
             return None
         if len(buffer) < end + head.length:
-            scope.deadline = trio.current_time() + C.REQUEST_S
+            scope.deadline = trio.current_time() + constants.REQUEST_S
             while len(buffer) < end + head.length:
                 if not await self._more(link):
                     return None
@@ -179,17 +179,17 @@
 
     async def _by_h11(self, link: _Link, scope: trio.CancelScope) -> None:
         """The rest of a connection whose heads are not plain."""
-        conn = h11.Connection(h11.SERVER, max_incomplete_event_size=C.MAX_BODY // 4)
+        conn = h11.Connection(h11.SERVER, max_incomplete_event_size=constants.MAX_BODY // 4)
         conn.receive_data(bytes(link.buffer))
         stream = link.stream
         while True:
-            scope.deadline = trio.current_time() + C.IDLE_S
+            scope.deadline = trio.current_time() + constants.IDLE_S
             try:
                 request = await self._read(conn, stream, scope)
             except h11.RemoteProtocolError:
                 await self._refuse(conn, stream, 400)
                 return
-            except _TooLong:
+            except _TooLongError:
                 await self._refuse(conn, stream, 413)
                 return
             if request is None:
@@ -216,11 +216,11 @@
                     return None
             elif isinstance(event, h11.Request):
                 head = event
-                scope.deadline = trio.current_time() + C.REQUEST_S
+                scope.deadline = trio.current_time() + constants.REQUEST_S
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > C.MAX_BODY:
-                    raise _TooLong
+                if size > constants.MAX_BODY:
+                    raise _TooLongError
                 chunks.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage) and head is not None:
                 path, _, query = head.target.decode("ascii", "replace").partition("?")
--- a/sorrelsill/http/test_http.py
+++ b/sorrelsill/http/test_http.py
@@ -5,8 +5,8 @@
 import trio
 import trio.testing
 
-from sorrelsill import constants as C
-from sorrelsill.http import Client, NoAnswer, NotSent, Reply, Request, Server
+from sorrelsill import constants
+from sorrelsill.http import Client, NoAnswerError, NotSentError, Reply, Request, Server
 
 
 async def _echo(request: Request) -> Reply:
@@ -47,7 +47,7 @@
 
         client = Client("10.0.0.1:80", connect)
         assert await client.request("GET", "/a?b=c") == (200, b"/a")
-        body = b"x" * C.MAX_BODY
+        body = b"x" * constants.MAX_BODY
         assert await client.request("POST", "/", body) == (200, body)
         assert len(opened) == 1
 
@@ -58,8 +58,8 @@
     async def tell(nursery: trio.Nursery, server: Server) -> None:
         broken = await _raw(nursery, server, b"\x00\x01 nonsense\r\n\r\n")
         assert broken.startswith(b"HTTP/1.1 400") and broken.endswith(b"<closed>")
-        head = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (C.MAX_BODY + 1)
-        long = await _raw(nursery, server, head + b"x" * (C.MAX_BODY + 1))
+        head = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (constants.MAX_BODY + 1)
+        long = await _raw(nursery, server, head + b"x" * (constants.MAX_BODY + 1))
         assert long.startswith(b"HTTP/1.1 413") and long.endswith(b"<closed>")
         header = await _raw(nursery, server, b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"y" * 40_000)
         assert header.endswith(b"<closed>")
@@ -90,9 +90,9 @@
         await trio.sleep(0.1)
         assert server.open == 4
         await streams[0].send_all(b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc")
-        await trio.sleep(C.REQUEST_S + 1)
+        await trio.sleep(constants.REQUEST_S + 1)
         assert server.open == 3, "a request that does not end is given up"
-        await trio.sleep(C.IDLE_S)
+        await trio.sleep(constants.IDLE_S)
         assert server.open == 0
 
     _play(tell)
@@ -169,10 +169,10 @@
             nursery.start_soon(server.serve_stream, there)
             return here
 
-        for how, expected in ((refuse, NotSent), (hang, NotSent), (connect, NoAnswer)):
+        for how, expected in ((refuse, NotSentError), (hang, NotSentError), (connect, NoAnswerError)):
             try:
                 await Client("10.0.0.1:80", how).request("GET", "/", timeout=1.0)
-            except (NotSent, NoAnswer) as error:
+            except (NotSentError, NoAnswerError) as error:
                 assert type(error) is expected
             else:
                 raise AssertionError("an answer out of nowhere")
--- a/sorrelsill/jobs/__init__.py
+++ b/sorrelsill/jobs/__init__.py
@@ -1,8 +1,8 @@
 """Jobs: what users submit, its checks, records, polls and cancellation."""
 
-from sorrelsill.jobs.admission import Admission, Busy
+from sorrelsill.jobs.admission import Admission, BusyError
 from sorrelsill.jobs.cancellations import Cancellations
-from sorrelsill.jobs.messages import GANG, RANKS, SWEEP, BadJob, JobSpec, parse_spec, valid_job_id
+from sorrelsill.jobs.messages import GANG, RANKS, SWEEP, InvalidJobError, JobSpec, parse_spec, valid_job_id
 from sorrelsill.jobs.record_writer import RecordWriter
 from sorrelsill.jobs.records import (
     TaskSet,
@@ -20,8 +20,8 @@
     "RANKS",
     "SWEEP",
     "Admission",
-    "BadJob",
-    "Busy",
+    "InvalidJobError",
+    "BusyError",
     "Cancellations",
     "RecordWriter",
     "TaskSet",
--- a/sorrelsill/jobs/admission.py
+++ b/sorrelsill/jobs/admission.py
@@ -13,19 +13,19 @@
 
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.fleet import Catalog
-from sorrelsill.jobs.messages import BadJob, JobSpec, parse_spec, valid_job_id
+from sorrelsill.jobs.messages import InvalidJobError, JobSpec, parse_spec, valid_job_id
 from sorrelsill.jobs.records import final_record, impossible, json_size, new_record, parse_record
 from sorrelsill.settings import Team
 from sorrelsill.store import (
-    Ambiguous,
+    AmbiguousError,
     Condition,
     Put,
-    Refused,
+    RefusedError,
     Remove,
     Store,
-    Unavailable,
+    UnavailableError,
     View,
     final_key,
     job_key,
@@ -36,7 +36,7 @@
 Answer = tuple[int, dict[str, Any]]
 
 
-class Busy(Exception):
+class BusyError(Exception):
     """Can't be taken now; the user is told to come back."""
 
 
@@ -71,12 +71,12 @@
 
     Guards against a process that stood still between finding out and answering: another controller may have told the
     user something newer meanwhile."""
-    return trio.current_time() - as_of > C.POLL_DEADLINE_S
+    return trio.current_time() - as_of > constants.POLL_DEADLINE_S
 
 
 def _check_age(as_of: float) -> None:
     if _out_of_date(as_of):
-        raise Busy("the answer is out of date")
+        raise BusyError("the answer is out of date")
 
 
 class Admission:
@@ -95,21 +95,21 @@
     async def submit(self, body: Any) -> Answer:
         try:
             spec = parse_spec(body)
-        except BadJob as error:
+        except InvalidJobError as error:
             # A known job's repeat may be sent by a client gone wrong; it is still malformed.
             return 400, {"error": str(error)}
         known = self._known(spec.job_id)
         if known is not None:
             return 200, known
-        if len(self._queue) >= C.ADMIT_QUEUE:
-            raise Busy("too many submissions are waiting")
-        waiting = _Waiting(spec, trio.current_time() + C.ADMIT_DEADLINE_S)
+        if len(self._queue) >= constants.ADMIT_QUEUE:
+            raise BusyError("too many submissions are waiting")
+        waiting = _Waiting(spec, trio.current_time() + constants.ADMIT_DEADLINE_S)
         self._queue.append(waiting)
         self._asked.set()
-        with trio.move_on_after(C.ADMIT_DEADLINE_S):
+        with trio.move_on_after(constants.ADMIT_DEADLINE_S):
             await waiting.done.wait()
         if waiting.answer is None:
-            raise Busy("the state service did not take the job in time")
+            raise BusyError("the state service did not take the job in time")
         # Other controllers may have told more since the read or write that the answer rests on.
         known = self._known(spec.job_id)
         if known is not None:
@@ -136,7 +136,7 @@
                 size = 0
                 while self._queue and len(batch) < limit:
                     size += len(str(self._queue[0].spec.raw)) + 200
-                    if batch and size > C.TXN_BYTES:
+                    if batch and size > constants.TXN_BYTES:
                         break
                     batch.append(self._queue.pop(0))
                 try:
@@ -158,48 +158,54 @@
             spec = todo[job_id][0].spec
             if self.catalog is None or impossible(spec, self._teams, self.catalog) or self._too_long(spec):
                 await self._judge(job_id, todo.pop(job_id))
-        for _ in range(3):
-            if not todo:
+        for _ in range(constants.ADMIT_TRIES):
+            if not todo or not await self._commit(todo, now):
                 return
-            conditions: list[Condition] = []
-            writes: list[Put | Remove] = []
-            records = {u: new_record(g[0].spec, self._time_of_day()) for u, g in todo.items()}
-            for job_id in todo:
-                conditions += [Condition(job_key(job_id), 0), Condition(final_key(job_id), 0)]
-                writes.append(Put(job_key(job_id), records[job_id]))
-            sent_at = trio.current_time()
-            try:
-                txn = await self._store.multi(conditions, writes)
-            except Refused:
-                # One that is too long must not hold up the rest of its batch: each goes by itself, and those that the
-                # limit, as it is known now, leaves no room for are told so.
-                if len(todo) > 1:
-                    for group in todo.values():
-                        await self._admit(group)
-                else:
-                    for job_id in [u for u, g in todo.items() if self._too_long(g[0].spec)]:
-                        await self._judge(job_id, todo.pop(job_id))
-                return
-            except Unavailable as error:
-                if error.throttled and trio.current_time() < now + C.ADMIT_DEADLINE_S / 2:
-                    await trio.sleep(C.RETRY_S)
-                    continue
-                return
-            except Ambiguous:
-                # It may have been written: what stands there now is an accepted job, whoever wrote it.
-                for job_id, group in todo.items():
-                    await self._settle(job_id, group)
-                return
-            if txn.ok:
-                for job_id, group in todo.items():
-                    self._view.apply(job_key(job_id), records[job_id], txn.rev, True)
-                    for waiting in group:
-                        waiting.tell((201, {"uid": job_id, "phase": "pending"}), sent_at)
-                return
-            for key in txn.failed:
-                job_id = key.rsplit("/", 1)[-1]
+
+    async def _commit(self, todo: dict[str, list[_Waiting]], since: float) -> bool:
+        """One transaction for all jobs of a batch. What is settled leaves it; True if the rest may be tried again."""
+        conditions: list[Condition] = []
+        writes: list[Put | Remove] = []
+        records = {job_id: new_record(group[0].spec, self._time_of_day()) for job_id, group in todo.items()}
+        for job_id, record in records.items():
+            conditions += [Condition(job_key(job_id), 0), Condition(final_key(job_id), 0)]
+            writes.append(Put(job_key(job_id), record))
+        sent_at = trio.current_time()
+        try:
+            txn = await self._store.multi(conditions, writes)
+        except RefusedError:
+            await self._admit_singly(todo)
+            return False
+        except UnavailableError as error:
+            if error.throttled and trio.current_time() < since + constants.ADMIT_DEADLINE_S / 2:
+                await trio.sleep(constants.RETRY_S)
+                return True
+            return False
+        except AmbiguousError:
+            # It may have been written: what stands there now is an accepted job, whoever wrote it.
+            for job_id, group in todo.items():
+                await self._settle(job_id, group)
+            return False
+        if not txn.ok:
+            for job_id in [key.rsplit("/", 1)[-1] for key in txn.failed]:
                 if job_id in todo:
                     await self._settle(job_id, todo.pop(job_id))
+            return True
+        for job_id, group in todo.items():
+            self._view.apply(job_key(job_id), records[job_id], txn.rev, True)
+            for waiting in group:
+                waiting.tell((201, {"uid": job_id, "phase": "pending"}), sent_at)
+        return False
+
+    async def _admit_singly(self, todo: dict[str, list[_Waiting]]) -> None:
+        """One that is too long must not hold up the rest of its batch: each goes by itself, and those that the limit,
+        as it is known now, leaves no room for are told so."""
+        if len(todo) > 1:
+            for group in todo.values():
+                await self._admit(group)
+            return
+        for job_id in [u for u, group in todo.items() if self._too_long(group[0].spec)]:
+            await self._judge(job_id, todo.pop(job_id))
 
     def _too_long(self, spec: JobSpec) -> bool:
         return json_size(new_record(spec, self._time_of_day())) > self._store.value_bytes
@@ -220,7 +226,7 @@
         asked_at = trio.current_time()
         try:
             state = await self._lookup(job_id)
-        except (Unavailable, Ambiguous):
+        except (UnavailableError, AmbiguousError):
             return False
         for waiting in group if state is not None else []:
             waiting.tell((200, state or {}), asked_at)
@@ -230,7 +236,7 @@
         asked_at = trio.current_time()
         try:
             state = await self._lookup(job_id)
-        except (Unavailable, Ambiguous):
+        except (UnavailableError, AmbiguousError):
             return
         for waiting in group:
             if state is not None:
@@ -252,15 +258,15 @@
         known = self._known(job_id)
         if known is not None:
             return 200, known
-        if self._store.failing_for() > C.READY_STORE_S / 2:
-            raise Busy("the state service can't be reached")
-        if self._view.waiting() >= C.POLL_QUEUE:
+        if self._store.failing_for() > constants.READY_STORE_S / 2:
+            raise BusyError("the state service can't be reached")
+        if self._view.waiting() >= constants.POLL_QUEUE:
             # Guards against storms of polls: what waits is bounded, and the rest is told at once to come back.
-            raise Busy("too many polls are waiting")
+            raise BusyError("too many polls are waiting")
         asked_at = trio.current_time()
-        with trio.move_on_after(C.POLL_DEADLINE_S):
+        with trio.move_on_after(constants.POLL_DEADLINE_S):
             if not await self._view.barrier():
-                raise Busy("the state service does not answer")
+                raise BusyError("the state service does not answer")
             _check_age(asked_at)
             known = self._known(job_id)
             if known is not None:
@@ -279,18 +285,18 @@
             if live is not None:
                 return 200, _state(job_id, live[0])
             return 404, {"error": "no such job"}
-        raise Busy("the state service is slow")
+        raise BusyError("the state service is slow")
 
     async def _read_final(self, job_id: str) -> tuple[Any, int] | None:
         """A direct read, one for each poll. Guards against storms of questions about jobs that nobody submitted: they
         must not use up the requests that submissions need."""
-        if self._lookups >= C.LOOKUPS_AT_ONCE:
-            raise Busy("too many polls are waiting")
+        if self._lookups >= constants.LOOKUPS_AT_ONCE:
+            raise BusyError("too many polls are waiting")
         self._lookups += 1
         try:
             return await self._store.get(final_key(job_id))
-        except (Unavailable, Ambiguous) as error:
-            raise Busy(str(error)) from None
+        except (UnavailableError, AmbiguousError) as error:
+            raise BusyError(str(error)) from None
         finally:
             self._lookups -= 1
 
@@ -311,7 +317,7 @@
             return 404, {"error": "no such team"}
         asked_at = trio.current_time()
         if not await self._view.barrier():
-            raise Busy("the state service does not answer")
+            raise BusyError("the state service does not answer")
         _check_age(asked_at)
         mine = sorted(
             (
@@ -322,7 +328,8 @@
             key=lambda item: item[0],
         )
         page = [
-            {**_state(job_id, value), "workload": value["s"].get("workload")} for job_id, value in mine[: C.TEAM_PAGE]
+            {**_state(job_id, value), "workload": value["s"].get("workload")}
+            for job_id, value in mine[: constants.TEAM_PAGE]
         ]
         return 200, {"runs": page, "hasNext": len(mine) > len(page)}
 
@@ -332,18 +339,18 @@
         if not valid_job_id(job_id):
             return 404, {"error": "no such job"}
         try:
-            with trio.move_on_after(C.ADMIT_DEADLINE_S):
+            with trio.move_on_after(constants.ADMIT_DEADLINE_S):
                 return await self._cancel(job_id)
-        except (Unavailable, Ambiguous) as error:
-            raise Busy(str(error)) from None
-        raise Busy("the state service is slow")
+        except (UnavailableError, AmbiguousError) as error:
+            raise BusyError(str(error)) from None
+        raise BusyError("the state service is slow")
 
     def _end_of(self, job_id: str, value: Any) -> dict[str, Any]:
         """The final record of a job that its user cancels now."""
         count = _count(value, "n")
         try:
             spec, done, why = parse_record(value, [])
-        except (BadJob, ValueError, TypeError) as error:
+        except (InvalidJobError, ValueError, TypeError) as error:
             # Guards against a damaged record that could never be cancelled: whoever leads can't read it either.
             log.error("cancelling %s, whose record is damaged: %s", job_id, error)
             return {"p": "cancelled", "n": count, "o": None}
--- a/sorrelsill/jobs/cancellations.py
+++ b/sorrelsill/jobs/cancellations.py
@@ -24,7 +24,7 @@
 from collections import OrderedDict
 from typing import Any, TypeGuard
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 
 
 class Cancellations:
@@ -48,7 +48,7 @@
         self._learnt[job_id] = now
         # Kept by time and not by number: found by reading, the cache of final states pushed out by chance what still
         # had to be halted.
-        keep = now - C.CANCELLED_KEPT * self._cancel_s
+        keep = now - constants.CANCELLED_KEPT * self._cancel_s
         while self._learnt and (oldest := next(iter(self._learnt.items())))[1] < keep:
             del self._learnt[oldest[0]]
             self._whole_since = max(self._whole_since, oldest[1])
@@ -67,7 +67,7 @@
 
     def _gone(self, now: float) -> float:
         """What was learnt of before this is known here or gone: by this very rule its tasks' time is over."""
-        return now - self._cancel_s - C.CANCEL_SLACK_S
+        return now - self._cancel_s - constants.CANCEL_SLACK_S
 
     def _base(self, now: float) -> float:
         return max(self._floor, self._gone(now))
@@ -91,8 +91,8 @@
 
     def ask(self, now: float) -> dict[str, Any]:
         """From how long ago a peer has to name what it learnt of."""
-        age = (now - self._base(now)) * (1 + 4 * C.CLOCK_DRIFT)
-        return {"back": age + C.PEER_TIMEOUT_S + C.CANCEL_SLACK_S}
+        age = (now - self._base(now)) * (1 + 4 * constants.CLOCK_DRIFT)
+        return {"back": age + constants.PEER_TIMEOUT_S + constants.CANCEL_SLACK_S}
 
     def tell(self, asked: dict[str, Any], now: float) -> dict[str, Any]:
         """What we learnt of since then. A list that would not fit is left out, and never cut."""
@@ -101,7 +101,7 @@
             return {}
         since = max(now - back, self._whole_since)
         named = [job_id for job_id, at in self._learnt.items() if at >= since]
-        if len(named) > C.CANCELLED_NAMED:
+        if len(named) > constants.CANCELLED_NAMED:
             return {}
         return {
             "cancelled": named,
@@ -118,7 +118,7 @@
         if not isinstance(named, list) or not all(isinstance(job_id, str) for job_id in named):
             return []
         # It was made between sending and now: each moment is taken where it proves least.
-        drift = 1 - C.CLOCK_DRIFT * 2
+        drift = 1 - constants.CLOCK_DRIFT * 2
         since = now - told["back"] * drift
         new = [job_id for job_id in named if self.learn(job_id, now)]
         base = self._base(now)
@@ -127,7 +127,7 @@
             self._covered[peer] = max(before, sent_at)
         followed, fresh = told.get("followed"), told.get("fresh")
         if _is_age(followed) and _is_age(fresh) and since <= base and now - followed * drift <= base:
-            self._floor = max(self._floor, sent_at - fresh * (1 + C.CLOCK_DRIFT * 2))
+            self._floor = max(self._floor, sent_at - fresh * (1 + constants.CLOCK_DRIFT * 2))
         return new
 
 
--- a/sorrelsill/jobs/messages.py
+++ b/sorrelsill/jobs/messages.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 
 SWEEP, STANDING, GANG = "sweep", "standing", "group"
 RANKS = {"prod": 0, "high": 1, "standard": 2, "best_effort": 3}
@@ -16,7 +16,7 @@
 _NAME_MAX = 200
 
 
-class BadJob(Exception):
+class InvalidJobError(Exception):
     """The field and what is wrong with it."""
 
 
@@ -68,23 +68,23 @@
 def _number(raw: dict[str, Any], name: str, least: float = 0.0, above: bool = False) -> float:
     value = raw.get(name)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise BadJob(f"{name}: must be a number")
+        raise InvalidJobError(f"{name}: must be a number")
     if not math.isfinite(value) or value < least or (above and value == least) or value > 1e12:
-        raise BadJob(f"{name}: out of range")
+        raise InvalidJobError(f"{name}: out of range")
     return float(value)
 
 
 def _text(raw: dict[str, Any], name: str) -> str:
     value = raw.get(name)
     if not isinstance(value, str) or not 0 < len(value) <= _NAME_MAX:
-        raise BadJob(f"{name}: must be a text of 1 to {_NAME_MAX} characters")
+        raise InvalidJobError(f"{name}: must be a text of 1 to {_NAME_MAX} characters")
     return value
 
 
 def _flag(raw: dict[str, Any], name: str) -> bool:
     value = raw.get(name)
     if not isinstance(value, bool):
-        raise BadJob(f"{name}: must be true or false")
+        raise InvalidJobError(f"{name}: must be true or false")
     return value
 
 
@@ -93,9 +93,9 @@
     if value is None:
         return None
     if not isinstance(value, list) or not value or len(value) > _NAME_MAX:
-        raise BadJob("flavours: must be null or a list of names")
+        raise InvalidJobError("flavours: must be null or a list of names")
     if not all(isinstance(v, str) and v for v in value):
-        raise BadJob("flavours: must hold names")
+        raise InvalidJobError("flavours: must hold names")
     return frozenset(value)
 
 
@@ -126,21 +126,21 @@
 def parse_spec(raw: object) -> JobSpec:
     """Check every field; unknown ones are ignored and not kept."""
     if not isinstance(raw, dict):
-        raise BadJob("body: must be a map")
+        raise InvalidJobError("body: must be a map")
     if not valid_job_id(raw.get("uid")):
-        raise BadJob("uid: must look like run-000412")
+        raise InvalidJobError("uid: must look like run-000412")
     shape = raw.get("shape")
     if shape not in (SWEEP, STANDING, GANG):
-        raise BadJob("shape: must be sweep, standing or group")
+        raise InvalidJobError("shape: must be sweep, standing or group")
     rank = raw.get("rank")
     if not isinstance(rank, str) or rank not in RANKS:
-        raise BadJob("rank: must be prod, high, standard or best_effort")
+        raise InvalidJobError("rank: must be prod, high, standard or best_effort")
     shards = raw.get("shards")
-    if isinstance(shards, bool) or not isinstance(shards, int) or not 1 <= shards <= C.MAX_SHARDS:
-        raise BadJob(f"shards: must be a whole number from 1 to {C.MAX_SHARDS}")
+    if isinstance(shards, bool) or not isinstance(shards, int) or not 1 <= shards <= constants.MAX_SHARDS:
+        raise InvalidJobError(f"shards: must be a whole number from 1 to {constants.MAX_SHARDS}")
     zone = raw.get("region")
     if zone is not None and (not isinstance(zone, str) or not zone):
-        raise BadJob("region: must be null or a name")
+        raise InvalidJobError("region: must be null or a name")
     due = None if raw.get("dueS") is None else _number(raw, "dueS")
     return JobSpec(
         job_id=raw["uid"],
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -14,18 +14,18 @@
 
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.jobs.records import chunk_value, final_record, json_size, record_value, with_notes
 from sorrelsill.jobs.roster import RosterWrite, next_write
 from sorrelsill.store import (
     LEADER,
-    Ambiguous,
+    AmbiguousError,
     Condition,
     Put,
-    Refused,
+    RefusedError,
     Remove,
     Store,
-    Unavailable,
+    UnavailableError,
     View,
     chunk_key,
     final_key,
@@ -39,7 +39,7 @@
 
 log = logging.getLogger(__name__)
 
-_PARTS_OF_CHUNK = C.CHUNK_SHARDS // C.PART_SHARDS
+_PARTS_OF_CHUNK = constants.CHUNK_SHARDS // constants.PART_SHARDS
 
 
 class _Batch:
@@ -57,8 +57,8 @@
     def room(self, conditions: int, writes: int, size: int) -> bool:
         return (
             len(self.writes) + writes <= self.ops
-            and len(self.conditions) + conditions <= self.ops * C.CONDITIONS_PER_OP
-            and self.size + size <= C.TXN_BYTES
+            and len(self.conditions) + conditions <= self.ops * constants.CONDITIONS_PER_OP
+            and self.size + size <= constants.TXN_BYTES
         )
 
 
@@ -94,7 +94,7 @@
         bucket = self._store.writes
         # Found by reading: at the smaller store's rate the reserve was all that could be saved up, and no progress was
         # ever written.
-        reserve = min(C.PROGRESS_RESERVE, int(bucket.burst * C.PROGRESS_RESERVE_SHARE))
+        reserve = min(constants.PROGRESS_RESERVE, int(bucket.burst * constants.PROGRESS_RESERVE_SHARE))
         batch.ops = min(batch.ops, max(len(batch.writes), int(bucket.level()) - reserve))
         self._records(batch, progress)
         self._orphans(batch)
@@ -103,10 +103,10 @@
         self._alone = max(0, self._alone - 1)
         try:
             txn = await self._store.multi(batch.conditions, batch.writes)
-        except Refused as error:
+        except RefusedError as error:
             self._refused(batch, error, trio.current_time())
             txn = None
-        except (Unavailable, Ambiguous) as error:
+        except (UnavailableError, AmbiguousError) as error:
             # Whether an unanswered one was carried out shows in the view; until then it stays due.
             log.debug("records: %s", error)
             txn = None
@@ -120,7 +120,7 @@
             after(txn.rev)
         return True
 
-    def _refused(self, batch: _Batch, why: Refused, now: float) -> None:
+    def _refused(self, batch: _Batch, why: RefusedError, now: float) -> None:
         if why.narrowed:
             return  # what is longer than the limits that hold now is written otherwise the next time
         if len(batch.units) > 1:
@@ -128,7 +128,7 @@
             return
         for unit in batch.units:
             log.error("%s can't be written and is set aside: %s", unit, why)
-            self._aside[unit] = now + C.ASIDE_S
+            self._aside[unit] = now + constants.ASIDE_S
 
     def _takes(self, batch: _Batch, unit: str) -> bool:
         return unit not in self._aside and not (self._alone and batch.units)
@@ -142,9 +142,11 @@
         add: dict[str, dict[str, Machine]] = {}
         for name in list(cluster.gone):
             machine = cluster.machines.get(name)
-            if machine is not None and machine.synced:
-                cluster.gone.discard(name)
-            elif not any(name in value for value, _ in self._view.roster_parts(name).values()):
+            if (
+                machine is not None
+                and machine.synced
+                or not any(name in value for value, _ in self._view.roster_parts(name).values())
+            ):
                 cluster.gone.discard(name)
             else:
                 bases[roster_key(name)] = name
@@ -200,7 +202,9 @@
         cluster = self._cluster
         cluster.dirty.intersection_update(cluster.jobs)
         now = trio.current_time()
-        pace = max(C.PROGRESS_EVERY_S, len(cluster.dirty) / (C.PROGRESS_SHARE * self._store.writes.rate))
+        pace = max(
+            constants.PROGRESS_EVERY_S, len(cluster.dirty) / (constants.PROGRESS_SHARE * self._store.writes.rate)
+        )
         over: list[Job] = []
         turned: list[Job] = []
         progress: list[Job] = []
@@ -249,7 +253,7 @@
         if size > store.value_bytes and not job.split:
             # From now on its finished tasks stand beside the record, those written before included.
             job.split = True
-            job.dirty_parts.update(n for n in range(-(-spec.shards // C.PART_SHARDS)) if self._any_done(job, n))
+            job.dirty_parts.update(n for n in range(-(-spec.shards // constants.PART_SHARDS)) if self._any_done(job, n))
             value = record_value(spec, job.done, running, [], job.accepted, False)
             size = json_size(value)
         fits = (
@@ -297,8 +301,8 @@
 
     @staticmethod
     def _any_done(job: Job, number: int) -> bool:
-        start = number * C.PART_SHARDS
-        return bool(job.done.encode(start, min(job.spec.shards, start + C.PART_SHARDS)))
+        start = number * constants.PART_SHARDS
+        return bool(job.done.encode(start, min(job.spec.shards, start + constants.PART_SHARDS)))
 
     def _parts(self, job: Job, most: int) -> tuple[list[Put], set[int]]:
         """Finished tasks of a split job that are not written yet, and the numbers of the small parts that they cover:
@@ -318,7 +322,7 @@
                 first = chunk * _PARTS_OF_CHUNK
                 numbers.update(job.dirty_parts & set(range(first, first + _PARTS_OF_CHUNK)))
             else:
-                puts.append(Put(part_key(job_id, number), chunk_value(done, number, C.PART_SHARDS)))
+                puts.append(Put(part_key(job_id, number), chunk_value(done, number, constants.PART_SHARDS)))
                 numbers.add(number)
         return puts, numbers
 
--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.fleet import Catalog
-from sorrelsill.jobs.messages import BadJob, JobSpec, parse_spec
+from sorrelsill.jobs.messages import InvalidJobError, JobSpec, parse_spec
 from sorrelsill.settings import Team
 
 
@@ -109,7 +109,7 @@
     return value
 
 
-def chunk_value(done: TaskSet, number: int, size: int = C.CHUNK_SHARDS) -> str:
+def chunk_value(done: TaskSet, number: int, size: int = constants.CHUNK_SHARDS) -> str:
     start = number * size
     return done.encode(start, min(done.size, start + size))
 
@@ -122,7 +122,7 @@
 def parse_record(value: Any, chunks: list[tuple[int, Any]]) -> tuple[JobSpec, TaskSet, list[str]]:
     """A live record back to its parts; BadJob or ValueError if it is damaged."""
     if not isinstance(value, dict):
-        raise BadJob("record: must be a map")
+        raise InvalidJobError("record: must be a map")
     spec = parse_spec(value.get("s"))
     done = TaskSet(spec.shards)
     done.merge(str(value.get("d") or ""), 0)
--- a/sorrelsill/leadership/elector.py
+++ b/sorrelsill/leadership/elector.py
@@ -18,9 +18,9 @@
 
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.settings import Timings
-from sorrelsill.store import LEADER, Ambiguous, Condition, Put, Store, Unavailable, View
+from sorrelsill.store import LEADER, AmbiguousError, Condition, Put, Store, UnavailableError, View
 
 log = logging.getLogger(__name__)
 
@@ -163,7 +163,7 @@
             # Only while valid: one that stood still itself heard nobody either; its pings tell whether it still leads.
             # Guards against a leader that reaches the store but not the workers: their leases would all run out.
             log.error("yielding: no worker is heard any more")
-            self.acquire_after = trio.current_time() + C.DEAF_HOLD_S
+            self.acquire_after = trio.current_time() + constants.DEAF_HOLD_S
             await self._yield(lease)
             return
         sent_at = trio.current_time()
@@ -179,10 +179,10 @@
                 log.info("the lease of term %d has ended", term)
                 self._drop()
                 return
-        except Unavailable as error:
+        except UnavailableError as error:
             log.debug("ping not taken: %s", error)
             pause = self._t.ping_s / 3
-        except Ambiguous as error:
+        except AmbiguousError as error:
             log.info("ping without an answer (%s): yielding", error)
             await self._yield(lease)
             return
@@ -193,7 +193,7 @@
         self._drop()
         try:
             await self._store.revoke(lease, self._t.ping_s)
-        except (Unavailable, Ambiguous) as error:
+        except (UnavailableError, AmbiguousError) as error:
             log.info("the key could not be given back (%s); it ends with its lease", error)
         await trio.sleep(self._t.ping_s)
 
@@ -209,17 +209,17 @@
             with trio.move_on_after(max(wait, 0.02) if free and wait > 0 else self._t.ping_s):
                 await changed.wait()
             return
-        await trio.sleep(self._rng.random() * C.ACQUIRE_JITTER_S)
+        await trio.sleep(self._rng.random() * constants.ACQUIRE_JITTER_S)
         await self._defer()
         if self._view.leader() is not None:
             return
         self.acquiring = True
         try:
             await self._acquire()
-        except (Unavailable, Ambiguous) as error:
+        except (UnavailableError, AmbiguousError) as error:
             log.debug("acquiring: %s", error)
             self.acquiring = False
-            await trio.sleep(min(self._t.ping_s, C.RETRY_S * 2))
+            await trio.sleep(min(self._t.ping_s, constants.RETRY_S * 2))
         finally:
             self.acquiring = False
 
@@ -231,7 +231,7 @@
         freeze or end as well, be two unreachable controllers away from the next: most of a lease. Any other is one."""
         former = self._former
         if former is not None and former == self._next_label and await self.other_candidates(former):
-            await trio.sleep(C.ACQUIRE_DEFER_S)
+            await trio.sleep(constants.ACQUIRE_DEFER_S)
 
     async def _end_former(self) -> bool:
         """A process that is back at once finds the key of its former self, which is dead for certain, or one that a
@@ -247,7 +247,7 @@
         log.info("ending the lease of an earlier process of ours")
         try:
             await self._store.revoke(lease, self._t.ping_s)
-        except (Unavailable, Ambiguous) as error:
+        except (UnavailableError, AmbiguousError) as error:
             log.debug("it ends by itself: %s", error)
         return True
 
@@ -260,7 +260,7 @@
         try:
             txn = await self._store.multi([Condition(LEADER, 0)], [Put(LEADER, value, lease)], urgent=True)
             term = txn.rev if txn.ok else None
-        except Ambiguous:
+        except AmbiguousError:
             # The answer is lost, not necessarily the write: read back and compare the nonce.
             found = await self._store.get(LEADER)
             ours = found is not None and isinstance(found[0], dict) and found[0].get("nonce") == nonce
@@ -280,7 +280,7 @@
                 await self._store.revoke(lease, timeout)
                 return
             if not await self._view.barrier():
-                await trio.sleep(C.RETRY_S / 5)
+                await trio.sleep(constants.RETRY_S / 5)
         if trio.current_time() - sent_at >= self._t.validity_s:
             # Guards against a process that stood still during the last read and would begin a term that is over.
             await self._store.revoke(lease, timeout)
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -20,8 +20,8 @@
 import orjson
 import trio
 
-from sorrelsill import constants as C
-from sorrelsill.http import Client, NoAnswer, NotSent
+from sorrelsill import constants
+from sorrelsill.http import Client, NoAnswerError, NotSentError
 from sorrelsill.jobs import Cancellations
 from sorrelsill.leadership import Elector
 from sorrelsill.settings import Member
@@ -53,7 +53,7 @@
         """Whether leases may be renewed right now: every member, ourselves included, is bound."""
         now = trio.current_time()
         if not self._clients:
-            return self._elector.bound_until > now + C.PROMISE_MARGIN_S
+            return self._elector.bound_until > now + constants.PROMISE_MARGIN_S
         return self._elector.bound_until > now and all(
             self._held.get(i, float("-inf")) > now for i in range(len(self._clients))
         )
@@ -61,13 +61,13 @@
     def others_fail_too(self) -> bool:
         """Whether a peer that we can reach lacks the store as well: then it is not us alone."""
         now = trio.current_time()
-        return any(now - at < 3 * C.PROMISE_EVERY_S for at in self._failing_peers.values())
+        return any(now - at < 3 * constants.PROMISE_EVERY_S for at in self._failing_peers.values())
 
     def _failing(self) -> bool:
-        return self._store.failing_for() >= C.PROMISE_AFTER_S
+        return self._store.failing_for() >= constants.PROMISE_AFTER_S
 
     def _bind(self) -> float:
-        until = trio.current_time() + C.PROMISE_S
+        until = trio.current_time() + constants.PROMISE_S
         self._elector.bound_until = max(self._elector.bound_until, until)
         self.on_bound(self._elector.bound_until)
         return until
@@ -95,9 +95,9 @@
             nonlocal found
             body = orjson.dumps({"promise": False, **self._cancellations.ask(trio.current_time())})
             try:
-                status, raw = await client.request("POST", "/promise", body, C.ACQUIRE_DEFER_S)
+                status, raw = await client.request("POST", "/promise", body, constants.ACQUIRE_DEFER_S)
                 answer = orjson.loads(raw) if status == 200 else {}
-            except (NotSent, NoAnswer, orjson.JSONDecodeError):
+            except (NotSentError, NoAnswerError, orjson.JSONDecodeError):
                 return
             if isinstance(answer, dict) and "known" in answer:  # the version before this one sends no such field
                 found = True
@@ -116,17 +116,17 @@
                 async with trio.open_nursery() as nursery:
                     for number, client in enumerate(self._clients):
                         nursery.start_soon(self._ask, number, client)
-                await trio.sleep(C.PROMISE_EVERY_S)
+                await trio.sleep(constants.PROMISE_EVERY_S)
             else:
-                await trio.sleep(C.PROMISE_EVERY_S / 4)
+                await trio.sleep(constants.PROMISE_EVERY_S / 4)
 
     async def _ask(self, number: int, client: Client) -> None:
         sent_at = trio.current_time()
         try:
             body = orjson.dumps({"promise": True, **self._cancellations.ask(sent_at)})
-            status, raw = await client.request("POST", "/promise", body, C.PEER_TIMEOUT_S)
+            status, raw = await client.request("POST", "/promise", body, constants.PEER_TIMEOUT_S)
             answer = orjson.loads(raw) if status == 200 else {}
-        except (NotSent, NoAnswer, orjson.JSONDecodeError) as error:
+        except (NotSentError, NoAnswerError, orjson.JSONDecodeError) as error:
             log.debug("promise of %s: %s", client.addr, error)
             return
         if not isinstance(answer, dict):
@@ -140,4 +140,4 @@
             self._failing_peers[number] = trio.current_time()
         if answer.get("promised"):
             # Counted from the send, and shorter than the promise: it ends here before it ends there.
-            self._held[number] = sent_at + C.PROMISE_S - C.PROMISE_MARGIN_S
+            self._held[number] = sent_at + constants.PROMISE_S - constants.PROMISE_MARGIN_S
--- a/sorrelsill/placement/engine.py
+++ b/sorrelsill/placement/engine.py
@@ -6,12 +6,13 @@
 
 from __future__ import annotations
 
+import enum
 import logging
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.fleet import time_to_rent
 from sorrelsill.jobs import JobSpec
 from sorrelsill.placement import groups
@@ -34,6 +35,16 @@
     zone: str | None = None
 
 
+class _RoundEnd(enum.Enum):
+    """Why no further task of a job was bound in a round."""
+
+    ALL_BOUND = enum.auto()
+    NO_ROOM = enum.auto()
+    LIMITED = enum.auto()  # the team's limit stands in the way
+    TRIAL_RUNS = enum.auto()  # a job that failed wherever it was tried waits for the outcome of its trial
+    OUT_OF_TIME = enum.auto()
+
+
 class _Pool:
     """Machines that may take a job's tasks, sifted as they are looked at: those with its image before the others."""
 
@@ -151,7 +162,7 @@
         """Place what fits. False if the budget ran out before all jobs were seen."""
         begun = clock()
         if not self._left:
-            if now - self._ordered[0] >= C.ORDER_EVERY_S or self._ordered[1] != cluster.version:
+            if now - self._ordered[0] >= constants.ORDER_EVERY_S or self._ordered[1] != cluster.version:
                 self.guaranteed = self._find_guaranteed(cluster)
                 self._ordered = (now, cluster.version)
             self._left = self._order(cluster, now)
@@ -198,19 +209,35 @@
         if spec.whole:
             self._place_group(cluster, job, machines, full, now)
             return not late()
-        limited = False
+        end = self._start_tasks(cluster, job, machines, full, now, late)
+        if end is _RoundEnd.OUT_OF_TIME:
+            return False
+        if end is not _RoundEnd.TRIAL_RUNS and job.waiting > 0:
+            self._wait(cluster, job, machines, now, limited=end is _RoundEnd.LIMITED)
+        return True
+
+    def _start_tasks(
+        self,
+        cluster: ClusterState,
+        job: Job,
+        machines: list[Machine],
+        full: set[tuple[object, ...]],
+        now: float,
+        late: Callable[[], bool],
+    ) -> _RoundEnd:
+        """Bind tasks of a job, one after the other, until something stands in the way."""
+        spec = job.spec
         sign = (spec.machine_types, spec.zone, spec.cpus, spec.gpus, spec.memory, spec.spot)
         plain = not (spec.scatter or spec.one_zone or job.avoid)
         pool: _Pool | None = None
         while (index := job.next_task()) is not None:
             if late():
-                return False
+                return _RoundEnd.OUT_OF_TIME
             if job.trials_left() <= 0:
-                return True  # the next trial waits for the outcome of this one, and needs no more room
+                return _RoundEnd.TRIAL_RUNS
             if not self._under_limit(cluster, spec):
-                limited = True
                 job.note(f"waiting: the limit of {spec.team} is reached")
-                break
+                return _RoundEnd.LIMITED
             machine = None
             if not (plain and sign in full):
                 if pool is None:
@@ -219,25 +246,33 @@
             if machine is None:
                 if plain:
                     full.add(sign)
-                break
+                return _RoundEnd.NO_ROOM
             if self._slow_start(cluster, job, machine) and self._await_warm(cluster, job, machines, now):
-                break
+                return _RoundEnd.NO_ROOM
             cluster.bind(job, index, machine, now)
-            if not machine.spot and machine.zone in self._room:
-                self._room[machine.zone] -= spec.cpus
-            if self._reserved.get(machine.name, ("", 0.0))[0] == spec.job_id:
-                del self._reserved[machine.name]
-            if self._claims.get(spec.job_id):
-                self._claims[spec.job_id].pop(0)
-        if job.waiting > 0 and not job.failures.suspect(len(job.bound)):
-            claimed = self._claimed(job, now)
-            self.unplaced[spec.job_id] = Unplaced(job, max(0, job.waiting - claimed), limited)
-            if not limited:
-                job.note("waiting: no room on the machines it may use")
-                self._make_room(cluster, job, machines, now)
-                if aged_out(job, now):
-                    self._hold(cluster, job, now)
-        return True
+            self._use_room(spec, machine)
+        return _RoundEnd.ALL_BOUND
+
+    def _use_room(self, spec: JobSpec, machine: Machine) -> None:
+        """A task was bound: it takes of the room kept for groups, and of what was claimed for its job."""
+        if not machine.spot and machine.zone in self._room:
+            self._room[machine.zone] -= spec.cpus
+        if self._reserved.get(machine.name, ("", 0.0))[0] == spec.job_id:
+            del self._reserved[machine.name]
+        if self._claims.get(spec.job_id):
+            self._claims[spec.job_id].pop(0)
+
+    def _wait(self, cluster: ClusterState, job: Job, machines: list[Machine], now: float, limited: bool) -> None:
+        """Tasks of a job found no room: the fleet learns of it, and room is made where that is allowed."""
+        if job.failures.suspect(len(job.bound)):
+            return  # it fails wherever it is tried: nothing is rented or stopped for it
+        self.unplaced[job.spec.job_id] = Unplaced(job, max(0, job.waiting - self._claimed(job, now)), limited)
+        if limited:
+            return
+        job.note("waiting: no room on the machines it may use")
+        self._make_room(cluster, job, machines, now)
+        if aged_out(job, now):
+            self._hold(cluster, job, now)
 
     def _place_group(
         self, cluster: ClusterState, job: Job, machines: list[Machine], full: set[tuple[object, ...]], now: float
@@ -333,23 +368,23 @@
             return False
         may = [
             h
-            for h in self._rng.sample(machines, min(len(machines), C.PREEMPT_SAMPLE * C.GROUP_SAMPLES))
+            for h in self._rng.sample(machines, min(len(machines), constants.PREEMPT_SAMPLE * constants.GROUP_SAMPLES))
             if h.live and h.usable() and h.allows(spec) and self._open_to(job, h, now)
         ]
         found = groups.room_for(
             spec, seatings, may, lambda h, more: self._victims(cluster, job, h, now, groups.capacity(h, spec) + more)
         )
         if found is None:
-            self._barren[kind] = now + C.BARREN_S
+            self._barren[kind] = now + constants.BARREN_S
             return False
         seating, victims = found
         log.debug(
             "room for %s in %s: %s", spec.job_id, seating.zone, [f"{a.task_id} on {a.machine.name}" for a in victims]
         )
-        wait = C.CLAIM_S
+        wait = constants.CLAIM_S
         for attempt in victims:
             cluster.stop(attempt, f"making room for {spec.job_id}", hurry=spec.rank == _PROD)
-            wait = max(wait, C.CLAIM_S + attempt.wind_down)
+            wait = max(wait, constants.CLAIM_S + attempt.wind_down)
         self._claims[spec.job_id] = [now + wait] * spec.shards
         for s in seating.seats:
             self._reserved[s.machine.name] = (spec.job_id, now + wait)
@@ -361,11 +396,11 @@
         spec = job.spec
         if self._holds(spec.job_id) or not (spec.workload in self._start_within or aged_out(job, now)):
             return
-        if len(self._held) >= C.GROUP_HOLD_SHARE * len(machines):
+        if len(self._held) >= constants.GROUP_HOLD_SHARE * len(machines):
             return
         may = [h for h in machines if h.allows(spec) and self._open_to(job, h, now) and h.name not in self._held]
         for machine in groups.worth_holding(spec, seatings, may):
-            self._held[machine.name] = (spec.job_id, spec.rank, now + C.GROUP_HOLD_S)
+            self._held[machine.name] = (spec.job_id, spec.rank, now + constants.GROUP_HOLD_S)
 
     def _open_to(self, job: Job, machine: Machine, now: float) -> bool:
         """Whether nothing keeps the job off a machine that it may use: room made for others, or its own bad luck."""
@@ -447,7 +482,7 @@
                     - sum(a.spec.cpus for a in h.attempts.values() if a.spec is not None and a.spec.endless)
                 ),
             )
-            self._reserved[held.name] = (spec.job_id, now + C.AGED_HOLD_S)
+            self._reserved[held.name] = (spec.job_id, now + constants.AGED_HOLD_S)
 
     def _may(self, job: Job, machine: Machine, now: float) -> bool:
         spec = job.spec
@@ -472,14 +507,14 @@
         if spec.image not in machine.images:
             # Its own replicas' fetch is no reason to join them, or a new image would never reach more than one machine.
             joins = spec.image in machine.fetching and not (spread and spread.get(machine.name))
-            score += C.FETCH_WEIGHT * (0.5 if joins else 1.0)
+            score += constants.FETCH_WEIGHT * (0.5 if joins else 1.0)
         if spread is not None:
-            score += C.SPREAD_WEIGHT * spread.get(machine.name, 0)
+            score += constants.SPREAD_WEIGHT * spread.get(machine.name, 0)
         # Money asks for spot machines first, which leaves the ordinary ones to work that needs them. Where only time
         # counts, a task lost with its machine makes its whole job late, so what is paid for anyway is used first.
         if spec.spot and machine.spot == self._hurried:
-            score += C.ORDINARY_WEIGHT
-        return score + C.ZONE_WEIGHT * job.zones.get(machine.zone, 0) / spec.shards
+            score += constants.ORDINARY_WEIGHT
+        return score + constants.ZONE_WEIGHT * job.zones.get(machine.zone, 0) / spec.shards
 
     def _slow_start(self, cluster: ClusterState, job: Job, machine: Machine) -> bool:
         """Whether fetching the image on this machine alone makes the start too late for its class's aim."""
@@ -495,8 +530,8 @@
         job_id = job.spec.job_id
         if job_id not in self._warm_until:
             warm = list(cluster.holders.get(job.spec.image, {}).values())
-            made = self._make_room(cluster, job, warm, now, C.WARM_CLAIM_S) if warm else 0
-            self._warm_until[job_id] = now + C.WARM_CLAIM_S if made else now
+            made = self._make_room(cluster, job, warm, now, constants.WARM_CLAIM_S) if warm else 0
+            self._warm_until[job_id] = now + constants.WARM_CLAIM_S if made else now
         return now < self._warm_until[job_id]
 
     def _claimed(self, job: Job, now: float) -> int:
@@ -535,19 +570,19 @@
         return team is not None and not team.cpus and not team.gpus
 
     def _make_room(
-        self, cluster: ClusterState, job: Job, machines: list[Machine], now: float, patience: float = C.CLAIM_S
+        self, cluster: ClusterState, job: Job, machines: list[Machine], now: float, patience: float = constants.CLAIM_S
     ) -> int:
         """Stop the least work that lets waiting tasks in; their room is awaited before more is stopped."""
         spec = job.spec
         if not self._may_preempt(job) and not (self._guests - {spec.team} and self._presses(cluster, job, now)):
             return 0
-        wanted = min(job.waiting - self._claimed(job, now), C.PREEMPT_PER_ROUND)
+        wanted = min(job.waiting - self._claimed(job, now), constants.PREEMPT_PER_ROUND)
         kind = (spec.rank, spec.team, spec.job_id in self.guaranteed, spec.cpus, spec.memory, spec.gpus, spec.spot)
         if wanted <= 0 or self._barren.get(kind, float("-inf")) > now:
             return 0
         may: list[Machine] = []
         # Few of the machines, by the dice; all of them only if hardly any will do.
-        for few in (4 * C.PREEMPT_SAMPLE, len(machines)):
+        for few in (4 * constants.PREEMPT_SAMPLE, len(machines)):
             for h in self._rng.sample(machines, min(few, len(machines))):
                 if (
                     h.live
@@ -557,14 +592,14 @@
                     and job.avoid.get(h.name, 0.0) <= now
                 ):
                     may.append(h)
-                    if len(may) == C.PREEMPT_SAMPLE:
+                    if len(may) == constants.PREEMPT_SAMPLE:
                         break
             if may or few >= len(machines):
                 break
         offers = [found for h in may if (found := self._victims(cluster, job, h, now)) is not None]
         if not offers and len(machines) > len(may):
             # Looked at in vain: with all waiting jobs asking in each round, nothing else would get done.
-            self._barren[kind] = now + C.BARREN_S
+            self._barren[kind] = now + constants.BARREN_S
         # Found on a measured day: a service that came in a busy minute stopped group after group, each whole.
         offers.sort(key=lambda found: (any(a.job_id in cluster.groups for a in found[1]), found[0]))
         made = 0
@@ -630,7 +665,7 @@
 
 def aged_out(job: Job, now: float) -> bool:
     """Nothing of it has run for so long that the order of jobs must not keep it waiting any more."""
-    return not job.bound and now - job.served_at > C.AGED_S
+    return not job.bound and now - job.served_at > constants.AGED_S
 
 
 def fetch_exceeds(size_gb: float, rate: float, within: float) -> bool:
@@ -643,4 +678,4 @@
         return 0.0
     if attempt.spec.snapshot_s > 0:
         return attempt.spec.snapshot_cost_s
-    return now - attempt.running_since + C.PREEMPT_BASE_S
+    return now - attempt.running_since + constants.PREEMPT_BASE_S
--- a/sorrelsill/placement/groups.py
+++ b/sorrelsill/placement/groups.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.jobs import JobSpec
 from sorrelsill.workers import Attempt, Machine
 
@@ -143,7 +143,7 @@
         for count, _, machine in sorted(by_zone.get(seating.zone, ()), key=lambda i: (-i[1], i[2].name)):
             kept.append(machine)
             left -= count
-            if left <= 0 or len(kept) == C.GROUP_HOLD_HOSTS:
+            if left <= 0 or len(kept) == constants.GROUP_HOLD_HOSTS:
                 break
         if left <= 0:
             return kept
--- a/sorrelsill/serve.py
+++ b/sorrelsill/serve.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.controller import Controller
 from sorrelsill.http import Server
 from sorrelsill.settings import Operator, Settings, SettingsError, load, load_operator, split_addr
@@ -36,9 +36,9 @@
 async def run(settings: Settings, operator: Operator) -> None:
     node = Controller(settings, operator, random.Random())
     sockets = settings.facts.quota.sockets
-    peers = C.PEER_SOCKETS if settings.members else 0
-    pushes = max(8, int(sockets * C.PUSH_SOCKETS))
-    most = max(8, sockets - C.SOCKET_RESERVE - peers - pushes)
+    peers = constants.PEER_SOCKETS if settings.members else 0
+    pushes = max(8, int(sockets * constants.PUSH_SOCKETS))
+    most = max(8, sockets - constants.SOCKET_RESERVE - peers - pushes)
     # A worker that is silent for a whole lease begins a new session, so its connection is good for nothing after that.
     users = Server(node.handle, most, "users", node.timings.loss_s)
     try:
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 
 
 class SettingsError(Exception):
@@ -138,19 +138,22 @@
 
     @classmethod
     def derive(cls, workers: Workers, operator: Operator) -> Timings:
-        lease = operator.lease_s or min(C.LEASE_MAX_S, max(C.LEASE_MIN_S, workers.lease_s * C.LEASE_OF_WORKER_LEASE))
+        lease = operator.lease_s or min(
+            constants.LEASE_MAX_S, max(constants.LEASE_MIN_S, workers.lease_s * constants.LEASE_OF_WORKER_LEASE)
+        )
         return cls(
             lease_s=lease,
-            ping_s=min(C.PING_MAX_S, lease * C.PING_OF_LEASE),
-            validity_s=lease * C.VALIDITY_OF_LEASE,
-            loss_s=workers.lease_s * (1 + 2 * C.CLOCK_DRIFT) + C.LOSS_MARGIN_S,
-            stall_s=operator.stall_limit_s or C.STALL_LIMIT_S,
-            self_release_s=operator.self_release_s or C.SELF_RELEASE_S,
-            overdue_s=workers.report_s * C.OVERDUE_OF_REPORT + C.OVERDUE_EXTRA_S,
+            ping_s=min(constants.PING_MAX_S, lease * constants.PING_OF_LEASE),
+            validity_s=lease * constants.VALIDITY_OF_LEASE,
+            loss_s=workers.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LOSS_MARGIN_S,
+            stall_s=operator.stall_limit_s or constants.STALL_LIMIT_S,
+            self_release_s=operator.self_release_s or constants.SELF_RELEASE_S,
+            overdue_s=workers.report_s * constants.OVERDUE_OF_REPORT + constants.OVERDUE_EXTRA_S,
             # Where `cancel_s` leaves less than this besides the lease, leases alone can't keep the rule, and an
             # ordinary leader must still be able to renew them.
             renew_s=max(
-                C.VIEW_STALE_S, workers.cancel_s - workers.lease_s * (1 + 2 * C.CLOCK_DRIFT) - C.RENEW_MARGIN_S
+                constants.VIEW_STALE_S,
+                workers.cancel_s - workers.lease_s * (1 + 2 * constants.CLOCK_DRIFT) - constants.RENEW_MARGIN_S,
             ),
         )
 
@@ -208,8 +211,10 @@
     ):
         _positive(path, field, value)
     for prefix, ops in (("", facts.state.txn_ops), ("next.", facts.state.coming.txn_ops)):
-        if ops < C.LEAST_OPS:
-            raise SettingsError(f"{path}: facts.state.{prefix}txn_ops: must be at least {C.LEAST_OPS}, is {ops}")
+        if ops < constants.LEAST_OPS:
+            raise SettingsError(
+                f"{path}: facts.state.{prefix}txn_ops: must be at least {constants.LEAST_OPS}, is {ops}"
+            )
     if facts.state.next is not None:
         for name in ("write_rps", "value_kb", "txn_ops"):
             _positive(path, f"facts.state.next.{name}", getattr(facts.state.next, name), zero=True)
--- a/sorrelsill/store/__init__.py
+++ b/sorrelsill/store/__init__.py
@@ -1,19 +1,19 @@
 """Dealings with the state service: a client under a rate budget, and a followed view of our keys."""
 
-from sorrelsill.store.client import Ambiguous, Condition, Put, Refused, Remove, Store, Txn, Unavailable
+from sorrelsill.store.client import AmbiguousError, Condition, Put, RefusedError, Remove, Store, Txn, UnavailableError
 from sorrelsill.store.view import CATALOG, LEADER, View, chunk_key, final_key, job_key, part_key, roster_key
 
 __all__ = [
-    "Ambiguous",
+    "AmbiguousError",
     "CATALOG",
     "Condition",
     "LEADER",
     "Put",
-    "Refused",
+    "RefusedError",
     "Remove",
     "Store",
     "Txn",
-    "Unavailable",
+    "UnavailableError",
     "View",
     "chunk_key",
     "final_key",
--- a/sorrelsill/store/client.py
+++ b/sorrelsill/store/client.py
@@ -10,8 +10,8 @@
 import msgspec
 import trio
 
-from sorrelsill import constants as C
-from sorrelsill.http import Client, NoAnswer, NotSent
+from sorrelsill import constants
+from sorrelsill.http import Client, NoAnswerError, NotSentError
 from sorrelsill.settings import StateLimits
 from sorrelsill.store.budget import Bucket
 
@@ -21,7 +21,7 @@
 _decode = msgspec.msgpack.Decoder().decode
 
 
-class Unavailable(Exception):
+class UnavailableError(Exception):
     """The request was certainly not carried out: refused, throttled or never sent."""
 
     def __init__(self, text: str, throttled: bool = False) -> None:
@@ -29,7 +29,7 @@
         self.throttled = throttled
 
 
-class Refused(Unavailable):
+class RefusedError(UnavailableError):
     """The store will never carry it out as it is: a value or the whole is larger than it allows. `narrowed`: by this we
     learnt of smaller limits."""
 
@@ -38,7 +38,7 @@
         self.narrowed = narrowed
 
 
-class Ambiguous(Exception):
+class AmbiguousError(Exception):
     """No proper answer: the request may have been carried out, or may yet be, minutes later."""
 
 
@@ -86,11 +86,11 @@
 
     def __init__(self, client: Client, limits: StateLimits, nodes: int) -> None:
         self._client = client
-        rps = limits.rps * C.STORE_SHARE / max(1, nodes)
+        rps = limits.rps * constants.STORE_SHARE / max(1, nodes)
         self.requests = Bucket(rps, max(2.0, rps / 2))
         coming = limits.coming
-        self._write_rate = limits.write_rps * C.STORE_SHARE
-        self._coming_rate = coming.write_rps * C.STORE_SHARE
+        self._write_rate = limits.write_rps * constants.STORE_SHARE
+        self._coming_rate = coming.write_rps * constants.STORE_SHARE
         self._leading = False
         self._nodes = max(1, nodes)
         self.writes = Bucket(1.0, 1.0)
@@ -100,14 +100,16 @@
         # Smaller limits come without notice. What costs nothing keeps to them from the start; the longest values and
         # the rate only once the store has refused something.
         self.txn_ops = coming.txn_ops
-        self.value_bytes = int(limits.value_kb * 1024 * C.VALUE_SHARE)  # in force, as far as is known
-        self.small_bytes = int(coming.value_kb * 1024 * C.VALUE_SHARE)
+        self.value_bytes = int(limits.value_kb * 1024 * constants.VALUE_SHARE)  # in force, as far as is known
+        self.small_bytes = int(coming.value_kb * 1024 * constants.VALUE_SHARE)
         self.refused = 0
 
     def set_leading(self, leading: bool) -> None:
         """The leader writes most, so it gets the larger part of the store's write rate."""
         self._leading = leading
-        share = C.LEADER_WRITE_SHARE if leading else (1 - C.LEADER_WRITE_SHARE) / max(1, self._nodes - 1)
+        share = (
+            constants.LEADER_WRITE_SHARE if leading else (1 - constants.LEADER_WRITE_SHARE) / max(1, self._nodes - 1)
+        )
         if self._nodes == 1:
             share = 1.0
         rate = self._write_rate * share
@@ -115,7 +117,12 @@
         self.writes.burst = max(4.0, rate / 2)
 
     async def _call(
-        self, method: str, target: str, body: Any = None, timeout: float = C.STORE_TIMEOUT_S, urgent: bool = False
+        self,
+        method: str,
+        target: str,
+        body: Any = None,
+        timeout: float = constants.STORE_TIMEOUT_S,
+        urgent: bool = False,
     ) -> tuple[int, Any]:
         if urgent:
             self.requests.take()
@@ -127,23 +134,23 @@
                 method, target, _encode(body) if body is not None else b"", timeout
             )
             answer = _decode(raw) if raw else {}
-        except NotSent as error:
+        except NotSentError as error:
             self._failed(sent_at)
-            raise Unavailable(str(error)) from None
-        except (NoAnswer, msgspec.DecodeError) as error:
+            raise UnavailableError(str(error)) from None
+        except (NoAnswerError, msgspec.DecodeError) as error:
             self._failed(sent_at)
-            raise Ambiguous(str(error)) from None
+            raise AmbiguousError(str(error)) from None
         if status == 429:
             # Throttled is not down: the store is there, others use the rate too.
             self.last_ok = max(self.last_ok, sent_at)
             self.requests.drain()
-            raise Unavailable("throttled", throttled=True)
+            raise UnavailableError("throttled", throttled=True)
         if status == 503:
             self._failed(sent_at)
-            raise Unavailable("the store answers 503")
+            raise UnavailableError("the store answers 503")
         if status >= 500 or status in (408, 413) or not isinstance(answer, dict):
             self._failed(sent_at)
-            raise Ambiguous(f"the store answers {status}")
+            raise AmbiguousError(f"the store answers {status}")
         self.last_ok = max(self.last_ok, sent_at)
         self.failing_since = None
         return status, answer
@@ -165,7 +172,7 @@
             return answer.get("value"), _rev(answer, "keyRev")
         if status == 404:
             return None
-        raise Ambiguous(f"the store answers {status} to a read")
+        raise AmbiguousError(f"the store answers {status} to a read")
 
     async def scan(self, prefix: str) -> tuple[dict[str, tuple[Any, int]], int]:
         """All keys with a prefix, and the revision of the first page: later changes have to be followed."""
@@ -173,10 +180,10 @@
         last = ""
         first_rev: int | None = None
         while True:
-            target = f"/kv?starts={prefix}&page={C.KV_PAGE}" + (f"&from={last}" if last else "")
+            target = f"/kv?starts={prefix}&page={constants.KV_PAGE}" + (f"&from={last}" if last else "")
             status, answer = await self._call("GET", target)
             if status != 200 or not isinstance(answer.get("pairs"), list):
-                raise Ambiguous(f"the store answers {status} to a list")
+                raise AmbiguousError(f"the store answers {status} to a list")
             if first_rev is None:
                 first_rev = _rev(answer, "storeRev")
             for pair in answer["pairs"]:
@@ -194,7 +201,7 @@
         body = {"if": [c.wire() for c in conditions], "writes": [w.wire() for w in writes]}
         try:
             status, answer = await self._call("POST", "/multi", body, urgent=urgent)
-        except Unavailable as error:
+        except UnavailableError as error:
             if error.throttled:
                 self.writes.drain()
                 if writes and self._coming_rate < self._write_rate:
@@ -214,13 +221,13 @@
             if narrowed:
                 log.info("the store refuses a transaction (%s): keeping to the smaller values", answer.get("error"))
                 self.value_bytes = self.small_bytes
-            raise Refused(text, narrowed)
-        raise Unavailable(text)
+            raise RefusedError(text, narrowed)
+        raise UnavailableError(text)
 
     async def grant(self, ttl_s: float, timeout: float) -> int:
         status, answer = await self._call("POST", "/grants", {"ttlMs": int(ttl_s * 1000)}, timeout=timeout, urgent=True)
         if status != 200:
-            raise Unavailable(f"the store answers {status} to a grant")
+            raise UnavailableError(f"the store answers {status} to a grant")
         return _rev(answer, "tenancy")
 
     async def renew(self, lease: int, timeout: float) -> bool:
@@ -228,7 +235,7 @@
         status, _ = await self._call("POST", f"/grants/{lease}/renew", {}, timeout=timeout, urgent=True)
         if status in (200, 404):
             return status == 200
-        raise Ambiguous(f"the store answers {status} to a renewal")
+        raise AmbiguousError(f"the store answers {status} to a renewal")
 
     async def revoke(self, lease: int, timeout: float) -> None:
         await self._call("DELETE", f"/grants/{lease}", timeout=timeout, urgent=True)
@@ -242,12 +249,12 @@
         if status == 410:
             return None
         if status != 200 or not isinstance(answer.get("news"), list):
-            raise Ambiguous(f"the store answers {status} to a watch")
+            raise AmbiguousError(f"the store answers {status} to a watch")
         return _rev(answer, "storeRev"), answer["news"]
 
 
 def _rev(answer: dict[str, Any], name: str) -> int:
     value = answer.get(name)
     if not isinstance(value, int) or isinstance(value, bool):
-        raise Ambiguous(f"the store's answer lacks {name}")
+        raise AmbiguousError(f"the store's answer lacks {name}")
     return value
--- a/sorrelsill/store/view.py
+++ b/sorrelsill/store/view.py
@@ -21,8 +21,8 @@
 
 import trio
 
-from sorrelsill import constants as C
-from sorrelsill.store.client import Ambiguous, Store, Unavailable
+from sorrelsill import constants
+from sorrelsill.store.client import AmbiguousError, Store, UnavailableError
 
 log = logging.getLogger(__name__)
 
@@ -51,7 +51,7 @@
 
 def roster_key(machine: str) -> str:
     """Machines share a few keys, so that hundreds that come or go together cost a few writes."""
-    return f"{_ROSTER}{zlib.crc32(machine.encode()) % C.ROSTER_PARTS:02d}"
+    return f"{_ROSTER}{zlib.crc32(machine.encode()) % constants.ROSTER_PARTS:02d}"
 
 
 class View:
@@ -73,7 +73,7 @@
         self.listeners: list[Listener] = []
         self.on_final: Callable[[str, Any], None] = lambda job_id, value: None  # each final state as it is learnt of
         self._removed: dict[str, int] = {}  # keys that are gone by changes that the view has not gone past yet
-        self._barrier_gap = 1.0 / max(1.0, C.BARRIER_RATE_OF_RPS * store.requests.rate * 3)
+        self._barrier_gap = 1.0 / max(1.0, constants.BARRIER_RATE_OF_RPS * store.requests.rate * 3)
         self._last_barrier = float("-inf")
         self._waiting: list[trio.Event] = []
         self._asked = trio.Event()
@@ -92,7 +92,7 @@
         for key in self.chunk_keys(job_id):
             number = key.rpartition("/")[2]
             if number.isdecimal():
-                size = C.CHUNK_SHARDS if key.startswith(_CHUNK) else C.PART_SHARDS
+                size = constants.CHUNK_SHARDS if key.startswith(_CHUNK) else constants.PART_SHARDS
                 out.append((int(number) * size, self.keys[key][0]))
         return out
 
@@ -126,7 +126,7 @@
     def remember_final(self, job_id: str, value: Any) -> None:
         self.finals[job_id] = value
         self.on_final(job_id, value)
-        while len(self.finals) > C.FINAL_CACHE:
+        while len(self.finals) > constants.FINAL_CACHE:
             self.finals.popitem(last=False)
 
     # --- keeping it ---
@@ -174,7 +174,7 @@
 
     def _note_over(self, job_id: str, value: Any) -> None:
         self.ended[job_id] = trio.current_time(), value
-        if len(self.ended) > C.ENDED_KEPT:
+        if len(self.ended) > constants.ENDED_KEPT:
             self.ended.popitem(last=False)
             self.whole_since = trio.current_time()
 
@@ -229,7 +229,7 @@
     async def run(self) -> None:
         """Follow for ever; whatever fails is tried again after a pause."""
         last = float("-inf")
-        gap = 1.0 / (C.WATCH_SHARE * self._store.requests.rate)
+        gap = 1.0 / (constants.WATCH_SHARE * self._store.requests.rate)
         while True:
             try:
                 # Each change ends a watch: without a pause, hundreds of changes a second would take all requests.
@@ -239,19 +239,21 @@
                     await self._load()
                 since = self.rev
                 sent_at = trio.current_time()
-                answer = await self._store.follow("s/", since, C.FOLLOW_HOLD_S, C.FOLLOW_HOLD_S + C.FOLLOW_GRACE_S)
+                answer = await self._store.follow(
+                    "s/", since, constants.FOLLOW_HOLD_S, constants.FOLLOW_HOLD_S + constants.FOLLOW_GRACE_S
+                )
                 if answer is None:
                     self.loaded = False
                     continue
                 self._take(since, answer, sent_at)
-            except (Unavailable, Ambiguous) as error:
+            except (UnavailableError, AmbiguousError) as error:
                 log.debug("following: %s", error)
-                await trio.sleep(C.RETRY_S)
+                await trio.sleep(constants.RETRY_S)
             except (KeyError, TypeError, ValueError):
                 # Guards against an answer of an unexpected form: read everything anew instead of dying.
                 log.exception("following: unexpected answer")
                 self.loaded = False
-                await trio.sleep(C.RETRY_S)
+                await trio.sleep(constants.RETRY_S)
 
     def waiting(self) -> int:
         """How many callers wait for a barrier."""
@@ -280,12 +282,12 @@
                 if self.loaded:
                     since = self.rev
                     sent_at = trio.current_time()
-                    answer = await self._store.follow("s/", since, 0, C.POLL_DEADLINE_S / 2)
+                    answer = await self._store.follow("s/", since, 0, constants.POLL_DEADLINE_S / 2)
                     if answer is None:
                         self.loaded = False
                     else:
                         self._take(since, answer, sent_at)
-            except (Unavailable, Ambiguous) as error:
+            except (UnavailableError, AmbiguousError) as error:
                 log.debug("barrier: %s", error)
             except (KeyError, TypeError, ValueError):
                 log.exception("barrier: unexpected answer")
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -6,19 +6,19 @@
 from sorrelsill.workers.groups import lost_work as group_loss
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Machine
-from sorrelsill.workers.messages import BadReport, Report, parse_report, stop_command
+from sorrelsill.workers.messages import InvalidReportError, Report, parse_report, stop_command
 from sorrelsill.workers.push import Pusher
-from sorrelsill.workers.reports import Superseded
+from sorrelsill.workers.reports import SupersededError
 
 __all__ = [
     "Attempt",
-    "BadReport",
+    "InvalidReportError",
     "Machine",
     "Job",
     "ClusterState",
     "Pusher",
     "Report",
-    "Superseded",
+    "SupersededError",
     "group_loss",
     "stop_command",
     "parse_report",
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -15,11 +15,10 @@
 from collections.abc import Iterable
 from typing import Any
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.fleet import Catalog, MachineType
 from sorrelsill.jobs import JobSpec, TaskSet
-from sorrelsill.workers import commands, groups, loss, reports
-from sorrelsill.workers import messages as M
+from sorrelsill.workers import commands, groups, loss, messages, reports
 from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import EPSILON, Machine
@@ -81,12 +80,12 @@
     # --- its parts: each a module of its own ---
 
     def on_report(
-        self, report: M.Report, now: float, acting: bool = True, fresh: bool = True
+        self, report: messages.Report, now: float, acting: bool = True, fresh: bool = True
     ) -> list[dict[str, Any]] | None:
         """Take a report in; the commands for the answer, or None if it must not be answered with 200."""
         return reports.on_report(self, report, now, acting, fresh)
 
-    def on_answer(self, report: M.Report, now: float) -> None:
+    def on_answer(self, report: messages.Report, now: float) -> None:
         """Take in a worker's state out of its answer to a direct call."""
         reports.on_answer(self, report, now)
 
@@ -225,7 +224,7 @@
     def next_attempt_number(self) -> int:
         """Grows within the term and across terms, so no attempt number is ever used twice for a task."""
         self._attempts_made += 1
-        return (self.term << C.TRY_BITS) + self._attempts_made
+        return (self.term << constants.TRY_BITS) + self._attempts_made
 
     def bind(self, job: Job, index: int, machine: Machine, now: float, attempt_number: int | None = None) -> Attempt:
         """`try_no` is given for gangs, whose tasks find each other by a common attempt number."""
@@ -303,7 +302,9 @@
         if keep and known is not None:
             # The later attempt was only made once the earlier one was proved gone. So the earlier is a phantom out
             # of a late copy of a report, and must not cost the true one its place.
-            keep = attempt.attempt_number > known.attempt_number and known.attempt_number >> C.TRY_BITS < self.term
+            keep = (
+                attempt.attempt_number > known.attempt_number and known.attempt_number >> constants.TRY_BITS < self.term
+            )
             if keep:
                 job.zones[known.machine.zone] = job.zones.get(known.machine.zone, 1) - 1
                 known.stop = True
@@ -356,7 +357,7 @@
     def group_spare(self, classes: Iterable[str]) -> float:
         """CPUs for one more group of each of these classes, as large as the largest seen."""
         largest = (self.largest_group.get(name) for name in classes)
-        return C.GROUP_SPARE * sum(s.cpus * s.shards for s in largest if s is not None)
+        return constants.GROUP_SPARE * sum(s.cpus * s.shards for s in largest if s is not None)
 
     def alive(self, job_id: str) -> bool:
         """Whether any attempt of the job may still be on a machine, one too many included."""
@@ -432,7 +433,7 @@
             index.pop(name, None)
         self.tombstones[name] = (session, sequence_number)
         self.tombstones.move_to_end(name)
-        while len(self.tombstones) > C.TOMBSTONES_KEPT:
+        while len(self.tombstones) > constants.TOMBSTONES_KEPT:
             self.tombstones.popitem(last=False)
 
     # --- reports ---
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from sorrelsill.workers import messages as M
+from sorrelsill.workers import messages
 
 if TYPE_CHECKING:
     from sorrelsill.workers.attempt import Attempt
@@ -20,15 +20,15 @@
             # Only once no older leader can order a start any more: a repeated start after
             # `clear` would run the task again.
             if attempt.clearable and machine.synced and not attempt.unanswered_starts and now >= attempt.clear_after:
-                out.append(M.clear_command(attempt.task_id, attempt.attempt_number))
+                out.append(messages.clear_command(attempt.task_id, attempt.attempt_number))
         elif attempt.stop:
             if attempt.unanswered_starts and not attempt.confirmed and machine.synced:
                 # Get it onto the worker first: a late direct start then finds the attempt ended
                 # there, and has no effect.
-                out.append(M.start_command(attempt.task_id, attempt.attempt_number))
-                out.append(M.stop_command(attempt.task_id, attempt.attempt_number, 0.0))
+                out.append(messages.start_command(attempt.task_id, attempt.attempt_number))
+                out.append(messages.stop_command(attempt.task_id, attempt.attempt_number, 0.0))
             elif attempt.confirmed and (attempt.phase != "saving" or attempt.wind_down == 0):
-                out.append(M.stop_command(attempt.task_id, attempt.attempt_number, attempt.wind_down))
+                out.append(messages.stop_command(attempt.task_id, attempt.attempt_number, attempt.wind_down))
         elif (
             fresh
             and not attempt.confirmed
@@ -36,7 +36,7 @@
             and machine.synced
             and attempt.job_id in cluster.jobs
         ):
-            out.append(M.start_command(attempt.task_id, attempt.attempt_number))
+            out.append(messages.start_command(attempt.task_id, attempt.attempt_number))
     return out
 
 
@@ -68,12 +68,12 @@
             continue
         if attempt.stop:
             attempt.stop_sent = True
-            commands.append(M.stop_command(attempt.task_id, attempt.attempt_number, attempt.wind_down))
+            commands.append(messages.stop_command(attempt.task_id, attempt.attempt_number, attempt.wind_down))
         else:
             attempt.start_sent = True
             attempt.unanswered_starts += 1
             started.append(attempt)
-            commands.append(M.start_command(attempt.task_id, attempt.attempt_number))
+            commands.append(messages.start_command(attempt.task_id, attempt.attempt_number))
     return commands, started
 
 
--- a/sorrelsill/workers/failures.py
+++ b/sorrelsill/workers/failures.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 
 
 @dataclass(slots=True)
@@ -28,7 +28,9 @@
         self.failures += 1
         if now >= self.next_trial_at:
             self.trials += 1
-            self.next_trial_at = now + min(C.START_BACKOFF_MAX_S, C.START_BACKOFF_S * 2.0 ** (self.trials - 1))
+            self.next_trial_at = now + min(
+                constants.START_BACKOFF_MAX_S, constants.START_BACKOFF_S * 2.0 ** (self.trials - 1)
+            )
         return self._accuse({machine}) if self.succeeded else set()
 
     def success(self, machine: str) -> set[str]:
@@ -43,11 +45,11 @@
 
     def suspect(self, others: int) -> bool:
         """Whether the job itself is probably at fault; `others` of its tasks have not failed yet."""
-        return len(self.machines) >= C.SUSPECT_MACHINES and self.failures >= others
+        return len(self.machines) >= constants.SUSPECT_MACHINES and self.failures >= others
 
     def _accuse(self, machines: set[str]) -> set[str]:
         # A job that accuses many machines is no reliable witness: only some of its tasks may be at fault.
-        if len(self.accused | machines) > C.ACCUSED_MAX:
+        if len(self.accused | machines) > constants.ACCUSED_MAX:
             return set()
         self.accused |= machines
         return machines
--- a/sorrelsill/workers/groups.py
+++ b/sorrelsill/workers/groups.py
@@ -10,10 +10,11 @@
 import logging
 from typing import TYPE_CHECKING
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.cluster_state import ClusterState, Job
+    from sorrelsill.workers.cluster_state import ClusterState
+    from sorrelsill.workers.job import Job
 
 log = logging.getLogger(__name__)
 
@@ -79,12 +80,12 @@
     if not any(a.running_since is not None for a in job.bound.values()):
         return True
     if may_save(job):
-        return left <= job.spec.snapshot_cost_s + C.DRAIN_AHEAD_S
-    return left <= C.DRAIN_AHEAD_S
+        return left <= job.spec.snapshot_cost_s + constants.DRAIN_AHEAD_S
+    return left <= constants.DRAIN_AHEAD_S
 
 
 def lost_work(job: Job, now: float) -> float:
     """Seconds of work, of all its tasks together, that stopping one of them throws away."""
     return sum(now - a.running_since for a in job.bound.values() if a.running_since is not None) + (
-        C.PREEMPT_BASE_S * len(job.bound)
+        constants.PREEMPT_BASE_S * len(job.bound)
     )
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -4,7 +4,7 @@
 
 import heapq
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.jobs import JobSpec, TaskSet
 from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.failures import FailureHistory
@@ -51,7 +51,7 @@
         self.failures = FailureHistory(succeeded=done.count > 0)
         self.avoid: dict[str, float] = {}
         self.dirty_parts: set[int] = set()  # of its finished tasks, `PART_SHARDS` to a part, what is not recorded yet
-        self.split = spec.shards > C.CHUNK_SHARDS  # its finished tasks are kept beside its record
+        self.split = spec.shards > constants.CHUNK_SHARDS  # its finished tasks are kept beside its record
         self.shown_running = 0  # tasks that run, as the record says
         self.recorded_at = now
         self.order = 0
@@ -82,7 +82,7 @@
     def trials_left(self) -> int:
         """How many more of its tasks may be started now: few, if it seems to fail wherever it is tried."""
         bound = len(self.bound)
-        return C.TRIAL_TASKS - bound if self.failures.suspect(bound) else self.spec.shards
+        return constants.TRIAL_TASKS - bound if self.failures.suspect(bound) else self.spec.shards
 
     def running(self) -> int:
         """A task of a group that waits for the others does not run."""
@@ -91,4 +91,4 @@
     def note(self, text: str) -> None:
         if not self.why or self.why[-1] != text:
             self.why.append(text)
-            del self.why[: -C.WHY_NOTES]
+            del self.why[: -constants.WHY_NOTES]
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.workers import groups
 
 if TYPE_CHECKING:
@@ -15,7 +15,7 @@
 def expire_leases(cluster: ClusterState, now: float) -> list[Machine]:
     """Declare lost what has been silent for longer than the workers' lease. Returns those machines."""
     lost: list[Machine] = []
-    if now - cluster.expired_at < C.EXPIRE_EVERY_S:
+    if now - cluster.expired_at < constants.EXPIRE_EVERY_S:
         return lost
     cluster.expired_at = now
     cluster.takeover.recount()
@@ -37,7 +37,7 @@
             now - max(machine.answered_at, older if machine.name in cluster.takeover.unconfirmed else floor)
             > cluster.loss_s
         ):
-            if released >= C.EXPIRE_TASKS:
+            if released >= constants.EXPIRE_TASKS:
                 # Guards against hundreds of machines lost at once: pings must not wait behind them.
                 cluster.expired_at = float("-inf")
                 break
@@ -66,7 +66,7 @@
     proves nothing, and a leader that never heard any is no better replaced."""
     if cluster.heard_at is None or now - max(cluster.heard_at, cluster.renewed_by_others) <= limit:
         return False
-    return sum(1 for h in cluster.machines.values() if not h.lost and h.answered_at is not None) >= C.DEAF_HOSTS
+    return sum(1 for h in cluster.machines.values() if not h.lost and h.answered_at is not None) >= constants.DEAF_HOSTS
 
 
 def drain(cluster: ClusterState, now: float) -> None:
@@ -88,9 +88,9 @@
             if attempt.running_since is None:
                 late = True
             elif spec.snapshot_s > 0:
-                late = left <= spec.snapshot_cost_s + C.DRAIN_AHEAD_S
+                late = left <= spec.snapshot_cost_s + constants.DRAIN_AHEAD_S
             else:
                 through = attempt.running_since + spec.expected_s
-                late = left <= C.DRAIN_AHEAD_S or spec.endless or through > machine.evict_at
+                late = left <= constants.DRAIN_AHEAD_S or spec.endless or through > machine.evict_at
             if late:
                 cluster.stop(attempt, "machine is taken back")
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -9,7 +9,7 @@
 PEERS, ALONE = "peers", "alone"  # why a group's task exited: another one is gone, or the group was never complete
 
 
-class BadReport(Exception):
+class InvalidReportError(Exception):
     """The body is no report."""
 
 
@@ -54,7 +54,7 @@
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, ValueError) as error:
-        raise BadReport(str(error)) from None
+        raise InvalidReportError(str(error)) from None
 
 
 def start_command(task_id: str, attempt_number: int) -> dict[str, Any]:
--- a/sorrelsill/workers/push.py
+++ b/sorrelsill/workers/push.py
@@ -14,14 +14,16 @@
 import msgspec
 import trio
 
-from sorrelsill import constants as C
-from sorrelsill.http import Client, NoAnswer, NotSent
+from sorrelsill import constants
+from sorrelsill.http import Client, NoAnswerError, NotSentError
 from sorrelsill.settings import split_addr
 from sorrelsill.workers.commands import direct_commands_answered
-from sorrelsill.workers.messages import BadReport, parse_report
+from sorrelsill.workers.messages import InvalidReportError, parse_report
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.cluster_state import Attempt, ClusterState, Machine
+    from sorrelsill.workers.attempt import Attempt
+    from sorrelsill.workers.cluster_state import ClusterState
+    from sorrelsill.workers.machine import Machine
 
 log = logging.getLogger(__name__)
 
@@ -60,7 +62,7 @@
             return
         fresh = self._fresh()
         for machine in list(cluster.machines_with_pending_commands.values()):
-            if len(self._busy) >= C.PUSH_AT_ONCE:
+            if len(self._busy) >= constants.PUSH_AT_ONCE:
                 return
             if machine.name in self._busy or self._pausing(machine.name, now, machine.seen_at):
                 continue
@@ -82,7 +84,7 @@
 
     def probe(self, cluster: ClusterState, name: str, addr: str, nursery: trio.Nursery) -> None:
         """Show our token to a machine of the roster: its answer is its state, with nothing older to come."""
-        if self._probing >= C.PROBES_AT_ONCE or name in self._busy:
+        if self._probing >= constants.PROBES_AT_ONCE or name in self._busy:
             return
         if self._pausing(name, trio.current_time(), float("-inf")) or not _usable(addr):
             return
@@ -100,13 +102,13 @@
             body = _encode({"epoch": cluster.term, "tenure": machine.session, "orders": commands})
             try:
                 status, raw = await self._client(machine.addr).request(
-                    "POST", "/commands", body, C.PUSH_TIMEOUT_S, may_send=self._valid_for(attempts)
+                    "POST", "/commands", body, constants.PUSH_TIMEOUT_S, may_send=self._valid_for(attempts)
                 )
-            except NotSent as error:
+            except NotSentError as error:
                 direct_commands_answered(attempts)
                 self._later(machine.name, str(error))
                 return
-            except NoAnswer as error:
+            except NoAnswerError as error:
                 # The attempts stay loose, and the machine gets no more work before it has shown that it hears.
                 machine.reachable = False
                 cluster.reindex(machine)
@@ -129,17 +131,17 @@
 
     async def _probe(self, cluster: ClusterState, name: str, addr: str) -> None:
         try:
-            status, raw = await self._client(addr).request("GET", "/status", b"", C.PUSH_TIMEOUT_S)
+            status, raw = await self._client(addr).request("GET", "/status", b"", constants.PUSH_TIMEOUT_S)
             if status != 200 or not self._valid():
                 return
             session = parse_report(raw).session
             body = _encode({"epoch": cluster.term, "tenure": session, "orders": []})
             status, raw = await self._client(addr).request(
-                "POST", "/commands", body, C.PUSH_TIMEOUT_S, may_send=self._valid
+                "POST", "/commands", body, constants.PUSH_TIMEOUT_S, may_send=self._valid
             )
             if status in (200, 409):
                 self._take(cluster, raw)
-        except (NotSent, NoAnswer, BadReport) as error:
+        except (NotSentError, NoAnswerError, InvalidReportError) as error:
             self._later(name, str(error))
         finally:
             self._busy.discard(name)
@@ -148,7 +150,7 @@
     def _take(self, cluster: ClusterState, raw: bytes) -> None:
         try:
             report = parse_report(raw)
-        except BadReport as error:
+        except InvalidReportError as error:
             log.info("a worker's answer: %s", error)
             return
         if self._valid():
@@ -163,8 +165,8 @@
     def _later(self, name: str, why: str) -> None:
         log.debug("%s not reached: %s", name, why)
         now = trio.current_time()
-        _, pause = self._failed.get(name, (now, C.PUSH_BACKOFF_S / 2))
-        self._failed[name] = now, min(C.PUSH_BACKOFF_MAX_S, 2 * pause)
+        _, pause = self._failed.get(name, (now, constants.PUSH_BACKOFF_S / 2))
+        self._failed[name] = now, min(constants.PUSH_BACKOFF_MAX_S, 2 * pause)
         if len(self._failed) > 4 * self._keep:
             self._failed = {n: (t, p) for n, (t, p) in self._failed.items() if t + p > now}
 
--- a/sorrelsill/workers/reports.py
+++ b/sorrelsill/workers/reports.py
@@ -8,8 +8,8 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from sorrelsill import constants as C
-from sorrelsill.workers import messages as M
+from sorrelsill import constants
+from sorrelsill.workers import messages
 from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.commands import commands
 
@@ -21,7 +21,7 @@
 log = logging.getLogger(__name__)
 
 
-class Superseded(Exception):
+class SupersededError(Exception):
     """A worker has seen a higher token than ours."""
 
     def __init__(self, token: int) -> None:
@@ -30,12 +30,12 @@
 
 
 def on_report(
-    cluster: ClusterState, report: M.Report, now: float, acting: bool = True, fresh: bool = True
+    cluster: ClusterState, report: messages.Report, now: float, acting: bool = True, fresh: bool = True
 ) -> list[dict[str, Any]] | None:
     """Take a report in; the orders for the answer, or None if it must not be answered with 200.
     Without `acting` (standstill) there are no orders; without a `fresh` view of the jobs, no starts."""
     if report.token > cluster.term:
-        raise Superseded(report.token)
+        raise SupersededError(report.token)
     if (report.session, report.sequence_number) <= cluster.tombstones.get(report.machine, (0, 0)):
         return None  # a late copy: the machine is gone
     machine = cluster.machine(report.machine, report.machine_type, report.zone, report.spot, now)
@@ -90,7 +90,7 @@
     return commands(cluster, machine, fresh, now) if acting else []
 
 
-def on_answer(cluster: ClusterState, report: M.Report, now: float) -> None:
+def on_answer(cluster: ClusterState, report: messages.Report, now: float) -> None:
     """A worker's state in its answer to a direct call. It renews no lease, and since it may be older than the
     answer to a report in flight, what it lacks may yet be started: absence proves less than in a report."""
     if report.token > cluster.term or (report.session, report.sequence_number) <= cluster.tombstones.get(
@@ -119,7 +119,7 @@
     _reconcile(cluster, machine, report, now, False)
 
 
-def _newer(cluster: ClusterState, machine: Machine, report: M.Report, now: float) -> None:
+def _newer(cluster: ClusterState, machine: Machine, report: messages.Report, now: float) -> None:
     """Session, serial and notice of a message that is newer than all before."""
     machine.addr = report.addr or machine.addr
     if report.session > machine.session:
@@ -144,7 +144,7 @@
         cluster.reindex(machine)
 
 
-def _sync(cluster: ClusterState, machine: Machine, report: M.Report, reachable: bool, now: float) -> None:
+def _sync(cluster: ClusterState, machine: Machine, report: messages.Report, reachable: bool, now: float) -> None:
     if report.token != cluster.term or machine.synced:
         return
     machine.synced = True
@@ -163,57 +163,74 @@
     cluster.wake_placing = True
 
 
-def _reconcile(cluster: ClusterState, machine: Machine, report: M.Report, now: float, proper: bool) -> None:
+def _reconcile(cluster: ClusterState, machine: Machine, report: messages.Report, now: float, proper: bool) -> None:
     """Take over what the worker says of its tasks; `proper`: in a report, not in a direct answer."""
     attempts = machine.attempts
     seen = 0
     for item in report.tasks:
         attempt = attempts.get((item.task_id, item.attempt_number))
         if attempt is None:
-            try:
-                job_id, index = item.split()
-            except ValueError as error:
-                # Guards against one damaged entry hiding the machine's other tasks.
-                log.error("report of %s: %s", machine.name, error)
+            attempt = _found(cluster, machine, item, now)
+            if attempt is None:
                 continue
-            attempt = Attempt(job_id, index, item.attempt_number, machine, None, now)
-            if attempt.task_id != item.task_id:
-                log.error("report of %s: task %s", machine.name, item.task_id[:80])
-                continue
-            cluster.enter(attempt)
-            job = cluster.jobs.get(job_id)
-            if item.phase != "exited":
-                if job is not None:
-                    cluster.adopt(attempt, job)
-                else:
-                    attempt.stop = True
-                    cluster.machines_with_pending_commands[machine.name] = machine
         elif attempt.phase == item.phase and attempt.confirmed:
             seen += 1
             continue
         seen += 1
-        if not attempt.confirmed:
-            attempt.confirmed = True
-            if attempt.stop:
-                cluster.machines_with_pending_commands[machine.name] = machine
-        if attempt.exited:
-            continue
-        if item.phase == "exited":
-            _exited(cluster, attempt, item, now)
-            continue
-        attempt.phase = item.phase
-        if item.phase == "waiting" and attempt.spec is not None:
-            cluster.hold_image(machine, attempt.spec)  # it has its image, and waits for the rest of its group
-        if item.phase == "running" and attempt.running_since is None:
-            attempt.running_since = now
-            log.debug("runs %s on %s, %.2f s after it was bound", attempt.task_id, machine.name, now - attempt.created)
-            if attempt.spec is not None:
-                cluster.hold_image(machine, attempt.spec)
-                cluster.dirty.add(attempt.job_id)
-    if seen == len(attempts):
+        _take_phase(cluster, attempt, item, now)
+    if seen != len(attempts):
+        _drop_absent(cluster, machine, report, now, proper)
+
+
+def _found(cluster: ClusterState, machine: Machine, item: messages.TaskReport, now: float) -> Attempt | None:
+    """An attempt that an earlier leader started: it is adopted, or stopped if its job is over or not known."""
+    try:
+        job_id, index = item.split()
+    except ValueError as error:
+        # Guards against one damaged entry hiding the machine's other tasks.
+        log.error("report of %s: %s", machine.name, error)
+        return None
+    attempt = Attempt(job_id, index, item.attempt_number, machine, None, now)
+    if attempt.task_id != item.task_id:
+        log.error("report of %s: task %s", machine.name, item.task_id[:80])
+        return None
+    cluster.enter(attempt)
+    if item.phase != "exited":
+        job = cluster.jobs.get(job_id)
+        if job is not None:
+            cluster.adopt(attempt, job)
+        else:
+            attempt.stop = True
+            cluster.machines_with_pending_commands[machine.name] = machine
+    return attempt
+
+
+def _take_phase(cluster: ClusterState, attempt: Attempt, item: messages.TaskReport, now: float) -> None:
+    machine = attempt.machine
+    if not attempt.confirmed:
+        attempt.confirmed = True
+        if attempt.stop:
+            cluster.machines_with_pending_commands[machine.name] = machine
+    if attempt.exited:
         return
+    if item.phase == "exited":
+        _exited(cluster, attempt, item, now)
+        return
+    attempt.phase = item.phase
+    if item.phase == "waiting" and attempt.spec is not None:
+        cluster.hold_image(machine, attempt.spec)  # it has its image, and waits for the rest of its group
+    if item.phase == "running" and attempt.running_since is None:
+        attempt.running_since = now
+        log.debug("runs %s on %s, %.2f s after it was bound", attempt.task_id, machine.name, now - attempt.created)
+        if attempt.spec is not None:
+            cluster.hold_image(machine, attempt.spec)
+            cluster.dirty.add(attempt.job_id)
+
+
+def _drop_absent(cluster: ClusterState, machine: Machine, report: messages.Report, now: float, proper: bool) -> None:
+    """Attempts that a message doesn't name: gone, if their absence proves it."""
     names = {(item.task_id, item.attempt_number) for item in report.tasks}
-    for attempt in [a for k, a in attempts.items() if k not in names]:
+    for attempt in [a for key, a in machine.attempts.items() if key not in names]:
         if attempt.unanswered_starts and not attempt.confirmed:
             continue  # its direct start may still be executed, so its absence proves nothing
         if attempt.confirmed or (proper and (attempt.exited or attempt.stop)):
@@ -222,7 +239,7 @@
             cluster.unbind(attempt, now)
 
 
-def _exited(cluster: ClusterState, attempt: Attempt, item: M.TaskReport, now: float) -> None:
+def _exited(cluster: ClusterState, attempt: Attempt, item: messages.TaskReport, now: float) -> None:
     cluster.count_unknown(attempt, -1)
     attempt.exited = True
     attempt.phase = "exited"
@@ -234,7 +251,7 @@
             # The tasks of a group complete together, also those whose machines die before they tell.
             for index in range(job.spec.shards) if job.spec.whole else (attempt.index,):
                 if job.done.add(index):
-                    job.dirty_parts.add(index // C.PART_SHARDS)
+                    job.dirty_parts.add(index // constants.PART_SHARDS)
                     cluster.dirty.add(attempt.job_id)
             _accuse(cluster, job, job.failures.success(machine.name))
         else:
@@ -248,7 +265,7 @@
         return
     attempt.clearable = True
     if attempt.start_sent:
-        attempt.clear_after = now + C.REPEAT_S
+        attempt.clear_after = now + constants.REPEAT_S
     cluster.unbind(attempt, now)
     if job is None:
         return
@@ -258,12 +275,12 @@
             f" ({attempt.stop_reason or 'by an earlier leader'})"
         )
         return
-    if cause in (M.PEERS, M.ALONE):
+    if cause in (messages.PEERS, messages.ALONE):
         # Another task of its group is gone or never came: the fault of neither this machine nor the job.
         job.note(f"task {attempt.index}: {cause}, its group is started anew")
         return
     job.note(f"task {attempt.index}: {cause} on {machine.name}")
-    job.avoid[machine.name] = now + C.HOST_AVOID_S
+    job.avoid[machine.name] = now + constants.HOST_AVOID_S
     if cause == "error":
         _failed(cluster, job, machine, now)
 
@@ -273,7 +290,7 @@
     failures = job.failures
     if job.spec.endless:
         for replica in job.bound.values():
-            if replica.running_since is not None and now - replica.running_since >= C.REPLICA_PROOF_S:
+            if replica.running_since is not None and now - replica.running_since >= constants.REPLICA_PROOF_S:
                 _accuse(cluster, job, failures.success(replica.machine.name))
                 break
     _accuse(cluster, job, failures.failed(machine.name, now))
@@ -291,7 +308,7 @@
         if machine is None:
             continue
         machine.accused_by.add(job.spec.job_id)
-        if len(machine.accused_by) >= C.HOST_ERRORS_SUSPECT and not machine.faulty:
+        if len(machine.accused_by) >= constants.HOST_ERRORS_SUSPECT and not machine.faulty:
             log.info("%s is faulty: %s failed there and succeeded elsewhere", name, sorted(machine.accused_by))
             machine.faulty = True
             cluster.reindex(machine)
--- a/sorrelsill/workers/test_failures.py
+++ b/sorrelsill/workers/test_failures.py
@@ -1,6 +1,6 @@
 """Whose fault a failed task is."""
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.workers.failures import FailureHistory
 
 
@@ -21,7 +21,7 @@
     for number in range(100):
         history.failed(f"m{number}", 1.0)
     assert history.trials == 1
-    assert history.next_trial_at == 1.0 + C.START_BACKOFF_S
+    assert history.next_trial_at == 1.0 + constants.START_BACKOFF_S
 
 
 def test_failures_count_against_machines_once_the_job_succeeds_elsewhere() -> None:
@@ -42,7 +42,7 @@
     """Some of its tasks fail wherever they run, others succeed."""
     history = FailureHistory(succeeded=True)
     accused = [history.failed(f"m{number}", float(number)) for number in range(10)]
-    assert sum(len(names) for names in accused) == C.ACCUSED_MAX
+    assert sum(len(names) for names in accused) == constants.ACCUSED_MAX
 
 
 def test_a_job_whose_other_tasks_go_on_is_not_suspect() -> None:
--- a/tests/scenarios/test_bad_nights.py
+++ b/tests/scenarios/test_bad_nights.py
@@ -4,7 +4,7 @@
 import pytest
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.settings import Team
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 from tests.simulation.simulated_cluster import LABELS, LEASE_S
@@ -204,13 +204,13 @@
         for job_id, path in (("run-a", "/follow"), ("run-never", "/kv/")):
             simulation.net.hold_request = lambda src, dst, r, path=path: src == follower and r.path.startswith(path)  # type: ignore[misc]
             async with trio.open_nursery() as nursery:
-                for _ in range(3 * C.POLL_QUEUE):
+                for _ in range(3 * constants.POLL_QUEUE):
                     nursery.start_soon(poll, job_id)
             simulation.net.hold_request = lambda src, dst, request: False
             simulation.net.release()
             await trio.sleep(5)
-        assert at_once["run-a"] >= 2 * C.POLL_QUEUE
-        assert at_once["run-never"] >= 3 * C.POLL_QUEUE - C.LOOKUPS_AT_ONCE
+        assert at_once["run-a"] >= 2 * constants.POLL_QUEUE
+        assert at_once["run-never"] >= 3 * constants.POLL_QUEUE - constants.LOOKUPS_AT_ONCE
         await simulation.wait_for_convergence()
 
     run_scenario(scenario)
--- a/tests/scenarios/test_cancelled.py
+++ b/tests/scenarios/test_cancelled.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.http import Request
 from tests.simulation import SimulatedCluster, run_scenario, service
 from tests.simulation.simulated_cluster import CANCEL_S, LABELS, LEASE_S
@@ -92,7 +92,7 @@
         await trio.sleep(away_s)
         simulation.start(other)
         workers_reach_only(simulation, {"the old leader": old, "the one that died": other, "the third": third}[reached])
-        await trio.sleep_until(told + CANCEL_S - LEASE_S - C.RENEW_MARGIN_S - 1.5)
+        await trio.sleep_until(told + CANCEL_S - LEASE_S - constants.RENEW_MARGIN_S - 1.5)
         assert len(simulation.running("run-s")) == 2, "as long as it is safe, leases are renewed"
         await trio.sleep_until(told + 2 * CANCEL_S)
         assert simulation.running("run-c") == []
@@ -232,7 +232,7 @@
 
 def test_more_cancellations_than_one_answer_may_name(monkeypatch: pytest.MonkeyPatch) -> None:
     """The list is left out then, not cut: no answer counts as one that names all."""
-    monkeypatch.setattr(C, "CANCELLED_NAMED", 3)
+    monkeypatch.setattr(constants, "CANCELLED_NAMED", 3)
 
     async def scenario(simulation: SimulatedCluster) -> None:
         names = [f"run-c{i}" for i in range(5)]
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -7,9 +7,9 @@
 import trio
 import trio.testing
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.fleet import Catalog, MachineType
-from sorrelsill.http import Client, MaySend, NoAnswer, always
+from sorrelsill.http import Client, MaySend, NoAnswerError, always
 from sorrelsill.jobs import JobSpec, TaskSet, parse_spec
 from sorrelsill.placement import Placer
 from sorrelsill.settings import Objective, Team
@@ -36,7 +36,7 @@
         self.names = [f"m-{n:06d}" for n in range(machines)]
         self.sequence_number = dict.fromkeys(self.names, 0)
         self.tasks: dict[str, dict[tuple[str, int], str]] = {n: {} for n in self.names}
-        self.placer = Placer(TEAMS, [Objective("finished", "w", 60.0)], random.Random(1), C.SAMPLE, True)
+        self.placer = Placer(TEAMS, [Objective("finished", "w", 60.0)], random.Random(1), constants.SAMPLE, True)
         if roster:
             entries = [(n, {"f": "std", "a": self.addr(n), "z": self.zone(n), "s": self.spot(n)}) for n in self.names]
             self.cluster.expect_machines(entries)
@@ -126,7 +126,7 @@
     while batch := fleet.cluster.expire_leases(fleet.now):
         lost += len(batch)
         most = max(most, sum(len(fleet.tasks[h.name]) for h in batch))
-    assert lost == 400 and most <= C.EXPIRE_TASKS + 16
+    assert lost == 400 and most <= constants.EXPIRE_TASKS + 16
     assert sum(j.waiting for j in fleet.cluster.jobs.values()) == lost_tasks
     assert not any(fleet.cluster.machines[n].attempts or n in fleet.cluster.ready for n in silent)
 
@@ -199,7 +199,7 @@
     ) -> tuple[int, bytes]:
         self.asked.append(trio.current_time())
         await trio.sleep(timeout)
-        raise NoAnswer("hangs")
+        raise NoAnswerError("hangs")
 
 
 def test_silence_that_lasts_costs_ever_less_and_greetings_leave_room_for_starts() -> None:
@@ -217,13 +217,13 @@
             for _ in range(600):
                 for name, addr in fleet.cluster.unconfirmed_addresses.items():
                     pusher.probe(fleet.cluster, name, addr, nursery)
-                assert len(pusher._busy) <= C.PROBES_AT_ONCE < C.PUSH_AT_ONCE
+                assert len(pusher._busy) <= constants.PROBES_AT_ONCE < constants.PUSH_AT_ONCE
                 await trio.sleep(0.1)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
     early, late = (sum(1 for t in asked if a <= t < a + 15) for a in (0, 45))
-    assert early >= 100 and late <= C.PROBES_AT_ONCE * 15 / C.PUSH_TIMEOUT_S
+    assert early >= 100 and late <= constants.PROBES_AT_ONCE * 15 / constants.PUSH_TIMEOUT_S
     assert len(asked) <= 300 * 5
 
 
--- a/tests/scenarios/test_groups.py
+++ b/tests/scenarios/test_groups.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.settings import Team
 from tests.simulation import SimulatedCluster, job, run_scenario
 
@@ -21,7 +21,7 @@
 
 async def runs(simulation: SimulatedCluster, job_id: str, limit: float = 60.0) -> list[str]:
     """Until all tasks run, as the workers tell it; the machines they are on."""
-    shards = simulation.specs[job_id]["shards"]
+    shards: int = simulation.specs[job_id]["shards"]
 
     def whole() -> bool:
         tasks = [t for w in simulation.workers.values() for (s, _), t in w.tasks.items() if s.startswith(job_id + "/")]
@@ -332,7 +332,7 @@
         await simulation.submit(group("run-g"))
         await trio.sleep(30)
         leader = simulation.nodes[await simulation.until_leader()]
-        assert leader.cluster is not None and leader.cluster.next_attempt_number() & ((1 << C.TRY_BITS) - 1) < 5
+        assert leader.cluster is not None and leader.cluster.next_attempt_number() & ((1 << constants.TRY_BITS) - 1) < 5
 
     run_scenario(scenario)
 
@@ -352,7 +352,7 @@
         machine.synced = machine.reachable = machine.rostered = True
         cluster.reindex(machine)
     aims = [Objective("wait", "ceremony", 8.0), Objective("deadline", "w", times=1.0)]
-    placer = Placer([Team("red")], aims, random.Random(1), C.SAMPLE)
+    placer = Placer([Team("red")], aims, random.Random(1), constants.SAMPLE)
     first = cluster.add_job(parse_spec(group("run-g", workload="ceremony", shards=4)), TaskSet(4), 2, False, 0.0, [])
     placer.round(cluster, 0.0, lambda: 0.0, 1.0)
     assert len(first.bound) == 4 and len({a.machine.zone for a in first.bound.values()}) == 1
@@ -368,5 +368,5 @@
     late = cluster.add_job(parse_spec(job("run-b", shards=4)), TaskSet(4), 5, False, 3.0, [])
     placer.round(cluster, 4.0, lambda: 0.0, 1.0)
     assert not late.bound
-    placer.round(cluster, 5.0 + C.AGED_S, lambda: 0.0, 1.0)
+    placer.round(cluster, 5.0 + constants.AGED_S, lambda: 0.0, 1.0)
     assert late.bound, "what waited too long may take it"
--- a/tests/scenarios/test_limits.py
+++ b/tests/scenarios/test_limits.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from sorrelsill import constants as C
+from sorrelsill import constants
 from sorrelsill.http import Request
 from sorrelsill.jobs import TaskSet, json_size
 from sorrelsill.jobs.roster import next_write
@@ -110,7 +110,7 @@
             if index in finished:
                 task.done.add(index)
                 simulation.finished.add(f"run-big/{index}")
-                task.dirty_parts.add(index // C.PART_SHARDS)
+                task.dirty_parts.add(index // constants.PART_SHARDS)
         leader.cluster.dirty.add("run-big")
         await simulation.until(lambda: simulation.store.kv["s/j/run-big"][0]["n"] > 7000, 30)
         assert max(sizes(simulation, "s/j/")) > SMALL, "written while longer values were allowed"
@@ -126,7 +126,7 @@
             extra = [i for i in range(shards) if i not in have and dice.random() < 0.03]
             for index in extra:
                 task.done.add(index)
-                task.dirty_parts.add(index // C.PART_SHARDS)
+                task.dirty_parts.add(index // constants.PART_SHARDS)
             node.cluster.dirty.add("run-big")
             await trio.sleep(dice.choice((0.3, 0.5, 8.0)))
             parts = [
@@ -136,7 +136,9 @@
             stored.merge(simulation.store.kv["s/j/run-big"][0]["d"], 0)
             for key, text in parts:
                 number = int(key.rpartition("/")[2])
-                stored.merge(text, number * (C.CHUNK_SHARDS if key.startswith("s/d/") else C.PART_SHARDS))
+                stored.merge(
+                    text, number * (constants.CHUNK_SHARDS if key.startswith("s/d/") else constants.PART_SHARDS)
+                )
             known = {i for i in range(shards) if i in stored}
             simulation.kill(label)
             await trio.sleep(0.2)
@@ -169,7 +171,7 @@
         for index in range(shards):
             if index in done:
                 task.done.add(index)
-                task.dirty_parts.add(index // C.PART_SHARDS)
+                task.dirty_parts.add(index // constants.PART_SHARDS)
         leader.cluster.dirty.add("run-big")
         await simulation.until(lambda: not task.dirty_parts, 40)
         simulation.kill(await simulation.until_leader())
@@ -260,7 +262,7 @@
         gone = {n for n in mine if dice.random() < 0.1}
         add = {f"{base}-new-{n}": entry(n) for n in range(4)}
         left, steps = dict(add), 0
-        while (write := next_write(base, group, left, gone, int(SMALL * C.VALUE_SHARE))) is not None:
+        while (write := next_write(base, group, left, gone, int(SMALL * constants.VALUE_SHARE))) is not None:
             assert json_size(write.value) <= SMALL
             group[write.key] = write.value
             left = {n: e for n, e in left.items() if n not in write.added}
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
+import contextlib
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
 import trio
 
-from sorrelsill.http import Client, MaySend, NoAnswer, NotSent, Reply, Request, always
+from sorrelsill.http import Client, MaySend, NoAnswerError, NotSentError, Reply, Request, always
 
 Handler = Callable[[str, Request], Awaitable[Reply]]
 
@@ -71,10 +72,8 @@
         reply = await handler(item.src, item.request)
         if self.drop_answers(item.src, item.dst, item.request) or self.is_cut(item.dst, item.src):
             return
-        try:
+        with contextlib.suppress(trio.BrokenResourceError, trio.WouldBlock):
             item.answer.send_nowait(reply)
-        except (trio.BrokenResourceError, trio.WouldBlock):
-            pass
 
     async def _deliver_late(self, item: _Held, delay: float) -> None:
         await trio.sleep(delay)
@@ -91,7 +90,7 @@
     async def send(self, src: str, dst: str, request: Request, timeout: float, may_send: MaySend = always) -> Reply:
         if dst in self.down or dst not in self.handlers or (src, dst) in self.refused:
             await trio.sleep(self.latency)
-            raise NotSent(f"{dst} refuses")
+            raise NotSentError(f"{dst} refuses")
         sender, receiver = trio.open_memory_channel[Reply](1)
         item = _Held(src, dst, request, sender)
         with trio.move_on_after(timeout):
@@ -99,7 +98,7 @@
             self.on_connected(src, dst, request)
             await trio.lowlevel.checkpoint()
             if not may_send():
-                raise NotSent(f"{src} is not entitled to send to {dst} any more")
+                raise NotSentError(f"{src} is not entitled to send to {dst} any more")
             self.sent(src, dst, request)
             self.copy(src, dst, request)
             delay = self.late(src, dst, request)
@@ -112,9 +111,9 @@
             try:
                 return await receiver.receive()
             except trio.EndOfChannel:
-                raise NoAnswer(f"{dst} closed") from None
+                raise NoAnswerError(f"{dst} closed") from None
         receiver.close()
-        raise NoAnswer(f"{dst} does not answer")
+        raise NoAnswerError(f"{dst} does not answer")
 
 
 class _FakeClient(Client):
--- a/tests/simulation/production.py
+++ b/tests/simulation/production.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from sorrelsill.http import NoAnswer, NotSent, Request
+from sorrelsill.http import NoAnswerError, NotSentError, Request
 from tests.simulation.network import FakeNet
 
 _ROOT = Path(__file__).resolve().parents[2]
@@ -80,9 +80,9 @@
             path, _, query = target.partition("?")
             try:
                 reply = await net.send(label, self.addr, Request(method, path, query, body), timeout)
-            except NotSent as error:
+            except NotSentError as error:
                 raise http.NotSent(str(error)) from None
-            except NoAnswer as error:
+            except NoAnswerError as error:
                 raise http.NoAnswer(str(error)) from None
             return reply.status, reply.body
 
--- a/tests/simulation/simulated_cluster.py
+++ b/tests/simulation/simulated_cluster.py
@@ -11,7 +11,7 @@
 import trio.testing
 
 from sorrelsill.controller import Controller
-from sorrelsill.http import NoAnswer, NotSent, Reply, Request
+from sorrelsill.http import NoAnswerError, NotSentError, Reply, Request
 from sorrelsill.settings import (
     CloudLimits,
     Facts,
@@ -377,7 +377,7 @@
         raw = body if isinstance(body, bytes) else _encode(body) if body is not None else b""
         try:
             reply = await self.net.send("user", label, Request(method, path, "", raw), 5.0)
-        except (NotSent, NoAnswer):
+        except (NotSentError, NoAnswerError):
             return 0, {}
         answer = _decode(reply.body) if reply.body else {}
         self._check_answer(path, reply.status, answer)
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -8,7 +8,7 @@
 import msgspec
 import trio
 
-from sorrelsill.http import Client, NoAnswer, NotSent, Reply, Request
+from sorrelsill.http import Client, NoAnswerError, NotSentError, Reply, Request
 from tests.simulation.gangs import Gangs
 
 _encode = msgspec.msgpack.encode
@@ -191,7 +191,7 @@
     async def _report(self, sent: float, session: int) -> None:
         try:
             status, raw = await self._clients[self._at].request("POST", "/hello", _encode(self.report()), 4.0)
-        except (NotSent, NoAnswer):
+        except (NotSentError, NoAnswerError):
             await self._next()
             return
         if self.dead or self.hung:
