--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -18,11 +18,12 @@
 from sorrelsill.controller.report_routes import ReportRoutes, is_cancelled
 from sorrelsill.controller.user_routes import UserRoutes
 from sorrelsill.events import log_event
-from sorrelsill.fleet import Catalog, Cloud, FleetManager, parse_catalog
+from sorrelsill.fleet import Cloud, FleetManager, parse_catalog
 from sorrelsill.http import Client, Reply, Request
 from sorrelsill.jobs import Admission, Cancellations, RecordWriter, json_size
 from sorrelsill.leadership import Elector, Watchdog
 from sorrelsill.membership import PRESENCE_PREFIX, MembershipSettings, make_membership
+from sorrelsill.model import Catalog
 from sorrelsill.peers import DegradedMode
 from sorrelsill.placement import Placer
 from sorrelsill.settings import Operator, Settings, Timings
--- a/sorrelsill/controller/test_followed_jobs.py
+++ b/sorrelsill/controller/test_followed_jobs.py
@@ -7,8 +7,8 @@
 import trio.testing
 
 from sorrelsill.controller.followed_jobs import FollowedJobs
-from sorrelsill.fleet import Catalog, MachineType
 from sorrelsill.jobs import Cancellations, new_record
+from sorrelsill.model import Catalog, MachineType
 from sorrelsill.settings import StateLimits
 from sorrelsill.store import Store, View, job_key
 from sorrelsill.workers import ClusterState
--- a/sorrelsill/fleet/__init__.py
+++ b/sorrelsill/fleet/__init__.py
@@ -1,17 +1,15 @@
 """The fleet: machine types, rentals and returns."""
 
 from sorrelsill.fleet.boot_times import BootTimes
-from sorrelsill.fleet.catalog import Catalog, MachineType, parse_catalog
+from sorrelsill.fleet.catalog import parse_catalog
 from sorrelsill.fleet.cloud import Cloud
 from sorrelsill.fleet.manager import FleetManager
 from sorrelsill.fleet.rentals import Need, Offer, Pending, counted_on, given_up, lead_time_s, plan, time_to_rent
 
 __all__ = [
     "BootTimes",
-    "Catalog",
     "Cloud",
     "FleetManager",
-    "MachineType",
     "Need",
     "Offer",
     "Pending",
--- a/sorrelsill/fleet/boot_times.py
+++ b/sorrelsill/fleet/boot_times.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 from sorrelsill import constants
-from sorrelsill.fleet.catalog import Catalog
+from sorrelsill.model import Catalog
 
 
 class BootTimes:
--- a/sorrelsill/fleet/cloud.py
+++ b/sorrelsill/fleet/cloud.py
@@ -10,7 +10,7 @@
 from sorrelsill import constants
 from sorrelsill.http import Client, NoAnswerError, NotSentError, always
 from sorrelsill.settings import CloudLimits
-from sorrelsill.store.budget import Bucket
+from sorrelsill.token_bucket import TokenBucket
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder().decode
@@ -30,7 +30,7 @@
 
     def __init__(self, client: Client, limits: CloudLimits) -> None:
         self._client = client
-        self.bucket = Bucket(limits.rps * constants.CLOUD_SHARE, max(1.0, limits.rps))
+        self.bucket = TokenBucket(limits.rps * constants.CLOUD_SHARE, max(1.0, limits.rps))
 
     async def call(
         self, method: str, target: str, body: Any = None, may_send: Callable[[], bool] = always
--- a/sorrelsill/fleet/consolidate.py
+++ b/sorrelsill/fleet/consolidate.py
@@ -9,7 +9,7 @@
 from sorrelsill.fleet.spare_room import tasks_that_fit
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
+    from sorrelsill.model import JobSpec
     from sorrelsill.workers import Job, Machine
 
 
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -11,9 +11,8 @@
 from sorrelsill.fleet.spare_room import SpareRoom, tasks_that_could_start
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
-    from sorrelsill.placement import Unplaced
-    from sorrelsill.workers import ClusterState, Machine
+    from sorrelsill.model import JobSpec
+    from sorrelsill.workers import ClusterState, Machine, UnschedulableDemand
 
 
 class Demand:
@@ -22,7 +21,7 @@
     def __init__(
         self,
         cluster: ClusterState,
-        unplaced: Callable[[], list[Unplaced]],
+        unplaced: Callable[[], list[UnschedulableDemand]],
         counted_on: Callable[[], list[Pending]],
         hurried: bool,
         prompt: set[str],
@@ -126,14 +125,14 @@
             if have < spec.zone_limit
         ]
 
-    def _can_wait(self, item: Unplaced, now: float) -> bool:
+    def _can_wait(self, item: UnschedulableDemand, now: float) -> bool:
         """Whether a task started on a machine that is rented later can still be in time."""
         spec = item.job.spec
         if spec.due_s is None:
             return False
         return time_to_rent(spec, self._cluster.catalog, item.job.submitted + spec.due_s - now)
 
-    def _enough(self, item: Unplaced, now: float) -> int:
+    def _enough(self, item: UnschedulableDemand, now: float) -> int:
         """How many more tasks at once meet the deadline: machines beyond that cost without use."""
         job, spec = item.job, item.job.spec
         assert spec.due_s is not None
@@ -147,7 +146,7 @@
 class RoomToKeep:
     """The room that returns must leave: for gangs that wait, for one more gang, for one more service."""
 
-    def __init__(self, demand: Demand, unplaced: list[Unplaced]) -> None:
+    def __init__(self, demand: Demand, unplaced: list[UnschedulableDemand]) -> None:
         self._demand = demand
         self._spare = demand.spare_spec()
         # A gang that waits needs several machines at once. Guards against each machine rented for it going back as
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -12,16 +12,16 @@
 
 from sorrelsill import constants
 from sorrelsill.fleet.boot_times import BootTimes
-from sorrelsill.fleet.catalog import Catalog, parse_catalog
+from sorrelsill.fleet.catalog import parse_catalog
 from sorrelsill.fleet.cloud import Cloud, CloudError
 from sorrelsill.fleet.consolidate import machines_to_drain
 from sorrelsill.fleet.demand import Demand, RoomToKeep
 from sorrelsill.fleet.machine_list import Listing, MachineListReader
 from sorrelsill.fleet.rentals import Offer, Pending, counted_on, given_up, plan
+from sorrelsill.model import Catalog
 
 if TYPE_CHECKING:
-    from sorrelsill.placement import Unplaced
-    from sorrelsill.workers import ClusterState, Machine
+    from sorrelsill.workers import ClusterState, Machine, UnschedulableDemand
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
         cloud: Cloud,
         cluster: ClusterState,
         valid: Callable[[], bool],
-        unplaced: Callable[[], list[Unplaced]],
+        unplaced: Callable[[], list[UnschedulableDemand]],
         hurried: bool,
         lag_s: float,
         prompt: set[str],
--- a/sorrelsill/fleet/rentals.py
+++ b/sorrelsill/fleet/rentals.py
@@ -8,10 +8,10 @@
 
 from sorrelsill import constants
 from sorrelsill.fleet.boot_times import BootTimes
-from sorrelsill.fleet.catalog import Catalog
+from sorrelsill.model import Catalog
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
+    from sorrelsill.model import JobSpec
 
 Offer = tuple[str, str, bool]  # machine type, zone, spot
 
--- a/sorrelsill/fleet/spare_room.py
+++ b/sorrelsill/fleet/spare_room.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
+    from sorrelsill.model import JobSpec
     from sorrelsill.workers import Machine, MachineIndex
 
 _SMALLEST_AMOUNT = 0.1  # CPUs or GB; tasks that ask for less count as this much
--- a/sorrelsill/fleet/test_boot_times.py
+++ b/sorrelsill/fleet/test_boot_times.py
@@ -1,7 +1,8 @@
 """When a machine on its way is late, replaced and given up."""
 
 from sorrelsill import constants
-from sorrelsill.fleet import BootTimes, Catalog, MachineType, Pending, counted_on, given_up
+from sorrelsill.fleet import BootTimes, Pending, counted_on, given_up
+from sorrelsill.model import Catalog, MachineType
 
 KIND = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
 CATALOG = Catalog({"c8": KIND})
--- a/sorrelsill/fleet/test_plan.py
+++ b/sorrelsill/fleet/test_plan.py
@@ -2,11 +2,11 @@
 
 import random
 
-from sorrelsill.fleet import Catalog, MachineType
 from sorrelsill.fleet.consolidate import machines_to_drain
 from sorrelsill.fleet.rentals import Need, plan
 from sorrelsill.fleet.spare_room import SpareRoom, tasks_that_could_start
-from sorrelsill.jobs import TaskSet, parse_spec
+from sorrelsill.jobs import parse_spec
+from sorrelsill.model import Catalog, MachineType, TaskSet
 from sorrelsill.workers import ClusterState, Machine
 from tests.simulation import job
 
--- a/sorrelsill/jobs/__init__.py
+++ b/sorrelsill/jobs/__init__.py
@@ -2,10 +2,9 @@
 
 from sorrelsill.jobs.admission import Admission, BusyError
 from sorrelsill.jobs.cancellations import Cancellations
-from sorrelsill.jobs.messages import GANG, RANKS, SWEEP, InvalidJobError, JobSpec, parse_spec, valid_job_id
+from sorrelsill.jobs.messages import RANKS, InvalidJobError, parse_spec, valid_job_id
 from sorrelsill.jobs.record_writer import RecordWriter
 from sorrelsill.jobs.records import (
-    TaskSet,
     chunk_value,
     final_record,
     impossible,
@@ -14,20 +13,14 @@
     parse_record,
     record_value,
 )
-from sorrelsill.jobs.roster import RosterEntry
 
 __all__ = [
-    "GANG",
     "RANKS",
-    "SWEEP",
     "Admission",
     "InvalidJobError",
     "BusyError",
     "Cancellations",
     "RecordWriter",
-    "RosterEntry",
-    "TaskSet",
-    "JobSpec",
     "chunk_value",
     "final_record",
     "impossible",
--- a/sorrelsill/jobs/admission.py
+++ b/sorrelsill/jobs/admission.py
@@ -14,9 +14,9 @@
 import trio
 
 from sorrelsill import constants
-from sorrelsill.fleet import Catalog
-from sorrelsill.jobs.messages import InvalidJobError, JobSpec, parse_spec, valid_job_id
+from sorrelsill.jobs.messages import InvalidJobError, parse_spec, valid_job_id
 from sorrelsill.jobs.records import final_record, impossible, json_size, new_record, parse_record
+from sorrelsill.model import Catalog, JobSpec
 from sorrelsill.settings import Team
 from sorrelsill.store import (
     AmbiguousError,
--- a/sorrelsill/jobs/messages.py
+++ b/sorrelsill/jobs/messages.py
@@ -1,15 +1,14 @@
-"""The user's job as it comes over the wire, and the one form the rest of the code uses."""
+"""The user's job as it comes over the wire."""
 
 from __future__ import annotations
 
 import math
 import re
-from dataclasses import dataclass
 from typing import Any
 
 from sorrelsill import constants
+from sorrelsill.model import GANG, STANDING, SWEEP, JobSpec
 
-SWEEP, STANDING, GANG = "sweep", "standing", "group"
 RANKS = {"prod": 0, "high": 1, "standard": 2, "best_effort": 3}
 
 _UID = re.compile(r"run-[A-Za-z0-9_.-]{1,120}\Z")
@@ -20,55 +19,6 @@
     """The field and what is wrong with it."""
 
 
-@dataclass(slots=True, frozen=True)
-class JobSpec:
-    """A job's description, immutable for its whole life."""
-
-    job_id: str
-    workload: str
-    team: str
-    shape: str
-    rank: int
-    shards: int
-    cpus: float
-    gpus: float
-    memory: float
-    machine_types: frozenset[str] | None
-    zone: str | None
-    one_zone: bool
-    scatter: bool
-    spot: bool
-    image: str
-    image_gb: float
-    expected_s: float
-    snapshot_s: float
-    snapshot_cost_s: float
-    due_s: float | None
-    raw: dict[str, Any]
-
-    @property
-    def endless(self) -> bool:
-        """Whether its tasks run until the job is cancelled."""
-        return self.shape == STANDING
-
-    @property
-    def whole(self) -> bool:
-        """Its tasks run at the same time or not at all, and complete together."""
-        return self.shape == GANG
-
-    def may_add_in(self, zone: str, placed: dict[str, int]) -> bool:
-        """Whether one more task may be in the zone, given how many are in each: the only place that knows `oneZone` and
-        `scatter` for single tasks."""
-        if self.one_zone and any(count > 0 and other != zone for other, count in placed.items()):
-            return False
-        return not self.scatter or placed.get(zone, 0) < self.zone_limit
-
-    @property
-    def zone_limit(self) -> int:
-        """Most tasks of the job that may be in one zone at a time."""
-        return (self.shards + 1) // 2 if self.scatter else self.shards
-
-
 def valid_job_id(job_id: object) -> bool:
     """Whether this is a name that a job may have."""
     return isinstance(job_id, str) and _UID.match(job_id) is not None
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -16,7 +16,8 @@
 
 from sorrelsill import constants
 from sorrelsill.jobs.records import chunk_value, final_record, json_size, record_value, with_notes
-from sorrelsill.jobs.roster import RosterEntry, RosterWrite, next_write
+from sorrelsill.jobs.roster import RosterWrite, next_write
+from sorrelsill.model import RegistryEntry
 from sorrelsill.store import (
     LEADER,
     AmbiguousError,
@@ -168,7 +169,9 @@
         for base, one in sorted(bases.items()):
             machines = add.get(base, {})
             parts = self._view.roster_parts(one)
-            entries = {n: RosterEntry(h.machine_type, h.addr, h.zone, h.spot).to_stored() for n, h in machines.items()}
+            entries = {
+                n: RegistryEntry(h.machine_type, h.addr, h.zone, h.spot).to_stored() for n, h in machines.items()
+            }
             values = {key: value for key, (value, _) in parts.items()}
             # Further keys only once the store refuses longer values: a leader of the former version that finds a
             # machine in two of them never takes it for heard.
@@ -352,6 +355,10 @@
             self._view.apply(key, None, rev, False)
 
 
+def _registry_entry(machine: Machine) -> RegistryEntry:
+    return RegistryEntry(machine.machine_type, machine.addr, machine.zone, machine.spot)
+
+
 def _clear(results: list[Attempt]) -> None:
     for attempt in results:
         attempt.clearable = True
--- a/sorrelsill/jobs/roster.py
+++ b/sorrelsill/jobs/roster.py
@@ -15,33 +15,6 @@
 Entries = dict[str, Any]
 
 
-@dataclass(frozen=True, slots=True)
-class RosterEntry:
-    """A machine that may hold work, as stored. Of a damaged entry, or one of an earlier version, what is missing may be
-    anything."""
-
-    machine_type: str = ""
-    addr: str = ""
-    zone: str | None = None
-    spot: bool = False
-
-    def to_stored(self) -> dict[str, Any]:
-        """Under the names of the store."""
-        return {"f": self.machine_type, "a": self.addr, "z": self.zone, "s": self.spot}
-
-    @classmethod
-    def from_stored(cls, value: Any) -> RosterEntry:
-        """Whatever of it can be read."""
-        known = value if isinstance(value, dict) else {}
-        machine_type, zone = known.get("f"), known.get("z")
-        return cls(
-            machine_type=machine_type if isinstance(machine_type, str) else "",
-            addr=str(known.get("a", "")),
-            zone=zone if isinstance(zone, str) else None,
-            spot=known.get("s") is True,
-        )
-
-
 @dataclass(slots=True)
 class RosterWrite:
     """One value to put, and what its commit means."""
--- a/sorrelsill/jobs/test_records.py
+++ b/sorrelsill/model/test_task_set.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sorrelsill.jobs import TaskSet
+from sorrelsill.model import TaskSet
 
 
 @pytest.mark.parametrize("share", [0.0, 0.01, 0.5, 0.99, 1.0])
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -9,7 +9,7 @@
 from sorrelsill import constants
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
+    from sorrelsill.model import JobSpec
     from sorrelsill.placement.aims import Aims
     from sorrelsill.placement.group_room import GroupRoom
     from sorrelsill.placement.reservations import Reservations
--- a/sorrelsill/placement/engine.py
+++ b/sorrelsill/placement/engine.py
@@ -21,10 +21,10 @@
 from sorrelsill.placement.order import aged_out
 from sorrelsill.placement.preemption import Preemption
 from sorrelsill.placement.reservations import Reservations
-from sorrelsill.placement.round import Round, Unplaced, kind_of_room
+from sorrelsill.placement.round import Round, kind_of_room
 from sorrelsill.placement.team_limits import TeamLimits
 from sorrelsill.settings import Objective, Team
-from sorrelsill.workers import ClusterState, Job, Machine
+from sorrelsill.workers import ClusterState, Job, Machine, UnschedulableDemand
 
 log = logging.getLogger(__name__)
 
@@ -59,7 +59,7 @@
         self._cluster: ClusterState | None = None  # the one that the queue follows
         self._left: deque[str] = deque()  # jobs that the last round did not get to
         self._warm_until: dict[str, float] = {}  # job -> until when room on machines with its image is awaited
-        self.unplaced: dict[str, Unplaced] = {}
+        self.unplaced: dict[str, UnschedulableDemand] = {}
 
     def reset(self) -> None:
         """A new term begins."""
@@ -158,7 +158,7 @@
         if job.failures.suspect(len(job.bound)):
             return  # it fails wherever it is tried: nothing is rented or stopped for it
         count = max(0, job.waiting - self._reservations.claimed(job.spec.job_id, placing.now))
-        self.unplaced[job.spec.job_id] = Unplaced(job, count, limited)
+        self.unplaced[job.spec.job_id] = UnschedulableDemand(job, count, limited)
         if limited:
             return
         job.note("waiting: no room on the machines it may use")
@@ -220,14 +220,14 @@
         if job.bound or cluster.attempts.alive(spec.job_id):
             return  # what is left of the last start is ending; its places and its zone are not free before
         if not self._teams.allows(cluster, spec, job.waiting):
-            self.unplaced[spec.job_id] = Unplaced(job, job.waiting, True)
+            self.unplaced[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
             job.note(f"waiting: the limit of {spec.team} is reached")
             return
         kind = ("group", kind_of_room(spec), spec.shards)
         reservations = self._reservations
         kept = reservations.has_reservation(spec.job_id) or reservations.fills_up_for(spec.job_id)
         if kind in placing.full and not kept:
-            self.unplaced[spec.job_id] = Unplaced(job, job.waiting, False, spec.zone)
+            self.unplaced[spec.job_id] = UnschedulableDemand(job, job.waiting, False, spec.zone)
             return
         room = [m for m in cluster.index.with_room(spec) if self._chooser.may_take(job, m, now)]
         zones = [zone for zone in cluster.catalog.zones if spec.zone in (None, zone)]
@@ -268,7 +268,9 @@
             return
         best = seatings[0] if seatings else None
         count = best.short if best is not None else job.waiting
-        self.unplaced[spec.job_id] = Unplaced(job, count, False, best.zone if best is not None else spec.zone)
+        self.unplaced[spec.job_id] = UnschedulableDemand(
+            job, count, False, best.zone if best is not None else spec.zone
+        )
 
     def _fill_up_for_group(self, placing: Round, job: Job, seatings: list[groups.Seating]) -> None:
         """Keep machines filling up for a group, or small tasks would take each gap for ever: for one that should start
--- a/sorrelsill/placement/group_room.py
+++ b/sorrelsill/placement/group_room.py
@@ -9,7 +9,7 @@
 from sorrelsill.placement.order import aged_out
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
+    from sorrelsill.model import JobSpec
     from sorrelsill.placement.aims import Aims
     from sorrelsill.workers import ClusterState, Job, Machine
 
--- a/sorrelsill/placement/groups.py
+++ b/sorrelsill/placement/groups.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from sorrelsill import constants
-from sorrelsill.jobs import JobSpec
+from sorrelsill.model import JobSpec
 from sorrelsill.workers import Attempt, Machine
 
 # What would have to be stopped on a machine to let so many more tasks in than fit, and its cost.
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -14,7 +14,7 @@
 from sorrelsill.workers import Attempt, ClusterState, Job, Machine, group_loss
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
+    from sorrelsill.model import JobSpec
     from sorrelsill.placement.aims import Aims
     from sorrelsill.placement.guests import Guests
     from sorrelsill.placement.reservations import Reservations
--- a/sorrelsill/placement/round.py
+++ b/sorrelsill/placement/round.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass, field
 
-from sorrelsill.jobs import JobSpec
-from sorrelsill.workers import ClusterState, Job, MachineSet
+from sorrelsill.model import JobSpec
+from sorrelsill.workers import ClusterState, MachineSet
 
 
 @dataclass(slots=True)
@@ -20,17 +20,6 @@
     full: set[Hashable] = field(default_factory=set)  # kinds of work for which no machine has room
 
 
-@dataclass(slots=True)
-class Unplaced:
-    """A job with tasks that found no room; `limited` means that its team's limit stands in the way, `zone` is where
-    a group that has to be in one zone lacks least."""
-
-    job: Job
-    count: int
-    limited: bool = False
-    zone: str | None = None
-
-
 def kind_of_room(spec: JobSpec) -> Hashable:
     """Jobs of one kind fit on the same machines."""
     return spec.machine_types, spec.zone, spec.cpus, spec.gpus, spec.memory, spec.spot
--- a/sorrelsill/placement/team_limits.py
+++ b/sorrelsill/placement/team_limits.py
@@ -6,7 +6,7 @@
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.jobs import JobSpec
+from sorrelsill.model import JobSpec
 from sorrelsill.settings import Team
 from sorrelsill.workers import ClusterState, TeamUse
 
--- a/sorrelsill/placement/test_engine.py
+++ b/sorrelsill/placement/test_engine.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from sorrelsill.fleet import Catalog, MachineType
-from sorrelsill.jobs import TaskSet, parse_spec
+from sorrelsill.jobs import parse_spec
+from sorrelsill.model import Catalog, MachineType, TaskSet
 from sorrelsill.placement import Placer
 from sorrelsill.settings import Objective, Team
 from sorrelsill.workers import ClusterState, Job, Machine
--- a/sorrelsill/placement/test_job_queue.py
+++ b/sorrelsill/placement/test_job_queue.py
@@ -3,8 +3,8 @@
 import random
 
 from sorrelsill import constants
-from sorrelsill.fleet import Catalog, MachineType
-from sorrelsill.jobs import TaskSet, parse_spec
+from sorrelsill.jobs import parse_spec
+from sorrelsill.model import Catalog, MachineType, TaskSet
 from sorrelsill.placement.aims import Aims
 from sorrelsill.placement.guarantees import Guarantees
 from sorrelsill.placement.job_queue import JobQueue
--- a/sorrelsill/store/client.py
+++ b/sorrelsill/store/client.py
@@ -13,7 +13,7 @@
 from sorrelsill import constants
 from sorrelsill.http import Client, NoAnswerError, NotSentError
 from sorrelsill.settings import StateLimits
-from sorrelsill.store.budget import Bucket
+from sorrelsill.token_bucket import TokenBucket
 
 log = logging.getLogger(__name__)
 
@@ -96,13 +96,13 @@
     def __init__(self, client: Client, limits: StateLimits, nodes: int) -> None:
         self._client = client
         rps = limits.rps * constants.STORE_SHARE / max(1, nodes)
-        self.requests = Bucket(rps, max(2.0, rps / 2))
+        self.requests = TokenBucket(rps, max(2.0, rps / 2))
         coming = limits.coming
         self._write_rate = limits.write_rps * constants.STORE_SHARE
         self._coming_rate = coming.write_rps * constants.STORE_SHARE
         self._leading = False
         self._nodes = max(1, nodes)
-        self.writes = Bucket(1.0, 1.0)
+        self.writes = TokenBucket(1.0, 1.0)
         self.set_leading(False)
         self.last_ok = trio.current_time()  # send time of the last request that was answered properly
         self.failing_since: float | None = None
--- a/sorrelsill/store/budget.py
+++ b/sorrelsill/token_bucket.py
@@ -5,7 +5,7 @@
 import trio
 
 
-class Bucket:
+class TokenBucket:
     """`rate` tokens a second, at most `burst` saved up. Taking may run into debt: pings never wait, but
     what they take is missing to the others, so that all together stay under the rate."""
 
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -11,9 +11,11 @@
 from sorrelsill.workers.messages import InvalidReportError, Report, parse_report, stop_command
 from sorrelsill.workers.push import CallLimits, Pusher
 from sorrelsill.workers.reports import SupersededError
-from sorrelsill.workers.team_usage import Resources, TeamUse
+from sorrelsill.workers.team_usage import TeamUse
+from sorrelsill.workers.unschedulable import UnschedulableDemand
 
 __all__ = [
+    "UnschedulableDemand",
     "Attempt",
     "CallLimits",
     "InvalidReportError",
@@ -25,7 +27,6 @@
     "ClusterState",
     "Pusher",
     "Report",
-    "Resources",
     "SupersededError",
     "TeamUse",
     "group_loss",
--- a/sorrelsill/workers/attempt.py
+++ b/sorrelsill/workers/attempt.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
+    from sorrelsill.model import JobSpec
     from sorrelsill.workers.machine import Machine
 
 
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -16,8 +16,7 @@
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.fleet import Catalog, MachineType
-from sorrelsill.jobs import JobSpec, TaskSet
+from sorrelsill.model import Catalog, JobSpec, MachineType, Resources, TaskSet
 from sorrelsill.timers import Timers
 from sorrelsill.workers import adoption, loss, messages, reports, stopping
 from sorrelsill.workers.attempt import Attempt
@@ -27,7 +26,7 @@
 from sorrelsill.workers.machine import Machine
 from sorrelsill.workers.machine_index import MachineIndex
 from sorrelsill.workers.takeover import TakeoverAccounting
-from sorrelsill.workers.team_usage import BoundUsage, Resources, TeamUse
+from sorrelsill.workers.team_usage import BoundUsage, TeamUse
 from sorrelsill.workers.tombstones import Tombstones
 
 log = logging.getLogger(__name__)
--- a/sorrelsill/workers/ended_jobs.py
+++ b/sorrelsill/workers/ended_jobs.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec, TaskSet
+    from sorrelsill.model import JobSpec, TaskSet
 
 
 class EndedJob:
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -5,7 +5,7 @@
 import heapq
 
 from sorrelsill import constants
-from sorrelsill.jobs import JobSpec, TaskSet
+from sorrelsill.model import JobSpec, TaskSet
 from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.failures import FailureHistory
 
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -10,7 +10,7 @@
 from sorrelsill.workers.attempt import Attempt
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
+    from sorrelsill.model import JobSpec
 
 _T = TypeVar("_T")
 
--- a/sorrelsill/workers/machine_index.py
+++ b/sorrelsill/workers/machine_index.py
@@ -10,7 +10,7 @@
 from sorrelsill.workers.machine_sets import FreeMachines, MachineSet, MachineUnion
 
 if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
+    from sorrelsill.model import JobSpec
     from sorrelsill.workers.machine import Machine
 
 _NO_MACHINES = MachineSet()
--- a/sorrelsill/workers/takeover.py
+++ b/sorrelsill/workers/takeover.py
@@ -9,12 +9,10 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from sorrelsill.fleet import Catalog
-from sorrelsill.jobs import JobSpec, RosterEntry, TaskSet
+from sorrelsill.model import NOTHING, Catalog, JobSpec, RegistryEntry, Resources, TaskSet, resources_of
 from sorrelsill.workers.ended_jobs import EndedJob
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Machine
-from sorrelsill.workers.team_usage import NOTHING, Resources, resources_of
 
 _ANY_SIZE = Resources(float("inf"), float("inf"))
 
@@ -64,7 +62,7 @@
     def expect_machines(self, roster: Iterable[tuple[str, Any]]) -> None:
         """Machines that an earlier leader may have given work: they have to be heard, or time out."""
         for name, value in roster:
-            entry = RosterEntry.from_stored(value)
+            entry = RegistryEntry.from_stored(value)
             # An entry of an earlier version lacks zone and kind: the machine may be any.
             kind = MachineKind(entry.machine_type, entry.zone, entry.spot)
             if name in self.unconfirmed:
--- a/sorrelsill/workers/team_usage.py
+++ b/sorrelsill/workers/team_usage.py
@@ -2,37 +2,9 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
-if TYPE_CHECKING:
-    from sorrelsill.jobs import JobSpec
-
-
-class Resources(NamedTuple):
-    """An amount of CPUs and GPUs."""
-
-    cpus: float = 0.0
-    gpus: float = 0.0
-
-    def plus(self, other: Resources) -> Resources:
-        """The sum of both."""
-        return Resources(self.cpus + other.cpus, self.gpus + other.gpus)
-
-    def at_most(self, other: Resources) -> Resources:
-        """The lesser of both, for CPUs and GPUs each."""
-        return Resources(min(self.cpus, other.cpus), min(self.gpus, other.gpus))
-
-    def at_least(self, other: Resources) -> Resources:
-        """The greater of both, for CPUs and GPUs each."""
-        return Resources(max(self.cpus, other.cpus), max(self.gpus, other.gpus))
-
-
-NOTHING = Resources()
-
-
-def resources_of(spec: JobSpec, tasks: int = 1) -> Resources:
-    """What so many tasks of a job take."""
-    return Resources(spec.cpus * tasks, spec.gpus * tasks)
+from sorrelsill.model import NOTHING, JobSpec, Resources
 
 
 class TeamUse(NamedTuple):
--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -1,7 +1,7 @@
 """Reports in the cluster state: which machines may be given work."""
 
 from sorrelsill import constants
-from sorrelsill.fleet import Catalog, MachineType
+from sorrelsill.model import Catalog, MachineType
 from sorrelsill.workers import ClusterState, Machine, Report
 from sorrelsill.workers.messages import TaskReport
 from tests.simulation import count_calls
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -25,7 +25,8 @@
 from sorrelsill.fleet import Cloud, FleetManager
 from sorrelsill.fleet.machine_list import ListedMachine
 from sorrelsill.http import Client, Reply, Request, Server
-from sorrelsill.jobs import JobSpec, RecordWriter
+from sorrelsill.jobs import RecordWriter
+from sorrelsill.model import JobSpec
 from sorrelsill.settings import CloudLimits, StateLimits, Team
 from sorrelsill.store import Store, View
 from sorrelsill.workers import enforce_gang_completeness, parse_report
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -8,7 +8,7 @@
 
 from sorrelsill import constants
 from sorrelsill.http import Client, MaySend, NoAnswerError, always
-from sorrelsill.jobs import TaskSet
+from sorrelsill.model import TaskSet
 from sorrelsill.workers import CallLimits, Pusher
 from tests.simulation import LOSS_S, OVERDUE_S, VALIDITY_S, LeaderInMemory, array_job, count_calls
 
--- a/tests/scenarios/test_groups.py
+++ b/tests/scenarios/test_groups.py
@@ -339,8 +339,8 @@
 
 def test_room_is_kept_ready_for_one_more_group_where_money_counts_but_not_for_ever() -> None:
     """Found on a measured day: arrays filled every gap, and groups that should start within seconds waited for 20."""
-    from sorrelsill.fleet import Catalog, MachineType
-    from sorrelsill.jobs import TaskSet, parse_spec
+    from sorrelsill.jobs import parse_spec
+    from sorrelsill.model import Catalog, MachineType, TaskSet
     from sorrelsill.placement import Placer
     from sorrelsill.settings import Objective
     from sorrelsill.workers import ClusterState
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -10,7 +10,8 @@
 
 from sorrelsill import constants
 from sorrelsill.http import Client, MaySend, NoAnswerError, always
-from sorrelsill.jobs import RecordWriter, TaskSet
+from sorrelsill.jobs import RecordWriter
+from sorrelsill.model import TaskSet
 from sorrelsill.settings import StateLimits, Team
 from sorrelsill.store import Store, View
 from sorrelsill.workers import CallLimits, Pusher
--- a/tests/scenarios/test_limits.py
+++ b/tests/scenarios/test_limits.py
@@ -7,8 +7,9 @@
 
 from sorrelsill import constants
 from sorrelsill.http import Request
-from sorrelsill.jobs import TaskSet, json_size
+from sorrelsill.jobs import json_size
 from sorrelsill.jobs.roster import next_write
+from sorrelsill.model import TaskSet
 from sorrelsill.settings import NextLimits
 from sorrelsill.store import chunk_key, job_key, part_key, roster_key
 from tests.simulation import SimulatedCluster, job, run_scenario
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -6,7 +6,7 @@
 
 from sorrelsill import constants
 from sorrelsill.http import Request
-from sorrelsill.jobs import TaskSet
+from sorrelsill.model import TaskSet
 from sorrelsill.settings import Team
 from tests.simulation import LeaderInMemory, SimulatedCluster, array_job, job, run_scenario, service
 from tests.simulation.leader_in_memory import TERM
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -9,8 +9,9 @@
 import trio
 
 from sorrelsill.http import Request
-from sorrelsill.jobs import TaskSet, chunk_value, new_record, parse_record, parse_spec, record_value
+from sorrelsill.jobs import chunk_value, new_record, parse_record, parse_spec, record_value
 from sorrelsill.jobs.roster import next_write
+from sorrelsill.model import TaskSet
 from sorrelsill.settings import NextLimits
 from sorrelsill.store import View
 from tests.simulation import SimulatedCluster, job, production, run_scenario, service
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -5,8 +5,8 @@
 import random
 
 from sorrelsill import constants
-from sorrelsill.fleet import Catalog, MachineType
-from sorrelsill.jobs import JobSpec, TaskSet, parse_spec
+from sorrelsill.jobs import parse_spec
+from sorrelsill.model import Catalog, JobSpec, MachineType, TaskSet
 from sorrelsill.placement import Placer
 from sorrelsill.settings import Objective, Team
 from sorrelsill.workers import ClusterState, Report
