--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -13,9 +13,9 @@
 
 from sorrelsill import constants
 from sorrelsill.controller.followed_jobs import FollowedJobs
+from sorrelsill.controller.heartbeat_routes import HeartbeatRoutes, is_cancelled
 from sorrelsill.controller.leading import Leading
 from sorrelsill.controller.operator_state import controller_state, team_state
-from sorrelsill.controller.report_routes import ReportRoutes, is_cancelled
 from sorrelsill.controller.user_routes import UserRoutes
 from sorrelsill.events import log_event
 from sorrelsill.fleet import Cloud, FleetManager, parse_catalog
@@ -101,7 +101,7 @@
         limits = CallLimits.derive(facts.quota.sockets)
         self.pusher = Pusher(make_client, self.elector.valid, self._fresh, limits, self._news)
         self._user_routes = UserRoutes(self.admission, self.view, self._count)
-        self._report_routes = ReportRoutes(
+        self._heartbeat_routes = HeartbeatRoutes(
             self.view,
             self.elector,
             self.degraded_mode,
@@ -224,7 +224,7 @@
             self._wake.set()
 
     def _hears_no_worker(self) -> bool:
-        limit = constants.DEAF_REPORTS * self.settings.facts.workers.report_s + constants.DEAF_EXTRA_S
+        limit = constants.DEAF_REPORTS * self.settings.facts.workers.heartbeat_interval_s + constants.DEAF_EXTRA_S
         return self.cluster is not None and self.cluster.hears_no_worker(trio.current_time(), limit)
 
     async def _other_candidates(self, former: str) -> bool:
@@ -257,7 +257,7 @@
         """Users, workers, health checks and operators."""
         path = request.path
         if path == "/hello":
-            return self._report_routes.answer(request) if request.method == "POST" else Reply(405)
+            return self._heartbeat_routes.answer(request) if request.method == "POST" else Reply(405)
         if path in ("/ready", "/state", "/metrics"):
             return self._for_operators(path) if request.method == "GET" else Reply(405)
         return await self._user_routes.handle(request) or Reply(404)
--- a/sorrelsill/controller/report_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -14,7 +14,14 @@
 from sorrelsill.leadership import Elector
 from sorrelsill.peers import DegradedMode
 from sorrelsill.store import View
-from sorrelsill.workers import ClusterState, InvalidReportError, Report, SupersededError, parse_report, stop_command
+from sorrelsill.workers import (
+    ClusterState,
+    InvalidHeartbeatError,
+    SupersededError,
+    WorkerHeartbeat,
+    parse_heartbeat,
+    stop_command,
+)
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +33,7 @@
     return isinstance(final, dict) and final.get("p") == "cancelled"
 
 
-class ReportRoutes:
+class HeartbeatRoutes:
     """The workers' side of a controller."""
 
     def __init__(
@@ -54,11 +61,11 @@
     def answer(self, request: Request) -> Reply:
         """Answer one report."""
         try:
-            report = parse_report(request.body)
-        except InvalidReportError as error:
+            heartbeat = parse_heartbeat(request.body)
+        except InvalidHeartbeatError as error:
             return Reply(400, _encode({"error": str(error)}))
         self._count("reports")
-        log.debug("report: %s", report)
+        log.debug("report: %s", heartbeat)
         cluster = self._cluster()
         acting = cluster is not None and self._elector.valid()
         if not acting and not self._degraded_mode.active():
@@ -71,7 +78,7 @@
         commands: list[dict[str, Any]] | None = []
         if cluster is not None:
             try:
-                commands = cluster.on_report(report, now, acting, self._fresh())
+                commands = cluster.on_heartbeat(heartbeat, now, acting, self._fresh())
             except SupersededError as error:
                 self._elector.superseded(error.token)
                 return Reply(421, _encode({}))
@@ -80,9 +87,9 @@
             self._news()
         if cluster is None or not acting:
             # Nobody leads and nobody can: the worker's own token; its lease goes on and nothing else does.
-            return Reply(200, _encode({"epoch": report.token, "orders": self._stop_commands(report, now)}))
+            return Reply(200, _encode({"epoch": heartbeat.token, "orders": self._stop_commands(heartbeat, now)}))
         # Only a report that is newer than all before makes the connection the machine's own: not a late copy.
-        return Reply(200, _encode({"epoch": cluster.term, "orders": commands}), owner=report.machine)
+        return Reply(200, _encode({"epoch": cluster.term, "orders": commands}), owner=heartbeat.machine)
 
     def _redirect(self) -> Reply:
         # Guards against a process that stood still: its view may name a leader that has ended since.
@@ -94,13 +101,13 @@
         self._cancellations.followed(self._view.followed_since, self._view.fresh_at)
         return self._cancellations.may_renew(now)
 
-    def _stop_commands(self, report: Report, now: float) -> list[dict[str, Any]]:
+    def _stop_commands(self, heartbeat: WorkerHeartbeat, now: float) -> list[dict[str, Any]]:
         """In degraded mode: tasks of jobs known to be cancelled still have to go. Stopping them is always right,
         whoever leads next, and a worker takes it from any controller that names its token. A view that was read anew
         not long ago lacks what was cancelled before, so what is not live in it is stopped as well."""
         unknown = self._view.fresh_at > float("-inf") and self._cancellations.suspect_unknown(now)
         out = []
-        for item in report.tasks:
+        for item in heartbeat.tasks:
             job_id = item.task_id.rpartition("/")[0]
             over = self._cancellations.known(job_id) or is_cancelled(self._view.final(job_id))
             if item.phase != "exited" and (over or unknown and self._view.job(job_id) is None):
--- a/sorrelsill/fleet/test_plan.py
+++ b/sorrelsill/fleet/test_plan.py
@@ -66,12 +66,13 @@
 
 def test_images_outlive_a_workers_lease() -> None:
     """Seen on a measured day: tasks that came back to machines of a healed zone began at once."""
-    from sorrelsill.workers import Report
+    from sorrelsill.workers import WorkerHeartbeat
 
     cluster = ClusterState(7, 0.0, CATALOG, 11.5, 2.7)
     for sequence_number, session in ((1, 1), (2, 1), (1, 2)):
-        cluster.on_report(
-            Report("m1", session, sequence_number, "c8", "a", "10.0.0.9:9000", False, 7), float(sequence_number)
+        cluster.on_heartbeat(
+            WorkerHeartbeat("m1", session, sequence_number, "c8", "a", "10.0.0.9:9000", False, 7),
+            float(sequence_number),
         )
         if sequence_number == 2:
             cluster.machines["m1"].images["img"] = 0.5
--- a/sorrelsill/membership/detector.py
+++ b/sorrelsill/membership/detector.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from sorrelsill.membership.arrivals import Arrivals
-from sorrelsill.membership.messages import Heartbeat
+from sorrelsill.membership.messages import PeerHeartbeat
 from sorrelsill.membership.settings import MembershipSettings
 from sorrelsill.membership.view import MembershipView, Peer, Status
 
@@ -53,7 +53,7 @@
 
     # --- signs of life ---
 
-    def heard(self, message: Heartbeat, now: float, awake: float, through: str | None = None) -> bool:
+    def heard(self, message: PeerHeartbeat, now: float, awake: float, through: str | None = None) -> bool:
         """Take a heartbeat in. False for a copy, or one that is older than what is known."""
         peer = self.view.peers[message.sender]
         known = (peer.incarnation.process, peer.sequence)
--- a/sorrelsill/membership/messages.py
+++ b/sorrelsill/membership/messages.py
@@ -22,7 +22,7 @@
     refutations: int = 0
 
 
-class Heartbeat(msgspec.Struct, frozen=True, forbid_unknown_fields=False):
+class PeerHeartbeat(msgspec.Struct, frozen=True, forbid_unknown_fields=False):
     """A sign of life of its sender."""
 
     cluster: str  # guards against a controller of another deployment under the same address
@@ -44,10 +44,10 @@
 class ProbeAnswer(msgspec.Struct, frozen=True):
     """What the third one said, if it said anything."""
 
-    heard: Heartbeat | None = None
+    heard: PeerHeartbeat | None = None
 
 
-_M = TypeVar("_M", Heartbeat, ProbeRequest, ProbeAnswer)
+_M = TypeVar("_M", PeerHeartbeat, ProbeRequest, ProbeAnswer)
 
 
 def parse(body: bytes, kind: type[_M]) -> _M:
@@ -56,16 +56,16 @@
         message = msgspec.convert(orjson.loads(body), kind, strict=True)
     except (orjson.JSONDecodeError, msgspec.ValidationError) as error:
         raise MalformedMessageError(str(error)) from None
-    if isinstance(message, Heartbeat) and not _plausible(message):
+    if isinstance(message, PeerHeartbeat) and not _plausible(message):
         raise MalformedMessageError("a number below 0 or a label that is too long")
     return message
 
 
-def _plausible(message: Heartbeat) -> bool:
+def _plausible(message: PeerHeartbeat) -> bool:
     numbers = (message.sequence, message.incarnation.process, message.incarnation.refutations)
     return min(numbers) >= 0 and len(message.sender) <= _LONGEST_LABEL
 
 
-def encode(message: Heartbeat | ProbeRequest | ProbeAnswer) -> bytes:
+def encode(message: PeerHeartbeat | ProbeRequest | ProbeAnswer) -> bytes:
     """As it goes over the wire."""
     return orjson.dumps(msgspec.to_builtins(message))
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -14,9 +14,9 @@
 from sorrelsill.membership.detector import Detector
 from sorrelsill.membership.handover import Handover, HandoverTracker
 from sorrelsill.membership.messages import (
-    Heartbeat,
     Incarnation,
     MalformedMessageError,
+    PeerHeartbeat,
     ProbeAnswer,
     ProbeRequest,
     encode,
@@ -123,14 +123,14 @@
             return Reply(405)
         try:
             if request.path == _HEARTBEAT:
-                return self._answer_heartbeat(parse(request.body, Heartbeat))
+                return self._answer_heartbeat(parse(request.body, PeerHeartbeat))
             if request.path == _PROBE:
                 return await self._answer_probe(parse(request.body, ProbeRequest))
         except MalformedMessageError as error:
             return self._refuse(str(error))
         return Reply(_NOT_FOUND)
 
-    def _answer_heartbeat(self, message: Heartbeat) -> Reply:
+    def _answer_heartbeat(self, message: PeerHeartbeat) -> Reply:
         if not self._knows(message.cluster, message.sender):
             return self._refuse(f"heartbeat of {message.sender!r}, which is no member")
         self._take(message)
@@ -154,18 +154,18 @@
         return Reply(400, b"{}", kind="application/json")
 
     @staticmethod
-    def _reply(message: Heartbeat | ProbeAnswer) -> Reply:
+    def _reply(message: PeerHeartbeat | ProbeAnswer) -> Reply:
         return Reply(200, encode(message), kind="application/json")
 
     # --- what we send ---
 
-    def _own_heartbeat(self) -> Heartbeat:
+    def _own_heartbeat(self) -> PeerHeartbeat:
         self._sequence += 1
         suspects = {p.label: p.incarnation for p in self.view.peers.values() if p.status is Status.SUSPECTED}
         incarnation = Incarnation(self._presence.process, self._refutations)
-        return Heartbeat(self._cluster, self._label, incarnation, self._sequence, suspects, self._leaving)
+        return PeerHeartbeat(self._cluster, self._label, incarnation, self._sequence, suspects, self._leaving)
 
-    def _take(self, message: Heartbeat, through: str | None = None) -> bool:
+    def _take(self, message: PeerHeartbeat, through: str | None = None) -> bool:
         """A sign of life of another controller. We refute what it suspects of this process."""
         suspected = message.suspects.get(self._label)
         if suspected is not None and suspected >= Incarnation(self._presence.process, self._refutations):
@@ -179,7 +179,7 @@
             log.info("%s is alive: %s", message.sender, self.view.peers[message.sender].evidence)
         return taken
 
-    async def _exchange(self, label: str) -> Heartbeat | None:
+    async def _exchange(self, label: str) -> PeerHeartbeat | None:
         """Our heartbeat for the other's; None if it did not answer with one."""
         try:
             status, raw = await self._clients[label].request(
@@ -187,7 +187,7 @@
             )
             if status == _NOT_FOUND:
                 self._detector.former_version(label, trio.current_time())
-            answer = parse(raw, Heartbeat) if status == 200 else None
+            answer = parse(raw, PeerHeartbeat) if status == 200 else None
         except (NotSentError, NoAnswerError, MalformedMessageError) as error:
             log.debug("heartbeat to %s: %s", label, error)
             return None
--- a/sorrelsill/membership/test_detector.py
+++ b/sorrelsill/membership/test_detector.py
@@ -6,7 +6,7 @@
 
 from sorrelsill.membership.arrivals import Arrivals, AwakeClock
 from sorrelsill.membership.detector import Detector, Presence
-from sorrelsill.membership.messages import Heartbeat, Incarnation
+from sorrelsill.membership.messages import Incarnation, PeerHeartbeat
 from sorrelsill.membership.settings import MembershipSettings, load_membership
 from sorrelsill.membership.view import Status
 from sorrelsill.settings import SettingsError
@@ -16,8 +16,8 @@
 HELD = Presence(held=True, fresh=True)
 
 
-def heartbeat(sequence: int, process: int = 7, refutations: int = 0) -> Heartbeat:
-    return Heartbeat("n0,n1", "n1", Incarnation(process, refutations), sequence)
+def heartbeat(sequence: int, process: int = 7, refutations: int = 0) -> PeerHeartbeat:
+    return PeerHeartbeat("n0,n1", "n1", Incarnation(process, refutations), sequence)
 
 
 def silent_detector() -> Detector:
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -59,10 +59,10 @@
     times: float | None = None
 
 
-class Workers(msgspec.Struct, frozen=True):
-    """The workers' timings."""
+class Workers(msgspec.Struct, frozen=True, rename={"heartbeat_interval_s": "report_s"}):
+    """The workers' timings, in seconds."""
 
-    report_s: float
+    heartbeat_interval_s: float
     lease_s: float
     cancel_s: float
     gang_wait_s: float = 60.0
@@ -176,7 +176,7 @@
             loss_s=workers.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LOSS_MARGIN_S,
             stall_s=operator.stall_limit_s or constants.STALL_LIMIT_S,
             self_release_s=operator.self_release_s or constants.SELF_RELEASE_S,
-            overdue_s=workers.report_s * constants.OVERDUE_OF_REPORT + constants.OVERDUE_EXTRA_S,
+            overdue_s=workers.heartbeat_interval_s * constants.OVERDUE_OF_REPORT + constants.OVERDUE_EXTRA_S,
             # Where `cancel_s` leaves less than this besides the lease, leases alone can't keep the rule, and an
             # ordinary leader must still be able to renew them.
             renew_s=max(
@@ -226,7 +226,7 @@
             raise SettingsError(f"{path}: {field}: {error}") from None
     facts = settings.facts
     for field, value in (
-        ("facts.workers.report_s", facts.workers.report_s),
+        ("facts.workers.report_s", facts.workers.heartbeat_interval_s),
         ("facts.workers.lease_s", facts.workers.lease_s),
         ("facts.workers.cancel_s", facts.workers.cancel_s),
         ("facts.state.rps", facts.state.rps),
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -4,13 +4,13 @@
 from sorrelsill.workers.cluster_state import ClusterState
 from sorrelsill.workers.groups import enforce_gang_completeness
 from sorrelsill.workers.groups import lost_work as group_loss
+from sorrelsill.workers.heartbeats import SupersededError
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Machine
 from sorrelsill.workers.machine_index import MachineIndex
 from sorrelsill.workers.machine_sets import MachineSet, MachineUnion
-from sorrelsill.workers.messages import InvalidReportError, Report, parse_report, stop_command
+from sorrelsill.workers.messages import InvalidHeartbeatError, WorkerHeartbeat, parse_heartbeat, stop_command
 from sorrelsill.workers.push import CallLimits, Pusher
-from sorrelsill.workers.reports import SupersededError
 from sorrelsill.workers.team_usage import TeamUse
 from sorrelsill.workers.unschedulable import UnschedulableDemand
 
@@ -18,7 +18,7 @@
     "UnschedulableDemand",
     "Attempt",
     "CallLimits",
-    "InvalidReportError",
+    "InvalidHeartbeatError",
     "Machine",
     "MachineIndex",
     "MachineSet",
@@ -26,11 +26,11 @@
     "Job",
     "ClusterState",
     "Pusher",
-    "Report",
+    "WorkerHeartbeat",
     "SupersededError",
     "TeamUse",
     "group_loss",
     "stop_command",
-    "parse_report",
+    "parse_heartbeat",
     "enforce_gang_completeness",
 ]
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -18,7 +18,7 @@
 from sorrelsill.events import log_event
 from sorrelsill.model import Catalog, JobSpec, MachineType, Resources, TaskSet
 from sorrelsill.timers import Timers
-from sorrelsill.workers import adoption, loss, messages, reports, stopping
+from sorrelsill.workers import adoption, heartbeats, loss, messages, stopping
 from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.attempt_events import log_attempt
 from sorrelsill.workers.attempt_index import AttemptIndex
@@ -82,18 +82,18 @@
 
     # --- its parts: each a module of its own ---
 
-    def on_report(
-        self, report: messages.Report, now: float, acting: bool = True, fresh: bool = True
+    def on_heartbeat(
+        self, heartbeat: messages.WorkerHeartbeat, now: float, acting: bool = True, fresh: bool = True
     ) -> list[dict[str, Any]] | None:
         """Take a report in; the commands for the answer, or None if it must not be answered with 200."""
-        commands = reports.on_report(self, report, now, acting, fresh)
-        self._watch_if_new(report.machine)
+        commands = heartbeats.on_heartbeat(self, heartbeat, now, acting, fresh)
+        self._watch_if_new(heartbeat.machine)
         return commands
 
-    def on_answer(self, report: messages.Report, now: float) -> None:
+    def on_command_response(self, heartbeat: messages.WorkerHeartbeat, now: float) -> None:
         """Take in a worker's state out of its answer to a direct call."""
-        reports.on_answer(self, report, now)
-        self._watch_if_new(report.machine)
+        heartbeats.on_command_response(self, heartbeat, now)
+        self._watch_if_new(heartbeat.machine)
 
     def expire_leases(self, now: float) -> list[Machine]:
         """Declare lost what has been silent for longer than the workers' lease."""
--- a/sorrelsill/workers/reports.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -31,29 +31,29 @@
         self.token = token
 
 
-def on_report(
-    cluster: ClusterState, report: messages.Report, now: float, acting: bool = True, fresh: bool = True
+def on_heartbeat(
+    cluster: ClusterState, heartbeat: messages.WorkerHeartbeat, now: float, acting: bool = True, fresh: bool = True
 ) -> list[dict[str, Any]] | None:
     """Take a report in; the orders for the answer, or None if it must not be answered with 200.
     Without `acting` (standstill) there are no orders; without a `fresh` view of the jobs, no starts."""
-    if report.token > cluster.term:
-        raise SupersededError(report.token)
-    if cluster.tombstones.covers(report.machine, report.session, report.sequence_number):
+    if heartbeat.token > cluster.term:
+        raise SupersededError(heartbeat.token)
+    if cluster.tombstones.covers(heartbeat.machine, heartbeat.session, heartbeat.sequence_number):
         return None  # a late copy: the machine is gone
-    machine = cluster.machine(report.machine, report.machine_type, report.zone, report.spot, now)
-    if report.session < machine.session or (
-        report.session == machine.session and report.sequence_number <= machine.report_sequence_number
+    machine = cluster.machine(heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now)
+    if heartbeat.session < machine.session or (
+        heartbeat.session == machine.session and heartbeat.sequence_number <= machine.heartbeat_sequence_number
     ):
         return None  # late or repeated: its task list is older than what is known
-    if machine.lost and report.session == machine.session:
-        machine.sequence_number = max(machine.sequence_number, report.sequence_number)
+    if machine.lost and heartbeat.session == machine.session:
+        machine.sequence_number = max(machine.sequence_number, heartbeat.sequence_number)
         return None  # its lease is over by our clock: only its next session is believed
-    stale = report.session == machine.session and report.sequence_number < machine.sequence_number
+    stale = heartbeat.session == machine.session and heartbeat.sequence_number < machine.sequence_number
     # After anything but our 200 a worker goes on to the next controller, so a report that follows the last
     # message directly shows that answers reach it. With one that does not, work waits for the next that does.
-    follows = report.session == machine.session and report.sequence_number == machine.sequence_number + 1
-    machine.report_sequence_number = report.sequence_number
-    machine.reports = True
+    follows = heartbeat.session == machine.session and heartbeat.sequence_number == machine.sequence_number + 1
+    machine.heartbeat_sequence_number = heartbeat.sequence_number
+    machine.has_sent_heartbeat = True
     machine.seen_at = now
     if machine.overdue:
         machine.overdue = False
@@ -65,12 +65,12 @@
         # No starts, but halts: an answer that renews a lease always names what has to go.
         return commands(cluster, machine, False, now) if acting else []
     known = machine.sequence_number >= 0
-    _newer(cluster, machine, report, now)
+    _newer(cluster, machine, heartbeat, now)
     if not machine.synced:
         if machine.first_at is None:
             machine.first_at = now
-        machine.relearn |= not known and report.token == cluster.term
-        _sync(cluster, machine, report, follows or not machine.relearn, now)
+        machine.relearn |= not known and heartbeat.token == cluster.term
+        _sync(cluster, machine, heartbeat, follows or not machine.relearn, now)
     else:
         # One that does not follow is no proof of the contrary: reports cross with direct answers, and a worker
         # that was led here comes from elsewhere. Found on a measured day: a sixth of the machines, and after a
@@ -81,66 +81,73 @@
     cluster.heard_at = now
     if not machine.synced and machine.first_at is not None and now - machine.first_at > cluster.unreachable_after_s:
         # Its reports arrive, our answers do not. Unanswered, its lease can run out, which is a proof.
-        _reconcile(cluster, machine, report, now, True)
+        _reconcile(cluster, machine, heartbeat, now, True)
         return None
     machine.answered_at = now
-    _reconcile(cluster, machine, report, now, True)
+    _reconcile(cluster, machine, heartbeat, now, True)
     return commands(cluster, machine, fresh, now) if acting else []
 
 
-def on_answer(cluster: ClusterState, report: messages.Report, now: float) -> None:
+def on_command_response(cluster: ClusterState, heartbeat: messages.WorkerHeartbeat, now: float) -> None:
     """A worker's state in its answer to a direct call. It renews no lease, and since it may be older than the
     answer to a report in flight, what it lacks may yet be started: absence proves less than in a report."""
-    if report.token > cluster.term or cluster.tombstones.covers(report.machine, report.session, report.sequence_number):
+    if heartbeat.token > cluster.term or cluster.tombstones.covers(
+        heartbeat.machine, heartbeat.session, heartbeat.sequence_number
+    ):
         return
-    machine = cluster.machine(report.machine, report.machine_type, report.zone, report.spot, now)
-    if (report.session, report.sequence_number) <= (machine.session, machine.sequence_number):
+    machine = cluster.machine(heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now)
+    if (heartbeat.session, heartbeat.sequence_number) <= (machine.session, machine.sequence_number):
         return
-    if machine.lost and report.session == machine.session:
-        machine.sequence_number = report.sequence_number
+    if machine.lost and heartbeat.session == machine.session:
+        machine.sequence_number = heartbeat.sequence_number
         return
-    if machine.session and report.session > machine.session:
+    if machine.session and heartbeat.session > machine.session:
         # Its lease ran out and yet it hears us: it does not reach us, so work on it would die with each lease.
         machine.overdue = True
-    _newer(cluster, machine, report, now)
+    _newer(cluster, machine, heartbeat, now)
     if machine.seen_at == float("-inf"):
         machine.seen_at = now
-    if report.token == cluster.term:
-        _sync(cluster, machine, report, True, now, direct=True)
+    if heartbeat.token == cluster.term:
+        _sync(cluster, machine, heartbeat, True, now, direct=True)
         machine.reachable = True
         machine.proved_at = now
     if machine.answered_at is None:
         machine.answered_at = now
-    _reconcile(cluster, machine, report, now, False)
+    _reconcile(cluster, machine, heartbeat, now, False)
 
 
-def _newer(cluster: ClusterState, machine: Machine, report: messages.Report, now: float) -> None:
+def _newer(cluster: ClusterState, machine: Machine, heartbeat: messages.WorkerHeartbeat, now: float) -> None:
     """Session, serial and notice of a message that is newer than all before."""
-    machine.addr = report.addr or machine.addr
-    if report.session > machine.session:
+    machine.addr = heartbeat.addr or machine.addr
+    if heartbeat.session > machine.session:
         if machine.session:
             # Its images stay: seen on a measured day, work that came back to such machines began at once.
             cluster.release_all(machine, now, "worker's lease ran out")
             machine.relearn = True
         machine.reachable = False
-        machine.session = report.session
+        machine.session = heartbeat.session
         if machine.synced:
             # A session has a whole lease from its beginning, which was before now, whether or not a report of it
             # was ever answered. Found on a day of our own (ran_twice): a machine that reached nobody answered
             # direct calls in its second session, and was taken for lost by the lease of its first.
             machine.answered_at = now
         machine.lost = False
-        machine.report_sequence_number = -1
-    machine.sequence_number = report.sequence_number
-    if report.evict_in_s is not None:
-        machine.evict_at = now + report.evict_in_s
+        machine.heartbeat_sequence_number = -1
+    machine.sequence_number = heartbeat.sequence_number
+    if heartbeat.evict_in_s is not None:
+        machine.evict_at = now + heartbeat.evict_in_s
         cluster.evicting[machine.name] = machine
 
 
 def _sync(
-    cluster: ClusterState, machine: Machine, report: messages.Report, reachable: bool, now: float, direct: bool = False
+    cluster: ClusterState,
+    machine: Machine,
+    heartbeat: messages.WorkerHeartbeat,
+    reachable: bool,
+    now: float,
+    direct: bool = False,
 ) -> None:
-    if report.token != cluster.term or machine.synced:
+    if heartbeat.token != cluster.term or machine.synced:
         return
     machine.synced = True
     machine.first_at = None
@@ -157,11 +164,13 @@
     cluster.wake_placing = True
 
 
-def _reconcile(cluster: ClusterState, machine: Machine, report: messages.Report, now: float, proper: bool) -> None:
+def _reconcile(
+    cluster: ClusterState, machine: Machine, heartbeat: messages.WorkerHeartbeat, now: float, proper: bool
+) -> None:
     """Take over what the worker says of its tasks; `proper`: in a report, not in a direct answer."""
     attempts = machine.attempts
     seen = 0
-    for item in report.tasks:
+    for item in heartbeat.tasks:
         attempt = attempts.get((item.task_id, item.attempt_number))
         if attempt is None:
             attempt = _found(cluster, machine, item, now)
@@ -173,7 +182,7 @@
         seen += 1
         _take_phase(cluster, attempt, item, now)
     if seen != len(attempts):
-        _drop_absent(cluster, machine, report, now, proper)
+        _drop_absent(cluster, machine, heartbeat, now, proper)
     if machine.synced and not machine.located:
         # What an earlier message told may have been a late copy; what this one tells is there.
         machine.located = True
@@ -181,7 +190,7 @@
             attempt.located = True
 
 
-def _found(cluster: ClusterState, machine: Machine, item: messages.TaskReport, now: float) -> Attempt | None:
+def _found(cluster: ClusterState, machine: Machine, item: messages.TaskStatus, now: float) -> Attempt | None:
     """An attempt that an earlier leader started: it is adopted, or stopped if its job is over or not known."""
     try:
         job_id, index = item.split()
@@ -199,7 +208,7 @@
     return attempt
 
 
-def _take_phase(cluster: ClusterState, attempt: Attempt, item: messages.TaskReport, now: float) -> None:
+def _take_phase(cluster: ClusterState, attempt: Attempt, item: messages.TaskStatus, now: float) -> None:
     machine = attempt.machine
     if not attempt.confirmed:
         attempt.confirmed = True
@@ -221,9 +230,11 @@
             cluster.dirty.add(attempt.job_id)
 
 
-def _drop_absent(cluster: ClusterState, machine: Machine, report: messages.Report, now: float, proper: bool) -> None:
+def _drop_absent(
+    cluster: ClusterState, machine: Machine, heartbeat: messages.WorkerHeartbeat, now: float, proper: bool
+) -> None:
     """Attempts that a message doesn't name: gone, if their absence proves it."""
-    names = {(item.task_id, item.attempt_number) for item in report.tasks}
+    names = {(item.task_id, item.attempt_number) for item in heartbeat.tasks}
     for attempt in [a for key, a in machine.attempts.items() if key not in names]:
         if attempt.unanswered_starts and not attempt.confirmed:
             continue  # its direct start may still be executed, so its absence proves nothing
@@ -233,7 +244,7 @@
             cluster.unbind(attempt, now)
 
 
-def _exited(cluster: ClusterState, attempt: Attempt, item: messages.TaskReport, now: float) -> None:
+def _exited(cluster: ClusterState, attempt: Attempt, item: messages.TaskStatus, now: float) -> None:
     cluster.attempts.count_unknown(attempt, -1)
     attempt.exited = True
     attempt.phase = "exited"
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -26,7 +26,7 @@
 def _patience(cluster: ClusterState, machine: Machine) -> float:
     """One that answers us and doesn't report has a lease that runs out again and again, and all work with it. After a
     takeover it has some time to find the way here. Found by reading."""
-    return cluster.overdue_s if machine.reports else max(cluster.overdue_s, cluster.unreachable_after_s)
+    return cluster.overdue_s if machine.has_sent_heartbeat else max(cluster.overdue_s, cluster.unreachable_after_s)
 
 
 def _lost_at(cluster: ClusterState, machine: Machine) -> float:
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -73,8 +73,8 @@
         self.addr = ""
         self.session = 0
         self.sequence_number = -1
-        self.report_sequence_number = -1  # of the last report proper; direct answers carry numbers of the same count
-        self.reports = False  # has sent a report in this term
+        self.heartbeat_sequence_number = -1  # of the last report proper; direct answers carry numbers of the same count
+        self.has_sent_heartbeat = False  # has sent a report in this term
         self.seen_at = float("-inf")  # when it last reported; before its first report in this term, when first met
         self.proved_at = float("-inf")  # when it last showed that answers or commands reach it
         self.relearn = False  # our token may be known to it from an earlier session: showing it proves no hearing
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -9,11 +9,11 @@
 PEERS, ALONE = "peers", "alone"  # why a group's task exited: another one is gone, or the group was never complete
 
 
-class InvalidReportError(Exception):
+class InvalidHeartbeatError(Exception):
     """The body is no report."""
 
 
-class TaskReport(msgspec.Struct):
+class TaskStatus(msgspec.Struct):
     """A task in a worker's report, under the names of the wire."""
 
     task_id: str = msgspec.field(name="shard")
@@ -31,7 +31,7 @@
         return job_id, int(index)
 
 
-class Report(msgspec.Struct):
+class WorkerHeartbeat(msgspec.Struct):
     """What a worker says of its machine: in a report, or in its answer to a direct call."""
 
     machine: str = msgspec.field(name="host")
@@ -43,18 +43,18 @@
     spot: bool = msgspec.field(name="reclaimable", default=False)
     token: int = msgspec.field(name="epoch", default=0)
     evict_in_s: float | None = msgspec.field(name="evictInS", default=None)
-    tasks: list[TaskReport] = msgspec.field(name="shards", default_factory=list)
+    tasks: list[TaskStatus] = msgspec.field(name="shards", default_factory=list)
 
 
-_decoder = msgspec.msgpack.Decoder(Report)
+_decoder = msgspec.msgpack.Decoder(WorkerHeartbeat)
 
 
-def parse_report(body: bytes) -> Report:
+def parse_heartbeat(body: bytes) -> WorkerHeartbeat:
     """Decode a worker's report, or raise BadReport."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, ValueError) as error:
-        raise InvalidReportError(str(error)) from None
+        raise InvalidHeartbeatError(str(error)) from None
 
 
 def start_command(task_id: str, attempt_number: int) -> dict[str, Any]:
--- a/sorrelsill/workers/push.py
+++ b/sorrelsill/workers/push.py
@@ -20,7 +20,7 @@
 from sorrelsill.settings import split_addr
 from sorrelsill.timers import Timers
 from sorrelsill.workers.commands import direct_commands_answered, has_direct_commands, take_direct_commands
-from sorrelsill.workers.messages import InvalidReportError, parse_report
+from sorrelsill.workers.messages import InvalidHeartbeatError, parse_heartbeat
 
 if TYPE_CHECKING:
     from sorrelsill.workers.attempt import Attempt
@@ -188,14 +188,14 @@
             status, raw = await self._client(addr).request("GET", "/status", b"", timeout_s)
             if status != 200 or not self._valid():
                 return
-            session = parse_report(raw).session
+            session = parse_heartbeat(raw).session
             body = _encode({"epoch": cluster.term, "tenure": session, "orders": []})
             status, raw = await self._client(addr).request(
                 "POST", "/commands", body, constants.PUSH_TIMEOUT_S, may_send=self._valid
             )
             if status in (200, 409):
                 self._take(cluster, raw)
-        except (NotSentError, NoAnswerError, InvalidReportError) as error:
+        except (NotSentError, NoAnswerError, InvalidHeartbeatError) as error:
             self._later(name, str(error))
         finally:
             self._busy.discard(name)
@@ -206,12 +206,12 @@
 
     def _take(self, cluster: ClusterState, raw: bytes) -> None:
         try:
-            report = parse_report(raw)
-        except InvalidReportError as error:
+            heartbeat = parse_heartbeat(raw)
+        except InvalidHeartbeatError as error:
             log.info("a worker's answer: %s", error)
             return
         if self._valid():
-            cluster.on_answer(report, trio.current_time())
+            cluster.on_command_response(heartbeat, trio.current_time())
             self._on_news()
 
     def _pausing(self, name: str, now: float, seen_at: float) -> bool:
--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -2,8 +2,8 @@
 
 from sorrelsill import constants
 from sorrelsill.model import Catalog, MachineType
-from sorrelsill.workers import ClusterState, Machine, Report
-from sorrelsill.workers.messages import TaskReport
+from sorrelsill.workers import ClusterState, Machine, WorkerHeartbeat
+from sorrelsill.workers.messages import TaskStatus
 from tests.simulation import count_calls
 
 KIND = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
@@ -12,55 +12,59 @@
 def cluster_of_one() -> tuple[ClusterState, Machine]:
     cluster = ClusterState(7, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
     for sequence_number, epoch in ((1, 0), (2, 7)):
-        report(cluster, sequence_number, float(sequence_number), epoch=epoch)
+        heartbeat(cluster, sequence_number, float(sequence_number), epoch=epoch)
     machine = cluster.machines["m1"]
     machine.rostered = True
     return cluster, machine
 
 
-def report(cluster: ClusterState, sequence_number: int, now: float, session: int = 1, epoch: int = 7) -> object:
-    return cluster.on_report(Report("m1", session, sequence_number, "c8", "a", "10.0.0.9:9000", False, epoch), now)
+def heartbeat(cluster: ClusterState, sequence_number: int, now: float, session: int = 1, epoch: int = 7) -> object:
+    return cluster.on_heartbeat(
+        WorkerHeartbeat("m1", session, sequence_number, "c8", "a", "10.0.0.9:9000", False, epoch), now
+    )
 
 
 def test_a_report_out_of_step_does_not_make_a_machine_stand_aside() -> None:
     """Found on a measured day: at each crossing of a report with a direct answer it got no work for an interval."""
     cluster, machine = cluster_of_one()
     assert machine.usable
-    report(cluster, 9, 3.0)
+    heartbeat(cluster, 9, 3.0)
     assert machine.usable
 
 
 def test_a_machine_that_never_follows_on_our_answers_stands_aside() -> None:
     cluster, machine = cluster_of_one()
     for turn in range(1, 4):  # it goes from one controller to the next, and comes by again
-        report(cluster, 2 + 3 * turn, 2.0 + 5.0 * turn)
+        heartbeat(cluster, 2 + 3 * turn, 2.0 + 5.0 * turn)
     assert not machine.usable
-    report(cluster, 12, 18.0)
+    heartbeat(cluster, 12, 18.0)
     assert machine.usable
 
 
 def test_a_new_session_gets_work_once_it_has_shown_that_it_hears() -> None:
     """Our token may be known to it from the session before, so showing that proves nothing."""
     cluster, machine = cluster_of_one()
-    report(cluster, 3, 14.0, session=2)
+    heartbeat(cluster, 3, 14.0, session=2)
     assert not machine.usable
-    report(cluster, 4, 15.0, session=2)
+    heartbeat(cluster, 4, 15.0, session=2)
     assert machine.usable
 
 
 def test_reports_of_a_roster_machine_that_shows_no_token_are_answered_only_for_a_while() -> None:
     cluster = ClusterState(7, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
     cluster.takeover.expect_machines([("m1", {"f": "c8", "a": "10.0.0.9:9000"})])
-    assert report(cluster, 1, 1.0, epoch=3) is not None
-    assert report(cluster, 4, 5.0, epoch=3) is not None
-    assert report(cluster, 7, 9.0, epoch=3) is None
+    assert heartbeat(cluster, 1, 1.0, epoch=3) is not None
+    assert heartbeat(cluster, 4, 5.0, epoch=3) is not None
+    assert heartbeat(cluster, 7, 9.0, epoch=3) is None
     assert not cluster.expire_leases(15.0) and cluster.takeover.unconfirmed
     assert [h.name for h in cluster.expire_leases(17.0)] == ["m1"] and not cluster.takeover.unconfirmed
 
 
 def answer(cluster: ClusterState, sequence_number: int, now: float, session: int = 1) -> None:
     """Of a direct call."""
-    cluster.on_answer(Report("m1", session, sequence_number, "c8", "a", "10.0.0.9:9000", False, 7), now)
+    cluster.on_command_response(
+        WorkerHeartbeat("m1", session, sequence_number, "c8", "a", "10.0.0.9:9000", False, 7), now
+    )
 
 
 def greeted() -> tuple[ClusterState, Machine]:
@@ -87,7 +91,7 @@
     answer(cluster, 2, 7.0)
     cluster.expire_leases(7.5)
     assert not machine.usable
-    report(cluster, 3, 8.0)
+    heartbeat(cluster, 3, 8.0)
     cluster.expire_leases(8.1)
     assert machine.usable
 
@@ -97,8 +101,8 @@
     answer(cluster, 2, 3.0, session=2)
     cluster.expire_leases(3.1)
     assert not machine.usable
-    report(cluster, 3, 4.0, session=2)
-    report(cluster, 4, 5.0, session=2)
+    heartbeat(cluster, 3, 4.0, session=2)
+    heartbeat(cluster, 4, 5.0, session=2)
     machine.rostered = True
     cluster.expire_leases(5.1)
     assert machine.usable
@@ -117,8 +121,9 @@
     cluster = ClusterState(7, 0.0, Catalog({"c8": KIND}), 11.5, 2.7, overdue_s=4.0)
     for number in range(300):
         for sequence_number in (1, 2):
-            cluster.on_report(
-                Report(f"m{number}", 1, sequence_number, "c8", "a", "10.0.0.9:9000", False, 7), 1.0 + number / 100
+            cluster.on_heartbeat(
+                WorkerHeartbeat(f"m{number}", 1, sequence_number, "c8", "a", "10.0.0.9:9000", False, 7),
+                1.0 + number / 100,
             )
     assert count_calls(lambda: cluster.expire_leases(4.5)) < 20, "none is due"
     cluster.expire_leases(5.505)
@@ -126,8 +131,8 @@
 
 
 def report_tasks_of_an_unknown_job(cluster: ClusterState, count: int = 2) -> None:
-    tasks = [TaskReport(f"run-gone/{index}", (3 << constants.TRY_BITS) + index, "running") for index in range(count)]
-    cluster.on_report(Report("m1", 1, 3, "c8", "a", "10.0.0.9:9000", False, 7, tasks=tasks), 3.0)
+    tasks = [TaskStatus(f"run-gone/{index}", (3 << constants.TRY_BITS) + index, "running") for index in range(count)]
+    cluster.on_heartbeat(WorkerHeartbeat("m1", 1, 3, "c8", "a", "10.0.0.9:9000", False, 7, tasks=tasks), 3.0)
 
 
 def test_tasks_of_unknown_size_on_a_machine_of_unknown_size_may_use_anything() -> None:
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -29,7 +29,7 @@
 from sorrelsill.model import JobSpec
 from sorrelsill.settings import CloudLimits, StateLimits, Team
 from sorrelsill.store import Store, View
-from sorrelsill.workers import enforce_gang_completeness, parse_report
+from sorrelsill.workers import enforce_gang_completeness, parse_heartbeat
 from tests.simulation.leader_in_memory import LeaderInMemory, array_job
 
 STEP_S = 0.05  # s; simulated time between two looks at what is due, about a round of placing
@@ -105,12 +105,12 @@
 
     def begin(self) -> None:
         """All machines are up and the services run."""
-        self.leader.all_report()
-        self.leader.all_report()
+        self.leader.all_send_heartbeats()
+        self.leader.all_send_heartbeats()
         for _ in range(int(SERVICES * self._scale)):
             self._add("service", shape="standing", rank="prod", shards=7, vcpus=4.0, memoryGb=13.0, expectedRunS=0.0)
         self.leader.round()
-        self.leader.all_report()
+        self.leader.all_send_heartbeats()
 
     def _jobs_come(self) -> None:
         for name, rate, shards, cpus, run_s in (
@@ -134,9 +134,9 @@
 
     def _report(self, name: str) -> None:
         leader = self.leader
-        body = _encode(leader.next_report(name))
+        body = _encode(leader.next_heartbeat(name))
         with self.parts["reports"]:
-            commands = leader.cluster.on_report(parse_report(body), leader.now) or []
+            commands = leader.cluster.on_heartbeat(parse_heartbeat(body), leader.now) or []
             _encode({"epoch": leader.cluster.term, "orders": commands})
         before = set(leader.tasks[name])
         leader.obey(name, commands)
@@ -202,7 +202,7 @@
 
 def framing_s() -> float:
     """Processor time of one exchange of a plain report over memory streams, sender included."""
-    body = _encode(LeaderInMemory(1).next_report("m-000000"))
+    body = _encode(LeaderInMemory(1).next_heartbeat("m-000000"))
 
     async def answer(request: Request) -> Reply:
         return Reply(200, body)
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -21,7 +21,7 @@
         leader.fill(8)
         leader.now += 1.0
         name = max(leader.names, key=lambda n: (len(leader.tasks[n]) == 8, n))
-        return count_calls(lambda: leader.report(name))
+        return count_calls(lambda: leader.send_heartbeat(name))
 
     large = calls(MACHINES)
     assert large <= calls(MACHINES // 3) and large < 60
@@ -36,7 +36,7 @@
     assert lost_tasks > 6000
     while leader.now < LOSS_S - 1:
         leader.now += 1.0
-        leader.all_report(leader.names[400:])
+        leader.all_send_heartbeats(leader.names[400:])
         assert not leader.cluster.expire_leases(leader.now)
     leader.now += 2.0
     most, lost = 0, 0
@@ -55,12 +55,12 @@
     leader.fill(0)
     leader.now += OVERDUE_S + 0.5
     healthy = leader.names[50:]
-    leader.all_report(healthy)
+    leader.all_send_heartbeats(healthy)
     leader.add(array_job("run-n", shards=350, owner="blue"))
     leader.round()
     bound = leader.cluster.jobs["run-n"].bound
     assert len(bound) == 350 and not {a.machine.name for a in bound.values()} & set(leader.names[:50])
-    leader.all_report(leader.names[:50])
+    leader.all_send_heartbeats(leader.names[:50])
     assert len(leader.cluster.index.ready) == MACHINES
 
 
@@ -74,8 +74,8 @@
     leader.cluster.add_ended_job(array_job("run-over-ordinary", shards=20, owner="red", reclaimable=False), TaskSet(20))
     leader.cluster.takeover.set_all_ended_known(True)
     heard = [n for n in leader.names if n not in silent]
-    leader.all_report(heard)
-    leader.all_report(heard)
+    leader.all_send_heartbeats(heard)
+    leader.all_send_heartbeats(heard)
     leader.add(array_job("run-new", shards=700, owner="red"))
     leader.round()
     jobs = leader.cluster.jobs
--- a/tests/scenarios/test_grown.py
+++ b/tests/scenarios/test_grown.py
@@ -6,7 +6,7 @@
 from sorrelsill.controller import Controller
 from sorrelsill.http import Reply, Request
 from sorrelsill.settings import Team
-from sorrelsill.workers import ClusterState, Report
+from sorrelsill.workers import ClusterState, WorkerHeartbeat
 from sorrelsill.workers.commands import commands
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 
@@ -202,9 +202,9 @@
         attempt = cluster.bind(cluster.jobs["run-0"], 0, machine, now, 1 << 60)
         commands(cluster, machine, True, now)
         attempt.stop = True
-        cluster.on_answer(msgspec.convert(worker.report(), Report), now)
+        cluster.on_command_response(msgspec.convert(worker.heartbeat_message(), WorkerHeartbeat), now)
         assert attempt.key in machine.attempts
-        cluster.on_report(msgspec.convert(worker.report(), Report), now)
+        cluster.on_heartbeat(msgspec.convert(worker.heartbeat_message(), WorkerHeartbeat), now)
         assert attempt.key not in machine.attempts
 
     run_scenario(scenario)
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -26,16 +26,16 @@
 def busy_leader(machines: int, memory_gb: float) -> LeaderInMemory:
     """Half of all CPUs are in use, with one job for eight machines; `memory_gb` of a task limits how many share one."""
     leader = LeaderInMemory(machines)
-    leader.all_report()
-    leader.all_report()
+    leader.all_send_heartbeats()
+    leader.all_send_heartbeats()
     tasks = MACHINES_PER_JOB * TASKS_PER_MACHINE
     for number in range(machines // MACHINES_PER_JOB):
         leader.add(
             array_job(f"run-{number}", shards=tasks, owner="blue", bundle=f"img-{number % 14}", memoryGb=memory_gb)
         )
     leader.round()
-    leader.all_report()
-    leader.all_report()
+    leader.all_send_heartbeats()
+    leader.all_send_heartbeats()
     leader.round()
     return leader
 
@@ -59,7 +59,7 @@
 def test_a_report_a_start_and_an_end_cost_the_same_in_a_large_fleet(leaders: dict[int, LeaderInMemory]) -> None:
     def report(leader: LeaderInMemory) -> int:
         name = next(name for name in leader.names if len(leader.tasks[name]) == TASKS_PER_MACHINE)
-        return count_calls(lambda: leader.report(name))
+        return count_calls(lambda: leader.send_heartbeat(name))
 
     def start(leader: LeaderInMemory) -> int:
         leader.add(array_job("run-new", shards=1, owner="blue", bundle="img-3", memoryGb=0.0))
@@ -67,9 +67,9 @@
 
     def end(leader: LeaderInMemory) -> int:
         attempt = leader.cluster.jobs["run-new"].bound[0]
-        leader.report(attempt.machine.name)
+        leader.send_heartbeat(attempt.machine.name)
         leader.tasks[attempt.machine.name][attempt.key] = "exited"
-        cost = count_calls(lambda: leader.report(attempt.machine.name))
+        cost = count_calls(lambda: leader.send_heartbeat(attempt.machine.name))
         leader.cluster.end_job("run-new")
         return cost + count_calls(leader.round)
 
@@ -107,7 +107,7 @@
     assert lost_tasks > 15_000
     while leader.now < LOSS_S + 0.3:
         leader.now += 1.0
-        leader.all_report(others)
+        leader.all_send_heartbeats(others)
         if leader.now > OVERDUE_S + 1.0:
             leader.cluster.expire_leases(leader.now)
             assert len(leader.cluster.index.ready) <= len(others), "no new work goes where silence began"
@@ -193,7 +193,7 @@
         for number in range(machines // MACHINES_PER_JOB):
             leader.add(array_job(f"run-{number}", shards=64, owner="blue"), old=True)
         leader.cluster.takeover.set_all_ended_known(True)
-        calls = count_calls(lambda: leader.all_report(leader.names))
+        calls = count_calls(lambda: leader.all_send_heartbeats(leader.names))
         assert not leader.cluster.takeover.unconfirmed or len(leader.cluster.takeover.unconfirmed) == machines
         return calls / machines
 
@@ -211,9 +211,9 @@
             job_id, index = f"run-{number // MACHINES_PER_JOB}", 2 * (number % MACHINES_PER_JOB)
             leader.tasks[name] = {(f"{job_id}/{index + more}", 1): "running" for more in (0, 1)}
         assert leader.cluster.team_use("red").total.cpus == 2.0 * machines, "as many as may be left of these jobs"
-        calls = count_calls(lambda: leader.all_report(leader.names))
+        calls = count_calls(lambda: leader.all_send_heartbeats(leader.names))
         assert leader.cluster.team_use("red").total.cpus == 2.0 * machines, "all are found, and none is gone yet"
-        leader.all_report(leader.names)
+        leader.all_send_heartbeats(leader.names)
         assert leader.cluster.team_use("red").total.cpus == 0.0
         return calls / machines
 
@@ -240,8 +240,8 @@
             nursery.start_soon(view.run)
             fake.kv["s/leader"] = ({"label": "n0"}, TERM, None)
             for name in leader.names:
-                leader.report(name)
-                leader.report(name)
+                leader.send_heartbeat(name)
+                leader.send_heartbeat(name)
             writer = RecordWriter(store, view, leader.cluster, lambda: True)
             while len(leader.cluster.index.ready) < machines and trio.current_time() < 60.0:
                 await writer.step()
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -11,7 +11,7 @@
 
 from sorrelsill.http import Request
 from sorrelsill.membership import MembershipSettings
-from sorrelsill.membership.messages import Heartbeat, Incarnation, encode
+from sorrelsill.membership.messages import Incarnation, PeerHeartbeat, encode
 from sorrelsill.membership.view import Status
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 from tests.simulation.users import LABELS
@@ -272,7 +272,7 @@
         assert (await node.handle_peer(Request("GET", "/membership/heartbeat", "", b""))).status == 405
         assert (await node.handle_peer(Request("POST", "/membership/other", "", b""))).status == 404
         known = membership.view.peers["n1"]
-        older = Heartbeat("n0,n1,n2", "n1", Incarnation(known.incarnation.process - 1, 5), known.sequence + 99)
+        older = PeerHeartbeat("n0,n1,n2", "n1", Incarnation(known.incarnation.process - 1, 5), known.sequence + 99)
         reply = await node.handle_peer(Request("POST", "/membership/heartbeat", "", encode(older)))
         assert reply.status == 200 and membership.view.peers["n1"].incarnation == known.incarnation
 
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -26,7 +26,7 @@
 def report_without_answer(leader: LeaderInMemory) -> None:
     """All machines report, twice to show that they hear; the halts in the answers are still on their way."""
     for name in leader.names * 2:
-        leader.cluster.on_report(leader.next_report(name), leader.now)
+        leader.cluster.on_heartbeat(leader.next_heartbeat(name), leader.now)
     leader.write_roster()
 
 
@@ -64,8 +64,8 @@
     leader.round()
     assert len(leader.cluster.jobs["run-blue"].bound) == 6, "beside the ten that are not gone yet"
     assert len(leader.cluster.jobs["run-red"].bound) == 10
-    leader.all_report()
-    leader.all_report()
+    leader.all_send_heartbeats()
+    leader.all_send_heartbeats()
     leader.round()
     assert len(leader.cluster.jobs["run-blue"].bound) == 16
     assert len(leader.cluster.jobs["run-red"].bound) == 16, "as many as the machine holds"
@@ -78,8 +78,8 @@
     report_without_answer(leader)
     assert leader.cluster.index.ready.names() == {in_zone_b}
     assert leader.cluster.team_use("red").total == (16.0, 0.0), "all of its room"
-    leader.all_report()
-    leader.all_report()
+    leader.all_send_heartbeats()
+    leader.all_send_heartbeats()
     assert leader.cluster.index.ready.names() == {in_zone_a, in_zone_b}
     assert leader.cluster.team_use("red").total == (0.0, 0.0)
 
@@ -90,7 +90,7 @@
     silent = leader.names[2]
     run_by_earlier_leader(leader, leader.names[0], "run-over", 8)
     for _ in range(3):
-        leader.all_report(leader.names[:2])
+        leader.all_send_heartbeats(leader.names[:2])
     assert silent in leader.cluster.takeover.unconfirmed
     assert leader.cluster.team_use("red").total == (2.0, 0.0), "two of the ten were not found"
 
@@ -99,13 +99,13 @@
     leader = leader_after_takeover(3)
     copied, true, _ = leader.names
     run_by_earlier_leader(leader, copied, "run-over", 10)
-    leader.cluster.on_report(leader.next_report(copied, token=TERM - 1), leader.now)
+    leader.cluster.on_heartbeat(leader.next_heartbeat(copied, token=TERM - 1), leader.now)
     assert leader.cluster.team_use("red").total == (10.0, 0.0)
     leader.tasks[copied].clear()
-    leader.cluster.on_report(leader.next_report(copied), leader.now)
+    leader.cluster.on_heartbeat(leader.next_heartbeat(copied), leader.now)
     assert leader.cluster.team_use("red").total == (10.0, 0.0), "the copy told of what is on another machine now"
     run_by_earlier_leader(leader, true, "run-over", 10)
-    leader.cluster.on_report(leader.next_report(true), leader.now)
+    leader.cluster.on_heartbeat(leader.next_heartbeat(true), leader.now)
     assert leader.cluster.team_use("red").total == (10.0, 0.0)
 
 
@@ -113,12 +113,12 @@
     leader = leader_after_takeover(3)
     run_by_earlier_leader(leader, leader.names[0], "run-old", 4)
     leader.add(array_job("run-old", shards=6, owner="red"), old=True)
-    leader.cluster.on_report(leader.next_report(leader.names[0]), leader.now)
+    leader.cluster.on_heartbeat(leader.next_heartbeat(leader.names[0]), leader.now)
     assert leader.cluster.team_use("red").total == (16.0, 0.0)
     leader.cluster.end_job("run-old")
     assert leader.cluster.team_use("red").total == (16.0, 0.0)
-    leader.report(leader.names[0])
-    leader.report(leader.names[0])
+    leader.send_heartbeat(leader.names[0])
+    leader.send_heartbeat(leader.names[0])
     assert leader.cluster.team_use("red").total == (12.0, 0.0), "the four are gone; two, and ten of the other, may run"
 
 
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -9,8 +9,8 @@
 from sorrelsill.model import Catalog, JobSpec, MachineType, TaskSet
 from sorrelsill.placement import Placer
 from sorrelsill.settings import Objective, Team
-from sorrelsill.workers import ClusterState, Report
-from sorrelsill.workers.messages import TaskReport
+from sorrelsill.workers import ClusterState, WorkerHeartbeat
+from sorrelsill.workers.messages import TaskStatus
 from tests.simulation.users import job
 
 MACHINE_TYPE = MachineType("std", 16.0, 0.0, 64.0, 40.0, 0.3, 1.0, 0.4, 30.0, ("a", "b"))
@@ -52,14 +52,14 @@
         subnet, host = divmod(self._numbers[name], _MACHINES_IN_A_SUBNET)
         return f"10.1.{subnet}.{host}:9000"
 
-    def next_report(self, name: str, token: int = TERM) -> Report:
+    def next_heartbeat(self, name: str, token: int = TERM) -> WorkerHeartbeat:
         """What the machine says next."""
         self.sequence_number[name] += 1
         tasks = [
-            TaskReport(task_id, attempt_number, phase, "done" if phase == "exited" else None)
+            TaskStatus(task_id, attempt_number, phase, "done" if phase == "exited" else None)
             for (task_id, attempt_number), phase in self.tasks[name].items()
         ]
-        return Report(
+        return WorkerHeartbeat(
             name,
             1,
             self.sequence_number[name],
@@ -83,9 +83,9 @@
             elif command["verb"] == "clear":
                 tasks.pop(key, None)
 
-    def report(self, name: str, token: int = TERM) -> None:
+    def send_heartbeat(self, name: str, token: int = TERM) -> None:
         """A machine reports and carries out the answer."""
-        self.obey(name, self.cluster.on_report(self.next_report(name, token), self.now) or [])
+        self.obey(name, self.cluster.on_heartbeat(self.next_heartbeat(name, token), self.now) or [])
 
     def write_roster(self) -> None:
         """The registry entries of all machines that wait for one are committed."""
@@ -93,10 +93,10 @@
             machine.rostered = True
         self.cluster.to_roster.clear()
 
-    def all_report(self, names: list[str] | None = None) -> None:
+    def all_send_heartbeats(self, names: list[str] | None = None) -> None:
         """All of these machines report, and are registered."""
         for name in names if names is not None else self.names:
-            self.report(name)
+            self.send_heartbeat(name)
         self.write_roster()
 
     def add(self, spec: JobSpec, old: bool = False) -> None:
@@ -111,11 +111,11 @@
 
     def fill(self, tasks_each: int) -> None:
         """A hundred jobs that keep every machine busy."""
-        self.all_report()
-        self.all_report()
+        self.all_send_heartbeats()
+        self.all_send_heartbeats()
         total = tasks_each * len(self.names)
         for number in range(100 if total else 0):
             self.add(array_job(f"run-{number}", shards=total // 100, owner="blue", bundle=f"img-{number % 14}"))
         self.round()
-        self.all_report()
-        self.all_report()
+        self.all_send_heartbeats()
+        self.all_send_heartbeats()
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -26,7 +26,7 @@
         spot: bool,
         nodes: dict[str, str],
         client: Callable[[str], Client],
-        report_s: float,
+        heartbeat_interval_s: float,
         lease_s: float,
         specs: dict[str, dict[str, Any]],
         hear: Callable[[FakeWorker, str, bool], None],
@@ -37,7 +37,7 @@
         self._nodes = nodes  # label -> address
         self._clients = {label: client(addr) for label, addr in nodes.items()}
         self._at = sorted(nodes)[0]
-        self.report_s, self.lease_s = report_s, lease_s
+        self.heartbeat_interval_s, self.lease_s = heartbeat_interval_s, lease_s
         self._specs, self._hear = specs, hear
         self.session, self.sequence_number, self.epoch = 1, 0, 0
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
@@ -134,7 +134,7 @@
 
     # --- its messages ---
 
-    def report(self) -> dict[str, Any]:
+    def heartbeat_message(self) -> dict[str, Any]:
         self.sequence_number += 1
         shards = [
             {"shard": s, "tryNo": n, **{k: v for k, v in t.items() if k != "at"}} for (s, n), t in self.tasks.items()
@@ -160,17 +160,17 @@
             await trio.sleep_forever()
         self.advance()
         if request.path == "/status":
-            return Reply(200, _encode(self.report()))
+            return Reply(200, _encode(self.heartbeat_message()))
         body = _decode(request.body)
         if "epoch" not in body or "tenure" not in body:
             return Reply(400)
         if body["epoch"] < self.epoch or body["tenure"] != self.session:
-            return Reply(409, _encode(self.report()))
+            return Reply(409, _encode(self.heartbeat_message()))
         self._see(body["epoch"])
         for order in body["orders"]:
             self._order(order)
         self.advance()
-        return Reply(200, _encode(self.report()))
+        return Reply(200, _encode(self.heartbeat_message()))
 
     def _see(self, epoch: int) -> None:
         if epoch > self.epoch:
@@ -184,13 +184,15 @@
             if not self.hung:
                 await self._report(sent, session)
             change = self._change
-            with trio.move_on_at(max(sent + self.report_s, trio.current_time() + 0.01)):
+            with trio.move_on_at(max(sent + self.heartbeat_interval_s, trio.current_time() + 0.01)):
                 await change.wait()
                 await trio.sleep_until(sent + 0.5)
 
     async def _report(self, sent: float, session: int) -> None:
         try:
-            status, raw = await self._clients[self._at].request("POST", "/hello", _encode(self.report()), 4.0)
+            status, raw = await self._clients[self._at].request(
+                "POST", "/hello", _encode(self.heartbeat_message()), 4.0
+            )
         except (NotSentError, NoAnswerError):
             await self._next()
             return
