--- a/sorrelsill/fleet/test_plan.py
+++ b/sorrelsill/fleet/test_plan.py
@@ -69,14 +69,14 @@
     from sorrelsill.workers import WorkerHeartbeat
 
     cluster = ClusterState(7, 0.0, CATALOG, 11.5, 2.7)
-    for sequence_number, session in ((1, 1), (2, 1), (1, 2)):
+    for sequence_number, incarnation in ((1, 1), (2, 1), (1, 2)):
         cluster.on_heartbeat(
-            WorkerHeartbeat("m1", session, sequence_number, "c8", "a", "10.0.0.9:9000", False, 7),
+            WorkerHeartbeat("m1", incarnation, sequence_number, "c8", "a", "10.0.0.9:9000", False, 7),
             float(sequence_number),
         )
         if sequence_number == 2:
             cluster.machines["m1"].images["img"] = 0.5
-    assert cluster.machines["m1"].session == 2 and "img" in cluster.machines["m1"].images
+    assert cluster.machines["m1"].incarnation == 2 and "img" in cluster.machines["m1"].images
 
 
 def test_the_room_for_services_follows_each_change_of_a_machine() -> None:
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -190,7 +190,7 @@
             batch.writes.append(Put(write.key, write.value))
             batch.size += size
             batch.units.append(write.key)
-            added = [(machines[n], machines[n].session) for n in write.added if n in machines]
+            added = [(machines[n], machines[n].incarnation) for n in write.added if n in machines]
             batch.after.append(partial(self._rostered, write, added))
 
     def _rostered(self, write: RosterWrite, added: list[tuple[Machine, int]], rev: int) -> None:
@@ -198,9 +198,9 @@
         that are gone stay due until they stand in no part any more."""
         cluster = self._cluster
         self._view.apply(write.key, write.value, rev, True)
-        for machine, session in added:
+        for machine, incarnation in added:
             cluster.to_roster.pop(machine.name, None)
-            if machine.synced and machine.session == session:
+            if machine.synced and machine.incarnation == incarnation:
                 machine.rostered = True
                 cluster.wake_placing = True
             elif machine.synced:
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -1,4 +1,4 @@
-"""Workers: reports, sessions, commands and losses, and the leader's view of what may be running where."""
+"""Workers: reports, incarnations, commands and losses, and the leader's view of what may be running where."""
 
 from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.cluster_state import ClusterState
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -1,7 +1,7 @@
 """The leader's view of the cluster: jobs, machines, and the attempts bound to machines. Pure: no I/O, time is given.
 
-The rule behind everything: an attempt is bound to (machine, session) from before its start is first sent
-until it is *proved* gone. Proofs are: the worker reports it exited; the worker reports a later session;
+The rule behind everything: an attempt is bound to (machine, incarnation) from before its start is first sent
+until it is *proved* gone. Proofs are: the worker reports it exited; the worker reports a later incarnation;
 the worker reports without it and its start went only into answers to earlier reports (which a worker
 executes before its next report or drops for good); the machine was returned or is listed as failed; or the
 worker's lease has run out since the last report that was answered. Silence short of that, or absence from
@@ -333,11 +333,11 @@
         self.wake_placing = True
 
     def drop(self, machine: Machine, now: float) -> None:
-        """Forget a machine that is lost and listed no more; should it be alive after all, a later session tells."""
+        """Forget a machine that is lost and listed no more; should it be alive after all, a later incarnation tells."""
         del self.machines[machine.name]
         self.index.forget(machine)
         self._forget(machine.name)
-        self.tombstones.bury(machine.name, machine.session, machine.sequence_number, now)
+        self.tombstones.bury(machine.name, machine.incarnation, machine.sequence_number, now)
 
     def _forget(self, name: str) -> None:
         for index in (
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -38,20 +38,20 @@
     Without `acting` (standstill) there are no orders; without a `fresh` view of the jobs, no starts."""
     if heartbeat.token > cluster.term:
         raise SupersededError(heartbeat.token)
-    if cluster.tombstones.covers(heartbeat.machine, heartbeat.session, heartbeat.sequence_number):
+    if cluster.tombstones.covers(heartbeat.machine, heartbeat.incarnation, heartbeat.sequence_number):
         return None  # a late copy: the machine is gone
     machine = cluster.machine(heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now)
-    if heartbeat.session < machine.session or (
-        heartbeat.session == machine.session and heartbeat.sequence_number <= machine.heartbeat_sequence_number
+    if heartbeat.incarnation < machine.incarnation or (
+        heartbeat.incarnation == machine.incarnation and heartbeat.sequence_number <= machine.heartbeat_sequence_number
     ):
         return None  # late or repeated: its task list is older than what is known
-    if machine.lost and heartbeat.session == machine.session:
+    if machine.lost and heartbeat.incarnation == machine.incarnation:
         machine.sequence_number = max(machine.sequence_number, heartbeat.sequence_number)
-        return None  # its lease is over by our clock: only its next session is believed
-    stale = heartbeat.session == machine.session and heartbeat.sequence_number < machine.sequence_number
+        return None  # its lease is over by our clock: only its next incarnation is believed
+    stale = heartbeat.incarnation == machine.incarnation and heartbeat.sequence_number < machine.sequence_number
     # After anything but our 200 a worker goes on to the next controller, so a report that follows the last
     # message directly shows that answers reach it. With one that does not, work waits for the next that does.
-    follows = heartbeat.session == machine.session and heartbeat.sequence_number == machine.sequence_number + 1
+    follows = heartbeat.incarnation == machine.incarnation and heartbeat.sequence_number == machine.sequence_number + 1
     machine.heartbeat_sequence_number = heartbeat.sequence_number
     machine.has_sent_heartbeat = True
     machine.seen_at = now
@@ -92,16 +92,16 @@
     """A worker's state in its answer to a direct call. It renews no lease, and since it may be older than the
     answer to a report in flight, what it lacks may yet be started: absence proves less than in a report."""
     if heartbeat.token > cluster.term or cluster.tombstones.covers(
-        heartbeat.machine, heartbeat.session, heartbeat.sequence_number
+        heartbeat.machine, heartbeat.incarnation, heartbeat.sequence_number
     ):
         return
     machine = cluster.machine(heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now)
-    if (heartbeat.session, heartbeat.sequence_number) <= (machine.session, machine.sequence_number):
+    if (heartbeat.incarnation, heartbeat.sequence_number) <= (machine.incarnation, machine.sequence_number):
         return
-    if machine.lost and heartbeat.session == machine.session:
+    if machine.lost and heartbeat.incarnation == machine.incarnation:
         machine.sequence_number = heartbeat.sequence_number
         return
-    if machine.session and heartbeat.session > machine.session:
+    if machine.incarnation and heartbeat.incarnation > machine.incarnation:
         # Its lease ran out and yet it hears us: it does not reach us, so work on it would die with each lease.
         machine.overdue = True
     _newer(cluster, machine, heartbeat, now)
@@ -117,19 +117,19 @@
 
 
 def _newer(cluster: ClusterState, machine: Machine, heartbeat: messages.WorkerHeartbeat, now: float) -> None:
-    """Session, serial and notice of a message that is newer than all before."""
+    """Incarnation, serial and notice of a message that is newer than all before."""
     machine.addr = heartbeat.addr or machine.addr
-    if heartbeat.session > machine.session:
-        if machine.session:
+    if heartbeat.incarnation > machine.incarnation:
+        if machine.incarnation:
             # Its images stay: seen on a measured day, work that came back to such machines began at once.
             cluster.release_all(machine, now, "worker's lease ran out")
             machine.relearn = True
         machine.reachable = False
-        machine.session = heartbeat.session
+        machine.incarnation = heartbeat.incarnation
         if machine.synced:
-            # A session has a whole lease from its beginning, which was before now, whether or not a report of it
+            # An incarnation has a whole lease from its beginning, which was before now, whether or not a report of it
             # was ever answered. Found on a day of our own (ran_twice): a machine that reached nobody answered
-            # direct calls in its second session, and was taken for lost by the lease of its first.
+            # direct calls in its second incarnation, and was taken for lost by the lease of its first.
             machine.answered_at = now
         machine.lost = False
         machine.heartbeat_sequence_number = -1
@@ -152,7 +152,7 @@
     machine.synced = True
     machine.first_at = None
     machine.reachable = reachable
-    machine.answered_at = now  # from now on it may be given work, and its session may have begun just now
+    machine.answered_at = now  # from now on it may be given work, and its incarnation may have begun just now
     if reachable:
         machine.proved_at = now
     if machine.rostered or machine.name in cluster.takeover.unconfirmed:
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -1,4 +1,4 @@
-"""A machine as the leader knows it: its session, what is bound to it, and whether it may be given work."""
+"""A machine as the leader knows it: its incarnation, what is bound to it, and whether it may be given work."""
 
 from __future__ import annotations
 
@@ -50,9 +50,9 @@
     """A machine and what is bound to it."""
 
     synced = _Condition(False)  # has reported our term as its highest token: no older leader can order it about
-    reachable = _Condition(False)  # has shown in this session that answers or commands reach it
+    reachable = _Condition(False)  # has shown in this incarnation that answers or commands reach it
     rostered = _Condition(False)  # its roster key is committed
-    lost = _Condition(False)  # its session's lease has run out; only a later session is believed
+    lost = _Condition(False)  # its incarnation's lease has run out; only a later incarnation is believed
     overdue = _Condition(False)  # its report is late, so it may hang or be cut off: no new work before the next one
     draining = _Condition(False)
     returning = _Condition(False)
@@ -71,13 +71,13 @@
         self.zone = ""
         self.spot = False
         self.addr = ""
-        self.session = 0
+        self.incarnation = 0
         self.sequence_number = -1
         self.heartbeat_sequence_number = -1  # of the last report proper; direct answers carry numbers of the same count
         self.has_sent_heartbeat = False  # has sent a report in this term
         self.seen_at = float("-inf")  # when it last reported; before its first report in this term, when first met
         self.proved_at = float("-inf")  # when it last showed that answers or commands reach it
-        self.relearn = False  # our token may be known to it from an earlier session: showing it proves no hearing
+        self.relearn = False  # our token may be known to it from an earlier incarnation: showing it proves no hearing
         self.first_at: float | None = None  # receipt of the first report since it is not synced
         self.answered_at: float | None = None  # receipt of the last report that we answered
         self.located = False  # its attempts are on it for certain: it reported them with our term as its highest token
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -35,7 +35,7 @@
     """What a worker says of its machine: in a report, or in its answer to a direct call."""
 
     machine: str = msgspec.field(name="host")
-    session: int = msgspec.field(name="tenure")
+    incarnation: int = msgspec.field(name="tenure")
     sequence_number: int = msgspec.field(name="serial")
     machine_type: str = msgspec.field(name="flavour", default="")
     zone: str = msgspec.field(name="region", default="")
--- a/sorrelsill/workers/push.py
+++ b/sorrelsill/workers/push.py
@@ -1,6 +1,6 @@
 """Orders sent straight to workers, so that a start does not wait for the next report.
 
-Such an order may be executed minutes late while token and session still match, so an attempt whose direct
+Such an order may be executed minutes late while token and incarnation still match, so an attempt whose direct
 start is unanswered is *loose*: a report without it proves nothing, it is never cleared, and to be rid of it
 the same start goes out again in an answer to a report (which cannot be late), followed by a halt."""
 
@@ -152,7 +152,7 @@
             commands, attempts = take_direct_commands(cluster, machine, self._fresh())
             if not commands:
                 return
-            body = _encode({"epoch": cluster.term, "tenure": machine.session, "orders": commands})
+            body = _encode({"epoch": cluster.term, "tenure": machine.incarnation, "orders": commands})
             try:
                 status, raw = await self._client(machine.addr).request(
                     "POST", "/commands", body, constants.PUSH_TIMEOUT_S, may_send=self._valid_for(attempts)
@@ -188,8 +188,8 @@
             status, raw = await self._client(addr).request("GET", "/status", b"", timeout_s)
             if status != 200 or not self._valid():
                 return
-            session = parse_heartbeat(raw).session
-            body = _encode({"epoch": cluster.term, "tenure": session, "orders": []})
+            incarnation = parse_heartbeat(raw).incarnation
+            body = _encode({"epoch": cluster.term, "tenure": incarnation, "orders": []})
             status, raw = await self._client(addr).request(
                 "POST", "/commands", body, constants.PUSH_TIMEOUT_S, may_send=self._valid
             )
--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -18,9 +18,9 @@
     return cluster, machine
 
 
-def heartbeat(cluster: ClusterState, sequence_number: int, now: float, session: int = 1, epoch: int = 7) -> object:
+def heartbeat(cluster: ClusterState, sequence_number: int, now: float, incarnation: int = 1, epoch: int = 7) -> object:
     return cluster.on_heartbeat(
-        WorkerHeartbeat("m1", session, sequence_number, "c8", "a", "10.0.0.9:9000", False, epoch), now
+        WorkerHeartbeat("m1", incarnation, sequence_number, "c8", "a", "10.0.0.9:9000", False, epoch), now
     )
 
 
@@ -42,11 +42,11 @@
 
 
 def test_a_new_session_gets_work_once_it_has_shown_that_it_hears() -> None:
-    """Our token may be known to it from the session before, so showing that proves nothing."""
+    """Our token may be known to it from the incarnation before, so showing that proves nothing."""
     cluster, machine = cluster_of_one()
-    heartbeat(cluster, 3, 14.0, session=2)
+    heartbeat(cluster, 3, 14.0, incarnation=2)
     assert not machine.usable
-    heartbeat(cluster, 4, 15.0, session=2)
+    heartbeat(cluster, 4, 15.0, incarnation=2)
     assert machine.usable
 
 
@@ -60,10 +60,10 @@
     assert [h.name for h in cluster.expire_leases(17.0)] == ["m1"] and not cluster.takeover.unconfirmed
 
 
-def answer(cluster: ClusterState, sequence_number: int, now: float, session: int = 1) -> None:
+def answer(cluster: ClusterState, sequence_number: int, now: float, incarnation: int = 1) -> None:
     """Of a direct call."""
     cluster.on_command_response(
-        WorkerHeartbeat("m1", session, sequence_number, "c8", "a", "10.0.0.9:9000", False, 7), now
+        WorkerHeartbeat("m1", incarnation, sequence_number, "c8", "a", "10.0.0.9:9000", False, 7), now
     )
 
 
@@ -77,9 +77,9 @@
 
 def test_a_session_that_was_only_heard_of_directly_has_a_whole_lease_of_its_own() -> None:
     """Found on a day of our own (ran_twice): a machine that reached nobody was given work directly in its second
-    session, and taken for lost a lease after the first answer, which came out of its first."""
+    incarnation, and taken for lost a lease after the first answer, which came out of its first."""
     cluster, machine = greeted()
-    answer(cluster, 9, 8.0, session=2)
+    answer(cluster, 9, 8.0, incarnation=2)
     assert not cluster.expire_leases(13.0) and not machine.lost
     assert cluster.expire_leases(20.0) == [machine]
 
@@ -98,11 +98,11 @@
 
 def test_a_machine_whose_lease_ran_out_while_it_answered_gets_no_work() -> None:
     cluster, machine = greeted()
-    answer(cluster, 2, 3.0, session=2)
+    answer(cluster, 2, 3.0, incarnation=2)
     cluster.expire_leases(3.1)
     assert not machine.usable
-    heartbeat(cluster, 3, 4.0, session=2)
-    heartbeat(cluster, 4, 5.0, session=2)
+    heartbeat(cluster, 3, 4.0, incarnation=2)
+    heartbeat(cluster, 4, 5.0, incarnation=2)
     machine.rostered = True
     cluster.expire_leases(5.1)
     assert machine.usable
--- a/sorrelsill/workers/tombstones.py
+++ b/sorrelsill/workers/tombstones.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Tombstone:
-    session: float  # the last one that is not believed any more
+    incarnation: float  # the last one that is not believed any more
     sequence_number: int
     buried_at: float
 
@@ -28,9 +28,9 @@
         """The machine was returned or has failed. Names are never used again: whatever comes under it is a copy."""
         self.bury(machine, float("inf"), 0, now)
 
-    def bury(self, machine: str, session: float, sequence_number: int, now: float) -> None:
-        """Nothing up to this message is believed any more; a later session shows that the machine is alive."""
-        self._stones[machine] = _Tombstone(session, sequence_number, now)
+    def bury(self, machine: str, incarnation: float, sequence_number: int, now: float) -> None:
+        """Nothing up to this message is believed any more; a later incarnation shows that the machine is alive."""
+        self._stones[machine] = _Tombstone(incarnation, sequence_number, now)
         self._stones.move_to_end(machine)
         while len(self._stones) > constants.TOMBSTONES_KEPT:
             oldest = next(iter(self._stones.values()))
@@ -38,10 +38,10 @@
                 break
             self._stones.popitem(last=False)
 
-    def covers(self, machine: str, session: int, sequence_number: int) -> bool:
+    def covers(self, machine: str, incarnation: int, sequence_number: int) -> bool:
         """Whether a message is from before the machine was gone."""
         stone = self._stones.get(machine)
-        return stone is not None and (session, sequence_number) <= (stone.session, stone.sequence_number)
+        return stone is not None and (incarnation, sequence_number) <= (stone.incarnation, stone.sequence_number)
 
     def __len__(self) -> int:
         return len(self._stones)
--- a/tests/scenarios/test_machine_failures.py
+++ b/tests/scenarios/test_machine_failures.py
@@ -59,7 +59,7 @@
             60,
         )
         assert trio.current_time() - began > 10
-        simulation.net.heal()  # late reports of the old session, late orders of ours
+        simulation.net.heal()  # late reports of the old incarnation, late orders of ours
         await trio.sleep(30)
         assert len(simulation.running("run-s")) == 2
 
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -1,4 +1,4 @@
-"""A worker after the protocol page: reports, tokens, leases and sessions, start, halt and clear."""
+"""A worker after the protocol page: reports, tokens, leases and incarnations, start, halt and clear."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         self._at = sorted(nodes)[0]
         self.heartbeat_interval_s, self.lease_s = heartbeat_interval_s, lease_s
         self._specs, self._hear = specs, hear
-        self.session, self.sequence_number, self.epoch = 1, 0, 0
+        self.incarnation, self.sequence_number, self.epoch = 1, 0, 0
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.on: set[str] = set()  # tasks on the machine: with their image, not ended
         self.answered = trio.current_time()
@@ -72,7 +72,7 @@
             for task_id in list(self.on):
                 self._put(task_id, False)
             self.tasks.clear()
-            self.session += 1
+            self.incarnation += 1
             self.answered = now
             self._changed()
 
@@ -146,7 +146,7 @@
             "flavour": self.machine_type,
             "region": self.zone,
             "reclaimable": self.spot,
-            "tenure": self.session,
+            "tenure": self.incarnation,
             "serial": self.sequence_number,
             "epoch": self.epoch,
             "evictInS": evict,
@@ -164,7 +164,7 @@
         body = _decode(request.body)
         if "epoch" not in body or "tenure" not in body:
             return Reply(400)
-        if body["epoch"] < self.epoch or body["tenure"] != self.session:
+        if body["epoch"] < self.epoch or body["tenure"] != self.incarnation:
             return Reply(409, _encode(self.heartbeat_message()))
         self._see(body["epoch"])
         for order in body["orders"]:
@@ -180,15 +180,15 @@
     async def run(self) -> None:
         while not self.dead:
             sent = trio.current_time()
-            session = self.session
+            incarnation = self.incarnation
             if not self.hung:
-                await self._report(sent, session)
+                await self._report(sent, incarnation)
             change = self._change
             with trio.move_on_at(max(sent + self.heartbeat_interval_s, trio.current_time() + 0.01)):
                 await change.wait()
                 await trio.sleep_until(sent + 0.5)
 
-    async def _report(self, sent: float, session: int) -> None:
+    async def _report(self, sent: float, incarnation: int) -> None:
         try:
             status, raw = await self._clients[self._at].request(
                 "POST", "/hello", _encode(self.heartbeat_message()), 4.0
@@ -204,7 +204,7 @@
             self._changed()
         elif status != 200:
             await self._next()
-        elif session == self.session and answer.get("epoch", -1) >= self.epoch:
+        elif incarnation == self.incarnation and answer.get("epoch", -1) >= self.epoch:
             self._see(answer["epoch"])
             self.answered = max(self.answered, sent)
             for order in answer["orders"]:
