--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -177,7 +177,7 @@
             self.view,
             cluster,
             self.elector.valid,
-            on_superseded=lambda: self.elector.superseded(cluster.term + 1),
+            on_fenced=lambda: self.elector.fenced(cluster.term + 1),
         )
 
     def _make_fleet(self, cluster: ClusterState) -> FleetManager:
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -16,8 +16,8 @@
 from sorrelsill.store import View
 from sorrelsill.workers import (
     ClusterState,
+    FencedError,
     InvalidHeartbeatError,
-    SupersededError,
     WorkerHeartbeat,
     parse_heartbeat,
     stop_command,
@@ -79,15 +79,17 @@
         if cluster is not None:
             try:
                 commands = cluster.on_heartbeat(heartbeat, now, acting, self._fresh())
-            except SupersededError as error:
-                self._elector.superseded(error.token)
+            except FencedError as error:
+                self._elector.fenced(error.fencing_token)
                 return Reply(421, _encode({}))
             if commands is None:
                 return Reply(503)
             self._news()
         if cluster is None or not acting:
-            # Nobody leads and nobody can: the worker's own token; its lease goes on and nothing else does.
-            return Reply(200, _encode({"epoch": heartbeat.token, "orders": self._stop_commands(heartbeat, now)}))
+            # Nobody leads and nobody can: the worker's own fencing token; its lease goes on and nothing else does.
+            return Reply(
+                200, _encode({"epoch": heartbeat.fencing_token, "orders": self._stop_commands(heartbeat, now)})
+            )
         # Only a report that is newer than all before makes the connection the machine's own: not a late copy.
         return Reply(200, _encode({"epoch": cluster.term, "orders": commands}), owner=heartbeat.machine)
 
@@ -103,7 +105,7 @@
 
     def _stop_commands(self, heartbeat: WorkerHeartbeat, now: float) -> list[dict[str, Any]]:
         """In degraded mode: tasks of jobs known to be cancelled still have to go. Stopping them is always right,
-        whoever leads next, and a worker takes it from any controller that names its token. A view that was read anew
+        whoever leads next, and a worker takes it from any controller that names its fencing token. A view that was read anew
         not long ago lacks what was cancelled before, so what is not live in it is stopped as well."""
         unknown = self._view.fresh_at > float("-inf") and self._cancellations.suspect_unknown(now)
         out = []
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -72,7 +72,7 @@
         view: View,
         cluster: ClusterState,
         valid: Callable[[], bool],
-        on_superseded: Callable[[], None] = lambda: None,
+        on_fenced: Callable[[], None] = lambda: None,
     ) -> None:
         """`on_superseded` is told when the store says that another leader's term has begun."""
         self._store = store
@@ -81,7 +81,7 @@
         self._valid = valid
         self._alone = 0  # steps in which each change goes by itself, after a refusal
         self._aside: dict[str, float] = {}  # changes that were refused alone: until when they are left out
-        self._on_superseded = on_superseded
+        self._on_fenced = on_fenced
 
     @property
     def set_aside(self) -> int:
@@ -124,7 +124,7 @@
             for undo in batch.undo:
                 undo()
             if txn is not None and LEADER in txn.failed:
-                self._on_superseded()
+                self._on_fenced()
             return False
         for after in batch.after:
             after(txn.rev)
--- a/sorrelsill/leadership/elector.py
+++ b/sorrelsill/leadership/elector.py
@@ -1,6 +1,6 @@
 """One controller leads: it holds `s/leader`, a key attached to a lease in the state service.
 
-The term is that key's revision; it is the workers' token. The leader pings (renews its lease) every
+The term is that key's revision; it is the workers' fencing token. The leader pings (renews its lease) every
 sixth of the lease and acts only while its last good ping was *sent* less than two thirds of the lease
 ago. Since the key cannot go before a whole lease after the last renewal arrived, another controller can
 take it only when this one has stopped acting.
@@ -147,10 +147,10 @@
         self._store.set_leading(False)
         self._on_term(None)
 
-    def superseded(self, token: int) -> None:
-        """A worker has seen a higher token: another controller leads, or led, after us."""
-        if self.term is not None and token > self.term:
-            self._drop(f"a worker has seen token {token}")
+    def fenced(self, fencing_token: int) -> None:
+        """A worker has seen a higher fencing token: another controller leads, or led, after us."""
+        if self.term is not None and fencing_token > self.term:
+            self._drop(f"a worker has seen fencing token {token}")
 
     @property
     def predecessor(self) -> str | None:
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -3,7 +3,7 @@
 Then nobody can ping, so nobody may lead, and without answers the workers' leases would run out and all
 tasks be killed. So controllers promise each other for a few seconds to neither acquire the key nor act
 as leader. A controller promises only if it cannot reach the store itself. Whoever holds such promises
-from *all* members may answer reports with the token the worker already has and with no orders: this
+from *all* members may answer reports with the fencing token the worker already has and with no orders: this
 renews leases and does nothing else. Nothing is started or declared lost meanwhile, and whoever leads
 next counts every silent worker's lease from the end of the promises it knows of.
 
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -4,7 +4,7 @@
 from sorrelsill.workers.cluster_state import ClusterState
 from sorrelsill.workers.groups import enforce_gang_completeness
 from sorrelsill.workers.groups import lost_work as group_loss
-from sorrelsill.workers.heartbeats import SupersededError
+from sorrelsill.workers.heartbeats import FencedError
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Machine
 from sorrelsill.workers.machine_index import MachineIndex
@@ -27,7 +27,7 @@
     "ClusterState",
     "Pusher",
     "WorkerHeartbeat",
-    "SupersededError",
+    "FencedError",
     "TeamUse",
     "group_loss",
     "stop_command",
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -23,12 +23,12 @@
 log = logging.getLogger(__name__)
 
 
-class SupersededError(Exception):
-    """A worker has seen a higher token than ours."""
+class FencedError(Exception):
+    """A worker has seen a higher fencing token than ours."""
 
-    def __init__(self, token: int) -> None:
-        super().__init__(token)
-        self.token = token
+    def __init__(self, fencing_token: int) -> None:
+        super().__init__(fencing_token)
+        self.fencing_token = fencing_token
 
 
 def on_heartbeat(
@@ -36,8 +36,8 @@
 ) -> list[dict[str, Any]] | None:
     """Take a report in; the orders for the answer, or None if it must not be answered with 200.
     Without `acting` (standstill) there are no orders; without a `fresh` view of the jobs, no starts."""
-    if heartbeat.token > cluster.term:
-        raise SupersededError(heartbeat.token)
+    if heartbeat.fencing_token > cluster.term:
+        raise FencedError(heartbeat.fencing_token)
     if cluster.tombstones.covers(heartbeat.machine, heartbeat.incarnation, heartbeat.sequence_number):
         return None  # a late copy: the machine is gone
     machine = cluster.machine(heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now)
@@ -69,7 +69,7 @@
     if not machine.synced:
         if machine.first_at is None:
             machine.first_at = now
-        machine.relearn |= not known and heartbeat.token == cluster.term
+        machine.relearn |= not known and heartbeat.fencing_token == cluster.term
         _sync(cluster, machine, heartbeat, follows or not machine.relearn, now)
     else:
         # One that does not follow is no proof of the contrary: reports cross with direct answers, and a worker
@@ -91,7 +91,7 @@
 def on_command_response(cluster: ClusterState, heartbeat: messages.WorkerHeartbeat, now: float) -> None:
     """A worker's state in its answer to a direct call. It renews no lease, and since it may be older than the
     answer to a report in flight, what it lacks may yet be started: absence proves less than in a report."""
-    if heartbeat.token > cluster.term or cluster.tombstones.covers(
+    if heartbeat.fencing_token > cluster.term or cluster.tombstones.covers(
         heartbeat.machine, heartbeat.incarnation, heartbeat.sequence_number
     ):
         return
@@ -107,7 +107,7 @@
     _newer(cluster, machine, heartbeat, now)
     if machine.seen_at == float("-inf"):
         machine.seen_at = now
-    if heartbeat.token == cluster.term:
+    if heartbeat.fencing_token == cluster.term:
         _sync(cluster, machine, heartbeat, True, now, direct=True)
         machine.reachable = True
         machine.proved_at = now
@@ -147,7 +147,7 @@
     now: float,
     direct: bool = False,
 ) -> None:
-    if heartbeat.token != cluster.term or machine.synced:
+    if heartbeat.fencing_token != cluster.term or machine.synced:
         return
     machine.synced = True
     machine.first_at = None
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -49,7 +49,7 @@
 class Machine:
     """A machine and what is bound to it."""
 
-    synced = _Condition(False)  # has reported our term as its highest token: no older leader can order it about
+    synced = _Condition(False)  # has reported our term as its highest fencing token: no older leader can order it about
     reachable = _Condition(False)  # has shown in this incarnation that answers or commands reach it
     rostered = _Condition(False)  # its roster key is committed
     lost = _Condition(False)  # its incarnation's lease has run out; only a later incarnation is believed
@@ -77,10 +77,14 @@
         self.has_sent_heartbeat = False  # has sent a report in this term
         self.seen_at = float("-inf")  # when it last reported; before its first report in this term, when first met
         self.proved_at = float("-inf")  # when it last showed that answers or commands reach it
-        self.relearn = False  # our token may be known to it from an earlier incarnation: showing it proves no hearing
+        self.relearn = (
+            False  # our fencing token may be known to it from an earlier incarnation: showing it proves no hearing
+        )
         self.first_at: float | None = None  # receipt of the first report since it is not synced
         self.answered_at: float | None = None  # receipt of the last report that we answered
-        self.located = False  # its attempts are on it for certain: it reported them with our term as its highest token
+        self.located = (
+            False  # its attempts are on it for certain: it reported them with our term as its highest fencing token
+        )
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.live = 0  # attempts that hold room on it
         self.unknown = 0  # tasks on it of jobs that are over or unknown, not yet gone
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -41,7 +41,7 @@
     zone: str = msgspec.field(name="region", default="")
     addr: str = ""
     spot: bool = msgspec.field(name="reclaimable", default=False)
-    token: int = msgspec.field(name="epoch", default=0)
+    fencing_token: int = msgspec.field(name="epoch", default=0)
     evict_in_s: float | None = msgspec.field(name="evictInS", default=None)
     tasks: list[TaskStatus] = msgspec.field(name="shards", default_factory=list)
 
--- a/sorrelsill/workers/push.py
+++ b/sorrelsill/workers/push.py
@@ -1,6 +1,6 @@
 """Orders sent straight to workers, so that a start does not wait for the next report.
 
-Such an order may be executed minutes late while token and incarnation still match, so an attempt whose direct
+Such an order may be executed minutes late while fencing token and incarnation still match, so an attempt whose direct
 start is unanswered is *loose*: a report without it proves nothing, it is never cleared, and to be rid of it
 the same start goes out again in an answer to a report (which cannot be late), followed by a halt."""
 
@@ -116,7 +116,7 @@
                 nursery.start_soon(self._push, cluster, machine)
 
     def probe_unconfirmed(self, cluster: ClusterState, nursery: trio.Nursery) -> None:
-        """Show our token to the machines of the roster that were not heard yet: an answer is the machine's state, with
+        """Show our fencing token to the machines of the roster that were not heard yet: an answer is the machine's state, with
         nothing older to come. Each is tried again after a pause that grows; what did not answer before never keeps
         those from being asked that were not asked yet."""
         if self._probed is not cluster:
--- a/sorrelsill/workers/takeover.py
+++ b/sorrelsill/workers/takeover.py
@@ -1,6 +1,6 @@
 """What a new leader can't see yet: machines of the registry that it has not heard, and what may run on them.
 
-Until such a machine has shown the new token or its lease has run out, it may hold tasks of jobs that an earlier leader
+Until such a machine has shown the new fencing token or its lease has run out, it may hold tasks of jobs that an earlier leader
 started. Those jobs get no new starts, and what their teams may use unseen counts toward the teams' limits."""
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
     """The machines not confirmed in this term, and the resources that may be in use on them."""
 
     def __init__(self) -> None:
-        self.unconfirmed: dict[str, MachineKind] = {}  # registered machines not yet heard with our token
+        self.unconfirmed: dict[str, MachineKind] = {}  # registered machines not yet heard with our fencing token
         self.unconfirmed_addresses: dict[str, str] = {}
         self._unconfirmed_kinds: dict[MachineKind, int] = {}
         self.ended: dict[str, EndedJob] = {}  # jobs that are over, of which such machines may hold tasks
@@ -92,7 +92,7 @@
             self.ended.clear()
 
     def confirm(self, name: str) -> bool:
-        """The machine was heard with the new token, or holds nothing any more. False if it was confirmed before."""
+        """The machine was heard with the new fencing token, or holds nothing any more. False if it was confirmed before."""
         kind = self.unconfirmed.pop(name, None)
         if kind is None:
             return False
--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -42,7 +42,7 @@
 
 
 def test_a_new_session_gets_work_once_it_has_shown_that_it_hears() -> None:
-    """Our token may be known to it from the incarnation before, so showing that proves nothing."""
+    """Our fencing token may be known to it from the incarnation before, so showing that proves nothing."""
     cluster, machine = cluster_of_one()
     heartbeat(cluster, 3, 14.0, incarnation=2)
     assert not machine.usable
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -141,13 +141,13 @@
         if number % 2:
             await trio.sleep(timeout)
             raise NoAnswerError("hangs")
-        token = TERM if target == "/commands" else TERM - 1
+        fencing_token = TERM if target == "/commands" else TERM - 1
         return 200, msgspec.msgpack.encode(
             {
                 "host": f"m-{number:06d}",
                 "tenure": 1,
                 "serial": self.asked[self.addr],
-                "epoch": token,
+                "epoch": fencing_token,
                 "flavour": "std",
                 "region": "ab"[number % 2],
                 "addr": self.addr,
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -99,7 +99,7 @@
     leader = leader_after_takeover(3)
     copied, true, _ = leader.names
     run_by_earlier_leader(leader, copied, "run-over", 10)
-    leader.cluster.on_heartbeat(leader.next_heartbeat(copied, token=TERM - 1), leader.now)
+    leader.cluster.on_heartbeat(leader.next_heartbeat(copied, fencing_token=TERM - 1), leader.now)
     assert leader.cluster.team_use("red").total == (10.0, 0.0)
     leader.tasks[copied].clear()
     leader.cluster.on_heartbeat(leader.next_heartbeat(copied), leader.now)
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -52,7 +52,7 @@
         subnet, host = divmod(self._numbers[name], _MACHINES_IN_A_SUBNET)
         return f"10.1.{subnet}.{host}:9000"
 
-    def next_heartbeat(self, name: str, token: int = TERM) -> WorkerHeartbeat:
+    def next_heartbeat(self, name: str, fencing_token: int = TERM) -> WorkerHeartbeat:
         """What the machine says next."""
         self.sequence_number[name] += 1
         tasks = [
@@ -67,7 +67,7 @@
             self.zone(name),
             self.address(name),
             self.spot(name),
-            token,
+            fencing_token,
             tasks=tasks,
         )
 
@@ -83,9 +83,9 @@
             elif command["verb"] == "clear":
                 tasks.pop(key, None)
 
-    def send_heartbeat(self, name: str, token: int = TERM) -> None:
+    def send_heartbeat(self, name: str, fencing_token: int = TERM) -> None:
         """A machine reports and carries out the answer."""
-        self.obey(name, self.cluster.on_heartbeat(self.next_heartbeat(name, token), self.now) or [])
+        self.obey(name, self.cluster.on_heartbeat(self.next_heartbeat(name, fencing_token), self.now) or [])
 
     def write_roster(self) -> None:
         """The registry entries of all machines that wait for one are committed."""
