--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -105,8 +105,8 @@
 
     def _stop_commands(self, heartbeat: WorkerHeartbeat, now: float) -> list[dict[str, Any]]:
         """In degraded mode: tasks of jobs known to be cancelled still have to go. Stopping them is always right,
-        whoever leads next, and a worker takes it from any controller that names its fencing token. A view that was read anew
-        not long ago lacks what was cancelled before, so what is not live in it is stopped as well."""
+        whoever leads next, and a worker takes it from any controller that names its fencing token. A view that was
+        read anew not long ago lacks what was cancelled before, so what is not live in it is stopped as well."""
         unknown = self._view.fresh_at > float("-inf") and self._cancellations.suspect_unknown(now)
         out = []
         for item in heartbeat.tasks:
--- a/sorrelsill/leadership/elector.py
+++ b/sorrelsill/leadership/elector.py
@@ -150,7 +150,7 @@
     def fenced(self, fencing_token: int) -> None:
         """A worker has seen a higher fencing token: another controller leads, or led, after us."""
         if self.term is not None and fencing_token > self.term:
-            self._drop(f"a worker has seen fencing token {token}")
+            self._drop(f"a worker has seen fencing token {fencing_token}")
 
     @property
     def predecessor(self) -> str | None:
--- a/sorrelsill/serve.py
+++ b/sorrelsill/serve.py
@@ -44,7 +44,8 @@
     peers = constants.PEER_SOCKETS if settings.members else 0
     pushes = CallLimits.derive(sockets).connections
     most = max(8, sockets - constants.SOCKET_RESERVE - peers - pushes)
-    # A worker that is silent for a whole lease begins a new incarnation, so its connection is good for nothing after that.
+    # A worker that is silent for a whole lease begins a new incarnation, so its connection is good for nothing after
+    # that.
     users = Server(node.handle, most, "users", node.timings.loss_s)
     try:
         listeners = [(users, await _listen(settings.listen, most))]
--- a/sorrelsill/workers/push.py
+++ b/sorrelsill/workers/push.py
@@ -116,9 +116,9 @@
                 nursery.start_soon(self._push, cluster, machine)
 
     def probe_unconfirmed(self, cluster: ClusterState, nursery: trio.Nursery) -> None:
-        """Show our fencing token to the machines of the roster that were not heard yet: an answer is the machine's state, with
-        nothing older to come. Each is tried again after a pause that grows; what did not answer before never keeps
-        those from being asked that were not asked yet."""
+        """Show our fencing token to the machines of the roster that were not heard yet: an answer is the machine's
+        state, with nothing older to come. Each is tried again after a pause that grows; what did not answer before
+        never keeps those from being asked that were not asked yet."""
         if self._probed is not cluster:
             self._probed = cluster
             self._not_probed = deque(cluster.takeover.unconfirmed)
--- a/sorrelsill/workers/takeover.py
+++ b/sorrelsill/workers/takeover.py
@@ -1,7 +1,8 @@
 """What a new leader can't see yet: machines of the registry that it has not heard, and what may run on them.
 
-Until such a machine has shown the new fencing token or its lease has run out, it may hold tasks of jobs that an earlier leader
-started. Those jobs get no new starts, and what their teams may use unseen counts toward the teams' limits."""
+Until such a machine has shown the new fencing token or its lease has run out, it may hold tasks of jobs that an
+earlier leader started. Those jobs get no new starts, and what their teams may use unseen counts toward the teams'
+limits."""
 
 from __future__ import annotations
 
@@ -92,7 +93,8 @@
             self.ended.clear()
 
     def confirm(self, name: str) -> bool:
-        """The machine was heard with the new fencing token, or holds nothing any more. False if it was confirmed before."""
+        """The machine was heard with the new fencing token, or holds nothing any more. False if it was confirmed
+        before."""
         kind = self.unconfirmed.pop(name, None)
         if kind is None:
             return False
