--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -141,7 +141,6 @@
 GROUP_HOLD_SHARE: Final = 0.1  # ratio; of the machines, kept for groups together
 CLAIM_S: Final = 5.0  # s; room that was made is awaited this long before more is made
 
-PRODUCTION_RANK: Final = 0  # the highest rank
 AMOUNT_TOLERANCE: Final = 1e-6  # CPUs, GPUs or GB; amounts that differ by less are the same
 ROOM_CLASSES: Final = 65  # classes of machines by whole free CPUs, 0 to 63; all with more are in the last one
 
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -189,7 +189,7 @@
             lambda: list(self.placer.unplaced.values()),
             self.settings.hurried,
             facts.cloud.list_lag_s,
-            {o.workload for o in facts.objectives if o.kind == "wait" and o.workload},
+            {o.job_class for o in facts.objectives if o.kind == "wait" and o.job_class},
             on_catalog=self._on_catalog,
             on_drain=lambda: self._wake.set(),
         )
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -94,5 +94,5 @@
         if job.split and value.get("d"):
             # Written by the version before this one, which knows of no parts beside the record of a smaller job: what
             # it adds stands only there, and has to go into the parts before the record leaves it out.
-            job.dirty_parts.update(range(-(-spec.shards // constants.PART_SHARDS)))
+            job.dirty_parts.update(range(-(-spec.task_count // constants.PART_SHARDS)))
         return True
--- a/sorrelsill/fleet/catalog.py
+++ b/sorrelsill/fleet/catalog.py
@@ -12,16 +12,16 @@
     try:
         machine_types = [
             MachineType(
-                sku=str(f["sku"]),
+                name=str(f["sku"]),
                 cpus=float(f["vcpus"]),
                 gpus=float(f.get("gpus") or 0),
-                memory=float(f["memoryGb"]),
+                memory_gb=float(f["memoryGb"]),
                 cache_gb=float(f.get("cacheGb") or 0),
-                pull_rate=max(1e-3, float(f.get("pullGbPerS") or 1)),
+                fetch_gb_per_s=max(1e-3, float(f.get("pullGbPerS") or 1)),
                 price=float(f["price"]),
                 spot_price=float(f.get("spotPrice") or f["price"]),
                 boot_s=float(f.get("bootS") or 60),
-                regions=tuple(str(r) for r in f["regions"]),
+                zones=tuple(str(r) for r in f["regions"]),
             )
             for f in answer["flavours"]
         ]
@@ -29,4 +29,4 @@
         raise ValueError(f"not a catalog: {error!r}") from None
     if not machine_types:
         raise ValueError("not a catalog: no machine types")
-    return Catalog({f.sku: f for f in machine_types})
+    return Catalog({f.name: f for f in machine_types})
--- a/sorrelsill/fleet/consolidate.py
+++ b/sorrelsill/fleet/consolidate.py
@@ -18,17 +18,19 @@
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
-        self.cpus = machine.cap_cpus - machine.cpus
-        self.gpus = machine.cap_gpus - machine.gpus
-        self.memory = machine.cap_memory - machine.memory
+        self.cpus = machine.capacity_cpus - machine.cpus
+        self.gpus = machine.capacity_gpus - machine.gpus
+        self.memory_gb = machine.capacity_memory_gb - machine.memory_gb
 
     def fits(self, spec: JobSpec) -> bool:
-        return self.cpus + 1e-6 >= spec.cpus and self.gpus + 1e-6 >= spec.gpus and self.memory + 1e-6 >= spec.memory
+        return (
+            self.cpus + 1e-6 >= spec.cpus and self.gpus + 1e-6 >= spec.gpus and self.memory_gb + 1e-6 >= spec.memory_gb
+        )
 
     def take(self, spec: JobSpec, sign: int = 1) -> None:
         self.cpus -= sign * spec.cpus
         self.gpus -= sign * spec.gpus
-        self.memory -= sign * spec.memory
+        self.memory_gb -= sign * spec.memory_gb
 
 
 class _SpareSlots:
@@ -45,7 +47,7 @@
         machine, spec = room.machine, self._spec
         if machine.zone not in self._by_zone or not machine.allows(spec):
             return
-        self._counted[machine.name] = tasks_that_fit(room.cpus, room.memory, spec)
+        self._counted[machine.name] = tasks_that_fit(room.cpus, room.memory_gb, spec)
         self._by_zone[machine.zone] += self._counted[machine.name]
 
     def uncount(self, room: _Room) -> None:
@@ -144,7 +146,7 @@
         if any(
             a.stop
             or a.spec is None
-            or not a.spec.endless
+            or not a.spec.is_service
             or a.running_since is None
             or now - a.running_since < constants.SETTLED_S
             for a in tasks
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -41,20 +41,20 @@
                 continue
             job, spec = item.job, item.job.spec
             count = min(item.count, 40 * constants.RENT_MAX)
-            if spec.due_s is not None and not spec.endless and not spec.whole:
+            if spec.deadline_s is not None and not spec.is_service and not spec.is_gang:
                 count = min(count, self._enough(item, now))
             if count > 0:
-                patient = spec.spot and not self._hurried and self._can_wait(item, now)
+                patient = spec.spot_allowed and not self._hurried and self._can_wait(item, now)
                 out.append(
                     Need(
                         count,
                         spec.cpus,
                         spec.gpus,
-                        spec.memory,
+                        spec.memory_gb,
                         spec.machine_types,
                         spec.zone or item.zone,
-                        spec.spot,
-                        spec.zone_limit if spec.scatter else None,
+                        spec.spot_allowed,
+                        spec.zone_limit if spec.spread_zones else None,
                         dict(job.zones),
                         patient,
                     )
@@ -70,10 +70,10 @@
         used = free = 0.0
         for machine in self._cluster.index.ready:
             used += machine.cpus
-            free += machine.cap_cpus - machine.cpus
+            free += machine.capacity_cpus - machine.cpus
         kind = min(kinds, key=lambda f: f.cost(False) / max(f.cpus, 0.1))
         missing = int((constants.HEADROOM * used - free) / max(kind.cpus, 0.1))
-        return [Need(missing, kind.cpus, 0.0, kind.memory, None, None, True, None)] if missing > 0 else []
+        return [Need(missing, kind.cpus, 0.0, kind.memory_gb, None, None, True, None)] if missing > 0 else []
 
     def group_room(self) -> tuple[dict[str, float], float]:
         """CPUs on ordinary machines, free or coming, by zone; and how many are kept ready in one zone for groups."""
@@ -97,12 +97,12 @@
         missing = math.ceil((kept - free[zone]) / max(spec.cpus, 0.1))
         if missing <= 0:
             return []
-        return [Need(missing, spec.cpus, spec.gpus, spec.memory, spec.machine_types, zone, False, None)]
+        return [Need(missing, spec.cpus, spec.gpus, spec.memory_gb, spec.machine_types, zone, False, None)]
 
     def spare_spec(self) -> JobSpec | None:
         """The largest live service of a class whose tasks should start within seconds: room for one more of
         it is kept ready, since a machine takes far longer to boot."""
-        jobs = [j.spec for j in self._cluster.jobs.values() if j.spec.endless and j.spec.workload in self._prompt]
+        jobs = [j.spec for j in self._cluster.jobs.values() if j.spec.is_service and j.spec.job_class in self._prompt]
         return max(jobs, key=lambda s: (s.zone_limit * s.cpus, s.job_id), default=None)
 
     def spare_room(self, spec: JobSpec) -> dict[str, int]:
@@ -120,7 +120,7 @@
         if spec is None:
             return []
         return [
-            Need(spec.zone_limit - have, spec.cpus, spec.gpus, spec.memory, spec.machine_types, zone, False, None)
+            Need(spec.zone_limit - have, spec.cpus, spec.gpus, spec.memory_gb, spec.machine_types, zone, False, None)
             for zone, have in sorted(self.spare_room(spec).items())
             if have < spec.zone_limit
         ]
@@ -128,18 +128,18 @@
     def _can_wait(self, item: UnschedulableDemand, now: float) -> bool:
         """Whether a task started on a machine that is rented later can still be in time."""
         spec = item.job.spec
-        if spec.due_s is None:
+        if spec.deadline_s is None:
             return False
-        return time_to_rent(spec, self._cluster.catalog, item.job.submitted + spec.due_s - now)
+        return time_to_rent(spec, self._cluster.catalog, item.job.submitted + spec.deadline_s - now)
 
     def _enough(self, item: UnschedulableDemand, now: float) -> int:
         """How many more tasks at once meet the deadline: machines beyond that cost without use."""
         job, spec = item.job, item.job.spec
-        assert spec.due_s is not None
+        assert spec.deadline_s is not None
         boot, pull = lead_time_s(spec, self._cluster.catalog)
-        left = (job.submitted + spec.due_s - now) * constants.DEADLINE_USE - boot - pull
-        waves = max(1, int(left / max(1.0, spec.expected_s)))
-        tasks = spec.shards - job.done.count
+        left = (job.submitted + spec.deadline_s - now) * constants.DEADLINE_USE - boot - pull
+        waves = max(1, int(left / max(1.0, spec.expected_run_s)))
+        tasks = spec.task_count - job.done.count
         return max(0, -(-tasks // waves) - len(job.bound))
 
 
@@ -151,7 +151,7 @@
         self._spare = demand.spare_spec()
         # A gang that waits needs several machines at once. Guards against each machine rented for it going back as
         # idle before the next one is up.
-        self._awaited = [(u.job.spec, u.zone) for u in unplaced if u.job.spec.whole and not u.limited]
+        self._awaited = [(u.job.spec, u.zone) for u in unplaced if u.job.spec.is_gang and not u.limited]
         self._free, self._kept = demand.group_room()
         self._room: dict[str, int] | None = None  # worked out only if a machine could go, since it walks all of them
 
@@ -161,9 +161,9 @@
             return False
         if self._kept and not machine.spot:
             fullest = max(sorted(self._free), key=lambda zone: self._free[zone])
-            if machine.zone == fullest and self._free[machine.zone] - machine.cap_cpus < self._kept:
+            if machine.zone == fullest and self._free[machine.zone] - machine.capacity_cpus < self._kept:
                 return False
-            self._free[machine.zone] -= machine.cap_cpus
+            self._free[machine.zone] -= machine.capacity_cpus
         return self._leaves_spare(machine)
 
     def _leaves_spare(self, machine: Machine) -> bool:
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -165,7 +165,7 @@
         for machine in self._cluster.machines.values():
             row = kinds.setdefault((machine.machine_type, machine.spot), [0, 0, 0, 0, 0])
             row[0] += 1
-            row[1] += machine.cap_cpus
+            row[1] += machine.capacity_cpus
             for a in machine.attempts.values():
                 if a.spec is not None:
                     row[2 if a.phase == "running" else 3] += a.spec.cpus
@@ -178,7 +178,7 @@
                 " spot" if spot else "",
                 *row,
             )
-        waiting = [(u.job.spec.job_id, u.count, u.job.spec.expected_s) for u in self._unplaced()]
+        waiting = [(u.job.spec.job_id, u.count, u.job.spec.expected_run_s) for u in self._unplaced()]
         log.debug("waiting: %s", waiting)
 
     # --- returning ---
--- a/sorrelsill/fleet/rentals.py
+++ b/sorrelsill/fleet/rentals.py
@@ -36,7 +36,7 @@
     count: int
     cpus: float
     gpus: float
-    memory: float
+    memory_gb: float
     machine_types: frozenset[str] | None
     zone: str | None
     spot: bool
@@ -50,7 +50,7 @@
     offer: Offer
     cpus: float
     gpus: float
-    memory: float
+    memory_gb: float
 
 
 def plan(
@@ -68,7 +68,7 @@
     for p in pending:
         kind = catalog.machine_types.get(p.machine_type)
         if kind is not None:
-            bins.append(_Bin((p.machine_type, p.zone, p.spot), kind.cpus, kind.gpus, kind.memory))
+            bins.append(_Bin((p.machine_type, p.zone, p.spot), kind.cpus, kind.gpus, kind.memory_gb))
     wanted: dict[Offer, int] = {}
     least_cpus = min((need.cpus for need in needs), default=0.0)
     for need in needs:
@@ -85,7 +85,7 @@
             if offer is None:
                 break
             kind = catalog.machine_types[offer[0]]
-            b = _Bin(offer, kind.cpus, kind.gpus, kind.memory)
+            b = _Bin(offer, kind.cpus, kind.gpus, kind.memory_gb)
             put = _fill(need, b, left, zones)
             if put == 0:
                 break
@@ -99,15 +99,15 @@
 
 def lead_time_s(spec: JobSpec, catalog: Catalog) -> tuple[float, float]:
     """Boot and image fetch of the quickest machine type that fits a task."""
-    kinds = [t for t in catalog.machine_types.values() if t.fits(spec.cpus, spec.gpus, spec.memory)]
+    kinds = [t for t in catalog.machine_types.values() if t.fits(spec.cpus, spec.gpus, spec.memory_gb)]
     boot_s = min((t.boot_s for t in kinds), default=0.0)
-    return boot_s, max((spec.image_gb / t.pull_rate for t in kinds), default=0.0)
+    return boot_s, max((spec.image_gb / t.fetch_gb_per_s for t in kinds), default=0.0)
 
 
 def time_to_rent(spec: JobSpec, catalog: Catalog, left_s: float) -> bool:
     """Whether a task on a machine that is still to be rented can be done within the time that is left."""
     boot_s, pull_s = lead_time_s(spec, catalog)
-    return left_s > boot_s + pull_s + spec.expected_s * constants.ESTIMATE_SLACK + constants.PATIENCE_S
+    return left_s > boot_s + pull_s + spec.expected_run_s * constants.ESTIMATE_SLACK + constants.PATIENCE_S
 
 
 def _allows(need: Need, offer: Offer) -> bool:
@@ -118,9 +118,9 @@
     )
 
 
-def _capacity(need: Need, cpus: float, gpus: float, memory: float) -> int:
+def _capacity(need: Need, cpus: float, gpus: float, memory_gb: float) -> int:
     fits = [1e9]
-    for have, want in ((cpus, need.cpus), (gpus, need.gpus), (memory, need.memory)):
+    for have, want in ((cpus, need.cpus), (gpus, need.gpus), (memory_gb, need.memory_gb)):
         if want > 0:
             fits.append((have + 1e-6) / want)
     return math.floor(min(fits))
@@ -129,14 +129,14 @@
 def _fill(need: Need, b: _Bin, left: int, zones: dict[str, int]) -> int:
     if not _allows(need, b.offer):
         return 0
-    count = min(left, _capacity(need, b.cpus, b.gpus, b.memory))
+    count = min(left, _capacity(need, b.cpus, b.gpus, b.memory_gb))
     if need.per_zone is not None:
         count = min(count, need.per_zone - zones.get(b.offer[1], 0))
     if count <= 0:
         return 0
     b.cpus -= count * need.cpus
     b.gpus -= count * need.gpus
-    b.memory -= count * need.memory
+    b.memory_gb -= count * need.memory_gb
     zones[b.offer[1]] = zones.get(b.offer[1], 0) + count
     return count
 
@@ -153,14 +153,14 @@
 ) -> Offer | None:
     best: tuple[tuple[bool, float, int, str], Offer] | None = None
     for kind in catalog.machine_types.values():
-        most = _capacity(need, kind.cpus, kind.gpus, kind.memory)
+        most = _capacity(need, kind.cpus, kind.gpus, kind.memory_gb)
         if most <= 0:
             continue
-        for zone in kind.regions:
+        for zone in kind.zones:
             if need.per_zone is not None and zones.get(zone, 0) >= need.per_zone:
                 continue
             for spot in (True, False):
-                offer = (kind.sku, zone, spot)
+                offer = (kind.name, zone, spot)
                 if need.patient and not spot:
                     continue
                 if not _allows(need, offer) or refused.get(offer, 0.0) > now:
--- a/sorrelsill/fleet/spare_room.py
+++ b/sorrelsill/fleet/spare_room.py
@@ -14,19 +14,19 @@
 
 def tasks_that_could_start(machine: Machine, spec: JobSpec) -> int:
     """On one machine, in free room or in place of lesser work."""
-    cpus, memory = machine.cap_cpus, machine.cap_memory
+    cpus, memory_gb = machine.capacity_cpus, machine.capacity_memory_gb
     for attempt in machine.attempts.values() if machine.live else ():
         kept = attempt.spec
-        if kept is not None and (kept.rank <= spec.rank or kept.whole):
+        if kept is not None and (kept.priority <= spec.priority or kept.is_gang):
             cpus -= kept.cpus
-            memory -= kept.memory
-    return tasks_that_fit(cpus, memory, spec)
+            memory_gb -= kept.memory_gb
+    return tasks_that_fit(cpus, memory_gb, spec)
 
 
-def tasks_that_fit(cpus: float, memory: float, spec: JobSpec) -> int:
+def tasks_that_fit(cpus: float, memory_gb: float, spec: JobSpec) -> int:
     """How many tasks so much room holds."""
     by_cpus = cpus / max(spec.cpus, _SMALLEST_AMOUNT)
-    by_memory = memory / max(spec.memory, _SMALLEST_AMOUNT)
+    by_memory = memory_gb / max(spec.memory_gb, _SMALLEST_AMOUNT)
     return max(0, int(min(by_cpus, by_memory) + _TOLERANCE))
 
 
--- a/sorrelsill/fleet/test_plan.py
+++ b/sorrelsill/fleet/test_plan.py
@@ -38,7 +38,7 @@
         machines.append(machine)
         fields = {"shape": "standing", "shards": replicas, "rank": "prod", "vcpus": 1.0, "memoryGb": 1.0}
         spec = parse_spec(job(f"run-{number}", **fields))
-        work = cluster.add_job(spec, TaskSet(spec.shards), 2, False, 0.0, [])
+        work = cluster.add_job(spec, TaskSet(spec.task_count), 2, False, 0.0, [])
         for index in range(replicas):
             cluster.bind(work, index, machine, 0.0).running_since = 0.0
     return cluster, machines
@@ -48,7 +48,7 @@
     cluster, machines = fleet_of_services(40, 3)
     found = machines_to_drain(machines, cluster.jobs, 100.0, lambda h: 1.0, None, ["a", "b"], 5)
     assert len(found) == 5
-    room = sum(int(h.cap_cpus - h.cpus) for h in machines if h not in found)
+    room = sum(int(h.capacity_cpus - h.cpus) for h in machines if h not in found)
     assert room >= 15
     cluster, machines = fleet_of_services(10, 8)
     assert not machines_to_drain(machines, cluster.jobs, 100.0, lambda h: 1.0, None, ["a", "b"], 5)
--- a/sorrelsill/jobs/__init__.py
+++ b/sorrelsill/jobs/__init__.py
@@ -2,7 +2,7 @@
 
 from sorrelsill.jobs.admission import Admission, BusyError
 from sorrelsill.jobs.cancellations import Cancellations
-from sorrelsill.jobs.messages import RANKS, InvalidJobError, parse_spec, valid_job_id
+from sorrelsill.jobs.messages import InvalidJobError, parse_spec, valid_job_id
 from sorrelsill.jobs.record_writer import RecordWriter
 from sorrelsill.jobs.records import (
     chunk_value,
@@ -15,7 +15,6 @@
 )
 
 __all__ = [
-    "RANKS",
     "Admission",
     "InvalidJobError",
     "BusyError",
--- a/sorrelsill/jobs/admission.py
+++ b/sorrelsill/jobs/admission.py
@@ -359,7 +359,7 @@
             # Guards against a damaged record that could never be cancelled: whoever leads can't read it either.
             log.error("cancelling %s, whose record is damaged: %s", job_id, error)
             return {"p": "cancelled", "n": count, "o": None}
-        if done.size == count and not spec.endless:
+        if done.size == count and not spec.is_service:
             # Every task is done and recorded; only the move to the final key is missing.
             return final_record("done", spec, count, why, self._store.small_bytes)
         return final_record("cancelled", spec, count, [*why, "cancelled by its user"], self._store.small_bytes)
--- a/sorrelsill/jobs/messages.py
+++ b/sorrelsill/jobs/messages.py
@@ -7,9 +7,15 @@
 from typing import Any
 
 from sorrelsill import constants
-from sorrelsill.model import GANG, STANDING, SWEEP, JobSpec
+from sorrelsill.model import JobKind, JobSpec, Priority
 
-RANKS = {"prod": 0, "high": 1, "standard": 2, "best_effort": 3}
+_KINDS = {"sweep": JobKind.ARRAY, "standing": JobKind.SERVICE, "group": JobKind.GANG}
+_PRIORITIES = {
+    "prod": Priority.PRODUCTION,
+    "high": Priority.HIGH,
+    "standard": Priority.STANDARD,
+    "best_effort": Priority.BEST_EFFORT,
+}
 
 _UID = re.compile(r"run-[A-Za-z0-9_.-]{1,120}\Z")
 _NAME_MAX = 200
@@ -88,14 +94,14 @@
         raise InvalidJobError("body: must be a map")
     if not valid_job_id(raw.get("uid")):
         raise InvalidJobError("uid: must look like run-000412")
-    shape = raw.get("shape")
-    if shape not in (SWEEP, STANDING, GANG):
+    kind = raw.get("shape")
+    if not isinstance(kind, str) or kind not in _KINDS:
         raise InvalidJobError("shape: must be sweep, standing or group")
-    rank = raw.get("rank")
-    if not isinstance(rank, str) or rank not in RANKS:
+    priority = raw.get("rank")
+    if not isinstance(priority, str) or priority not in _PRIORITIES:
         raise InvalidJobError("rank: must be prod, high, standard or best_effort")
-    shards = raw.get("shards")
-    if isinstance(shards, bool) or not isinstance(shards, int) or not 1 <= shards <= constants.MAX_SHARDS:
+    task_count = raw.get("shards")
+    if isinstance(task_count, bool) or not isinstance(task_count, int) or not 1 <= task_count <= constants.MAX_SHARDS:
         raise InvalidJobError(f"shards: must be a whole number from 1 to {constants.MAX_SHARDS}")
     zone = raw.get("region")
     if zone is not None and (not isinstance(zone, str) or not zone):
@@ -103,24 +109,24 @@
     due = None if raw.get("dueS") is None else _number(raw, "dueS")
     return JobSpec(
         job_id=raw["uid"],
-        workload=_text(raw, "workload"),
+        job_class=_text(raw, "workload"),
         team=_text(raw, "owner"),
-        shape=shape,
-        rank=RANKS[rank],
-        shards=shards,
+        kind=_KINDS[kind],
+        priority=_PRIORITIES[priority],
+        task_count=task_count,
         cpus=_number(raw, "vcpus"),
         gpus=_number(raw, "gpus"),
-        memory=_number(raw, "memoryGb"),
+        memory_gb=_number(raw, "memoryGb"),
         machine_types=_flavours(raw),
         zone=zone,
         one_zone=_flag(raw, "oneZone"),
-        scatter=_flag(raw, "scatter"),
-        spot=_flag(raw, "reclaimable"),
+        spread_zones=_flag(raw, "scatter"),
+        spot_allowed=_flag(raw, "reclaimable"),
         image=_text(raw, "bundle"),
         image_gb=_number(raw, "sizeGb"),
-        expected_s=_number(raw, "expectedRunS"),
-        snapshot_s=_number(raw, "snapshotEveryS"),
-        snapshot_cost_s=_number(raw, "snapshotCostS"),
-        due_s=due,
+        expected_run_s=_number(raw, "expectedRunS"),
+        checkpoint_interval_s=_number(raw, "snapshotEveryS"),
+        checkpoint_cost_s=_number(raw, "snapshotCostS"),
+        deadline_s=due,
         raw={name: raw[name] for name in _KEPT if raw.get(name) is not None},
     )
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -220,7 +220,7 @@
         turned: list[Job] = []
         progress: list[Job] = []
         for job in (cluster.jobs[job_id] for job_id in cluster.dirty):
-            if job.done.count == job.spec.shards and not job.spec.endless:
+            if job.done.count == job.spec.task_count and not job.spec.is_service:
                 over.append(job)
             elif bool(job.shown_running) != any(a.phase == "running" for a in job.bound.values()):
                 turned.append(job)
@@ -239,12 +239,12 @@
         cluster, spec, store = self._cluster, job.spec, self._store
         job_id = spec.job_id
         results = cluster.attempts.unrecorded(job_id)
-        if job.done.count == spec.shards and not spec.endless:
+        if job.done.count == spec.task_count and not spec.is_service:
             # What finds no room of its parts is removed later, as an orphan.
             parts_gone = [Remove(key) for key in self._view.chunk_keys(job_id)][: max(0, batch.ops - 3)]
             if not batch.room(1, 2 + len(parts_gone), 500):
                 return False
-            record = final_record("done", spec, spec.shards, job.why, store.small_bytes)
+            record = final_record("done", spec, spec.task_count, job.why, store.small_bytes)
             batch.conditions.append(Condition(job_key(job_id), job.rev))
             batch.writes += [Remove(job_key(job_id)), Put(final_key(job_id), record), *parts_gone]
             batch.size += json_size(record) + 300
@@ -264,7 +264,9 @@
         if size > store.value_bytes and not job.split:
             # From now on its finished tasks stand beside the record, those written before included.
             job.split = True
-            job.dirty_parts.update(n for n in range(-(-spec.shards // constants.PART_SHARDS)) if self._any_done(job, n))
+            job.dirty_parts.update(
+                n for n in range(-(-spec.task_count // constants.PART_SHARDS)) if self._any_done(job, n)
+            )
             value = record_value(spec, job.done, running, [], job.accepted, False)
             size = json_size(value)
         fits = (
@@ -313,7 +315,7 @@
     @staticmethod
     def _any_done(job: Job, number: int) -> bool:
         start = number * constants.PART_SHARDS
-        return bool(job.done.encode(start, min(job.spec.shards, start + constants.PART_SHARDS)))
+        return bool(job.done.encode(start, min(job.spec.task_count, start + constants.PART_SHARDS)))
 
     def _parts(self, job: Job, most: int) -> tuple[list[Put], set[int]]:
         """Finished tasks of a split job that are not written yet, and the numbers of the small parts that they cover:
--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -8,7 +8,7 @@
 
 from sorrelsill import constants
 from sorrelsill.jobs.messages import InvalidJobError, parse_spec
-from sorrelsill.model import Catalog, JobSpec, TaskSet
+from sorrelsill.model import Catalog, JobKind, JobSpec, TaskSet
 from sorrelsill.settings import Team
 
 
@@ -41,7 +41,7 @@
     spec: JobSpec, done: TaskSet, running: int, why: list[str], accepted: float, inline: bool = True
 ) -> dict[str, Any]:
     """The live record. Very large jobs keep their finished tasks in chunks beside it (not `inline`)."""
-    text = done.encode(0, spec.shards) if inline else ""
+    text = done.encode(0, spec.task_count) if inline else ""
     value: dict[str, Any] = {"s": spec.raw, "d": text, "n": done.count, "r": running, "t": accepted}
     if why:
         value["w"] = why
@@ -64,7 +64,7 @@
     if not isinstance(value, dict):
         raise InvalidJobError("record: must be a map")
     spec = parse_spec(value.get("s"))
-    done = TaskSet(spec.shards)
+    done = TaskSet(spec.task_count)
     done.merge(str(value.get("d") or ""), 0)
     for start, text in chunks:
         done.merge(str(text), start)
@@ -76,16 +76,16 @@
     team = teams.get(spec.team)
     if team is None:
         return f"unknown team {spec.team}"
-    count = spec.shards if spec.shape != "sweep" else 1
+    count = spec.task_count if spec.kind is not JobKind.ARRAY else 1
     if team.cpus_max and spec.cpus * count > team.cpus_max + 1e-9:
         return f"needs more than the limit of {team.cpus_max:g} CPUs of {spec.team}"
     if team.gpus_max and spec.gpus * count > team.gpus_max + 1e-9:
         return f"needs more than the limit of {team.gpus_max:g} GPUs of {spec.team}"
     for machine_type in catalog.machine_types.values():
         if (
-            (spec.machine_types is None or machine_type.sku in spec.machine_types)
-            and (spec.zone is None or spec.zone in machine_type.regions)
-            and machine_type.fits(spec.cpus, spec.gpus, spec.memory)
+            (spec.machine_types is None or machine_type.name in spec.machine_types)
+            and (spec.zone is None or spec.zone in machine_type.zones)
+            and machine_type.fits(spec.cpus, spec.gpus, spec.memory_gb)
         ):
             return None
     return "a task fits no allowed machine type"
--- a/sorrelsill/model/__init__.py
+++ b/sorrelsill/model/__init__.py
@@ -1,19 +1,18 @@
 """Data types that all packages share. Nothing here depends on any other package of the service."""
 
-from sorrelsill.model.job_spec import GANG, STANDING, SWEEP, JobSpec
+from sorrelsill.model.job_spec import JobKind, JobSpec, Priority
 from sorrelsill.model.machine_type import Catalog, MachineType
 from sorrelsill.model.registry_entry import RegistryEntry
 from sorrelsill.model.resources import NOTHING, Resources, resources_of
 from sorrelsill.model.task_set import TaskSet
 
 __all__ = [
-    "GANG",
     "NOTHING",
-    "STANDING",
-    "SWEEP",
     "Catalog",
+    "JobKind",
     "JobSpec",
     "MachineType",
+    "Priority",
     "RegistryEntry",
     "Resources",
     "TaskSet",
--- a/sorrelsill/model/job_spec.py
+++ b/sorrelsill/model/job_spec.py
@@ -2,10 +2,26 @@
 
 from __future__ import annotations
 
+import enum
 from dataclasses import dataclass
 from typing import Any
 
-SWEEP, STANDING, GANG = "sweep", "standing", "group"
+
+class JobKind(enum.Enum):
+    """How the tasks of a job run."""
+
+    ARRAY = "array"  # independent tasks, each runs to completion
+    SERVICE = "service"  # replicas that run until the job is cancelled
+    GANG = "gang"  # all tasks run at the same time or none does, and they complete together
+
+
+class Priority(enum.IntEnum):
+    """How important a job is; a lower number comes first."""
+
+    PRODUCTION = 0
+    HIGH = 1
+    STANDARD = 2
+    BEST_EFFORT = 3
 
 
 @dataclass(slots=True, frozen=True)
@@ -13,45 +29,45 @@
     """A job's description, immutable for its whole life."""
 
     job_id: str
-    workload: str
+    job_class: str
     team: str
-    shape: str
-    rank: int
-    shards: int
+    kind: JobKind
+    priority: Priority
+    task_count: int
     cpus: float
     gpus: float
-    memory: float
+    memory_gb: float
     machine_types: frozenset[str] | None
     zone: str | None
     one_zone: bool
-    scatter: bool
-    spot: bool
+    spread_zones: bool
+    spot_allowed: bool
     image: str
     image_gb: float
-    expected_s: float
-    snapshot_s: float
-    snapshot_cost_s: float
-    due_s: float | None
+    expected_run_s: float
+    checkpoint_interval_s: float
+    checkpoint_cost_s: float
+    deadline_s: float | None
     raw: dict[str, Any]
 
     @property
-    def endless(self) -> bool:
+    def is_service(self) -> bool:
         """Whether its tasks run until the job is cancelled."""
-        return self.shape == STANDING
+        return self.kind is JobKind.SERVICE
 
     @property
-    def whole(self) -> bool:
+    def is_gang(self) -> bool:
         """Its tasks run at the same time or not at all, and complete together."""
-        return self.shape == GANG
+        return self.kind is JobKind.GANG
 
     def may_add_in(self, zone: str, placed: dict[str, int]) -> bool:
-        """Whether one more task may be in the zone, given how many are in each: the only place that knows `oneZone` and
-        `scatter` for single tasks."""
+        """Whether one more task may be in the zone, given how many are in each: the only place that knows `one_zone`
+        and `spread_zones` for single tasks."""
         if self.one_zone and any(count > 0 and other != zone for other, count in placed.items()):
             return False
-        return not self.scatter or placed.get(zone, 0) < self.zone_limit
+        return not self.spread_zones or placed.get(zone, 0) < self.zone_limit
 
     @property
     def zone_limit(self) -> int:
         """Most tasks of the job that may be in one zone at a time."""
-        return (self.shards + 1) // 2 if self.scatter else self.shards
+        return (self.task_count + 1) // 2 if self.spread_zones else self.task_count
--- a/sorrelsill/model/machine_type.py
+++ b/sorrelsill/model/machine_type.py
@@ -9,20 +9,20 @@
 class MachineType:
     """A kind of machine that the cloud rents: its size, speed of fetching, price and boot time."""
 
-    sku: str
+    name: str
     cpus: float
     gpus: float
-    memory: float
+    memory_gb: float
     cache_gb: float
-    pull_rate: float
+    fetch_gb_per_s: float
     price: float
     spot_price: float
     boot_s: float
-    regions: tuple[str, ...]
+    zones: tuple[str, ...]
 
-    def fits(self, cpus: float, gpus: float, memory: float) -> bool:
+    def fits(self, cpus: float, gpus: float, memory_gb: float) -> bool:
         """Whether a task of this size fits on an empty machine of the type."""
-        return cpus <= self.cpus and gpus <= self.gpus and memory <= self.memory
+        return cpus <= self.cpus and gpus <= self.gpus and memory_gb <= self.memory_gb
 
     def cost(self, spot: bool) -> float:
         """Price per hour of a spot or an ordinary machine."""
@@ -38,4 +38,4 @@
     @property
     def zones(self) -> list[str]:
         """All zones in which any type is offered."""
-        return sorted({z for f in self.machine_types.values() for z in f.regions})
+        return sorted({z for f in self.machine_types.values() for z in f.zones})
--- a/sorrelsill/placement/aims.py
+++ b/sorrelsill/placement/aims.py
@@ -23,32 +23,32 @@
         self._deadline_times: dict[str, list[float]] = {}  # class -> multiples of the deadline that its aims name
         self.start_within_s: dict[str, float] = {}  # class -> seconds within which its tasks should start
         for aim in objectives:
-            if not aim.workload:
+            if not aim.job_class:
                 continue
             if aim.kind == "finished" and aim.within_s:
-                self._finish_within_s.setdefault(aim.workload, []).append(aim.within_s)
+                self._finish_within_s.setdefault(aim.job_class, []).append(aim.within_s)
             if aim.kind == "wait" and aim.within_s:
-                self.start_within_s[aim.workload] = aim.within_s
+                self.start_within_s[aim.job_class] = aim.within_s
             if aim.kind == "deadline":
-                self._deadline_times.setdefault(aim.workload, []).append(aim.times or 1.0)
+                self._deadline_times.setdefault(aim.job_class, []).append(aim.times or 1.0)
 
     def marks_s(self, job: Job) -> list[float]:
         """Seconds after its submission at which the job should be done, earliest first."""
         spec = job.spec
-        marks = list(self._finish_within_s.get(spec.workload, []))
-        if spec.due_s is not None:
-            marks += [spec.due_s * times for times in self._deadline_times.get(spec.workload, [1.0])]
+        marks = list(self._finish_within_s.get(spec.job_class, []))
+        if spec.deadline_s is not None:
+            marks += [spec.deadline_s * times for times in self._deadline_times.get(spec.job_class, [1.0])]
         return sorted(marks)
 
     def next_mark(self, job: Job, now: float) -> NextMark:
         """A job that is late for good waits behind those that are not."""
         missed = 0
         for mark_s in self.marks_s(job):
-            if job.submitted + mark_s >= now + job.spec.expected_s:
+            if job.submitted + mark_s >= now + job.spec.expected_run_s:
                 return NextMark(missed, job.submitted + mark_s)
             missed += 1
         return NextMark(missed, job.submitted)
 
-    def should_start_at_once(self, workload: str) -> bool:
+    def should_start_at_once(self, job_class: str) -> bool:
         """Whether an aim names seconds within which tasks of the class should start."""
-        return workload in self.start_within_s
+        return job_class in self.start_within_s
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -144,12 +144,12 @@
     def _spreads(self, job: Job) -> bool:
         """Replicas that should start within seconds go to many machines: each then holds the image for the next ones,
         and one that fails takes few along. They fetch side by side, so it takes no longer than on one machine."""
-        return job.spec.endless and self._aims.should_start_at_once(job.spec.workload)
+        return job.spec.is_service and self._aims.should_start_at_once(job.spec.job_class)
 
     def _score(self, job: Job, machine: Machine, replicas: dict[str, int] | None) -> float:
         """Lower is better: the image is there, the machine is left fuller, the zones stay even."""
         spec = job.spec
-        score = (machine.cap_cpus - machine.cpus - spec.cpus) / max(machine.cap_cpus, 1e-9)
+        score = (machine.capacity_cpus - machine.cpus - spec.cpus) / max(machine.capacity_cpus, 1e-9)
         if spec.image not in machine.images:
             # Its own replicas' fetch is no reason to join them, or a new image would never reach more than one machine.
             joins = spec.image in machine.fetching and not (replicas and replicas.get(machine.name))
@@ -158,6 +158,6 @@
             score += constants.SPREAD_WEIGHT * replicas.get(machine.name, 0)
         # Money asks for spot machines first, which leaves the ordinary ones to work that needs them. Where only time
         # counts, a task lost with its machine makes its whole job late, so what is paid for anyway is used first.
-        if spec.spot and machine.spot == self._hurried:
+        if spec.spot_allowed and machine.spot == self._hurried:
             score += constants.ORDINARY_WEIGHT
-        return score + constants.ZONE_WEIGHT * job.zones.get(machine.zone, 0) / spec.shards
+        return score + constants.ZONE_WEIGHT * job.zones.get(machine.zone, 0) / spec.task_count
--- a/sorrelsill/placement/engine.py
+++ b/sorrelsill/placement/engine.py
@@ -11,6 +11,7 @@
 from collections.abc import Callable
 
 from sorrelsill import constants
+from sorrelsill.model import Priority
 from sorrelsill.placement import groups
 from sorrelsill.placement.aims import Aims
 from sorrelsill.placement.candidates import CandidatePool, MachineChooser
@@ -112,7 +113,7 @@
         self.unplaced.pop(job.spec.job_id, None)
         if not placing.cluster.takeover.settled(job) or job.failures.next_trial_at > placing.now:
             return True
-        if job.spec.whole:
+        if job.spec.is_gang:
             self._place_group(placing, job)
             return not placing.late()
         end = self._start_tasks(placing, job)
@@ -128,7 +129,7 @@
         """Bind tasks of a job, one after the other, until something stands in the way."""
         spec = job.spec
         kind = kind_of_room(spec)
-        plain = not (spec.scatter or spec.one_zone or job.avoid)
+        plain = not (spec.spread_zones or spec.one_zone or job.avoid)
         pool: CandidatePool | None = None
         while (index := job.next_task()) is not None:
             if placing.late():
@@ -191,16 +192,16 @@
     def _slow_start(self, cluster: ClusterState, job: Job, machine: Machine) -> bool:
         """Whether fetching the image on this machine alone makes the start too late for its class's aim."""
         spec = job.spec
-        within_s = self._aims.start_within_s.get(spec.workload)
+        within_s = self._aims.start_within_s.get(spec.job_class)
         machine_type = cluster.catalog.machine_types.get(machine.machine_type)
         if (
             within_s is None
             or machine_type is None
             or spec.image in machine.images
-            or spec.rank != constants.PRODUCTION_RANK
+            or spec.priority is not Priority.PRODUCTION
         ):
             return False
-        return spec.image_gb / machine_type.pull_rate > within_s
+        return spec.image_gb / machine_type.fetch_gb_per_s > within_s
 
     def _await_warm(self, placing: Round, job: Job) -> bool:
         """Make room on machines that hold the image already; True while that room is awaited. Only for that:
@@ -223,7 +224,7 @@
             self.unplaced[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
             job.note(f"waiting: the limit of {spec.team} is reached")
             return
-        kind = ("group", kind_of_room(spec), spec.shards)
+        kind = ("group", kind_of_room(spec), spec.task_count)
         reservations = self._reservations
         kept = reservations.has_reservation(spec.job_id) or reservations.fills_up_for(spec.job_id)
         if kind in placing.full and not kept:
@@ -249,7 +250,7 @@
         log.debug(
             "group %s: %d tasks on %d machines in %s, %.2f s after submission, image %s",
             spec.job_id,
-            spec.shards,
+            spec.task_count,
             len(seating.seats),
             seating.zone,
             placing.now - job.submitted,
@@ -276,7 +277,7 @@
         """Keep machines filling up for a group, or small tasks would take each gap for ever: for one that should start
         within seconds at once, for others once they waited too long; few at a time, so that arrays go on too."""
         spec, now, reservations = job.spec, placing.now, self._reservations
-        urgent = self._aims.should_start_at_once(spec.workload) or aged_out(job, now)
+        urgent = self._aims.should_start_at_once(spec.job_class) or aged_out(job, now)
         if reservations.fills_up_for(spec.job_id) or not urgent:
             return
         if reservations.filling_count() >= constants.GROUP_HOLD_SHARE * len(placing.machines):
@@ -292,5 +293,5 @@
 
 def _room_without_arrays(machine: Machine) -> float:
     """CPUs that are or come free once the tasks that end are through."""
-    services = sum(a.spec.cpus for a in machine.attempts.values() if a.spec is not None and a.spec.endless)
-    return machine.cap_cpus - machine.cpus - services
+    services = sum(a.spec.cpus for a in machine.attempts.values() if a.spec is not None and a.spec.is_service)
+    return machine.capacity_cpus - machine.cpus - services
--- a/sorrelsill/placement/group_room.py
+++ b/sorrelsill/placement/group_room.py
@@ -5,7 +5,7 @@
 
 from typing import TYPE_CHECKING
 
-from sorrelsill import constants
+from sorrelsill.model import Priority
 from sorrelsill.placement.order import aged_out
 
 if TYPE_CHECKING:
@@ -42,8 +42,8 @@
         return (
             not self._kept_cpus
             or machine.spot
-            or spec.rank == constants.PRODUCTION_RANK
-            or spec.whole
+            or spec.priority is Priority.PRODUCTION
+            or spec.is_gang
             or machine.zone != self._zone
             or self._free[machine.zone] - spec.cpus >= self._kept_cpus
             or aged_out(job, now)
--- a/sorrelsill/placement/groups.py
+++ b/sorrelsill/placement/groups.py
@@ -39,11 +39,11 @@
 def capacity(machine: Machine, spec: JobSpec, gone: Iterable[Attempt] = ()) -> int:
     """Tasks that fit on a machine, as it stands or once some others are gone."""
     freed = [a.spec for a in gone if a.spec is not None]
-    fits = [float(spec.shards)]
+    fits = [float(spec.task_count)]
     for have, want in (
-        (machine.cap_cpus - machine.cpus + sum(s.cpus for s in freed), spec.cpus),
-        (machine.cap_memory - machine.memory + sum(s.memory for s in freed), spec.memory),
-        (machine.cap_gpus - machine.gpus + sum(s.gpus for s in freed), spec.gpus),
+        (machine.capacity_cpus - machine.cpus + sum(s.cpus for s in freed), spec.cpus),
+        (machine.capacity_memory_gb - machine.memory_gb + sum(s.memory_gb for s in freed), spec.memory_gb),
+        (machine.capacity_gpus - machine.gpus + sum(s.gpus for s in freed), spec.gpus),
     ):
         if want > 0:
             fits.append((have + 1e-6) / want)
@@ -66,10 +66,10 @@
         seats.sort(key=lambda s: _preference(s, spec, kinds))
         taken: list[Seat] = []
         in_zone: dict[str, int] = {}
-        left = spec.shards
+        left = spec.task_count
         for s in seats:
             count = min(left, s.count)
-            if spec.scatter:
+            if spec.spread_zones:
                 count = min(count, spec.zone_limit - in_zone.get(s.machine.zone, 0))
             if count > 0:
                 taken.append(Seat(s.machine, count))
@@ -85,9 +85,9 @@
 def _preference(s: Seat, spec: JobSpec, kinds: dict[str, int]) -> tuple[float, bool, int, int, float]:
     machine = s.machine
     fetch = 0.0 if spec.image in machine.images else 1.0 + len(machine.fetching - {spec.image})
-    enough = kinds[machine.machine_type] >= spec.shards
-    left = machine.cap_cpus - machine.cpus - min(s.count, spec.shards) * spec.cpus
-    return fetch, machine.spot, 0 if enough else 1, -min(s.count, spec.shards), left
+    enough = kinds[machine.machine_type] >= spec.task_count
+    left = machine.capacity_cpus - machine.cpus - min(s.count, spec.task_count) * spec.cpus
+    return fetch, machine.spot, 0 if enough else 1, -min(s.count, spec.task_count), left
 
 
 def room_for(
@@ -108,7 +108,7 @@
         for s in seats:
             in_zone[s.machine.zone] = in_zone.get(s.machine.zone, 0) + s.count
         for _, _, machine in sorted(offers.get(seating.zone, ()), key=lambda o: o[:2]):
-            most = min(short, spec.zone_limit - in_zone.get(machine.zone, 0)) if spec.scatter else short
+            most = min(short, spec.zone_limit - in_zone.get(machine.zone, 0)) if spec.spread_zones else short
             # As many as may go there at once: each further machine is one more that may be slow or fail.
             for count in range(most, 0, -1):
                 found = offer(machine, count)
@@ -132,14 +132,14 @@
     by_zone: dict[str | None, list[tuple[int, float, Machine]]] = {}
     for machine in machines:
         tasks = [a for a in machine.attempts.values() if a.spec is not None]
-        ending = [a for a in tasks if a.spec is not None and not a.spec.endless]
+        ending = [a for a in tasks if a.spec is not None and not a.spec.is_service]
         count = capacity(machine, spec, ending)
         if count > 0:
-            ease = machine.cap_cpus - machine.cpus - (len(tasks) - len(ending))
+            ease = machine.capacity_cpus - machine.cpus - (len(tasks) - len(ending))
             by_zone.setdefault(machine.zone if spec.one_zone else None, []).append((count, ease, machine))
     for seating in seatings:
         kept: list[Machine] = []
-        left = spec.shards
+        left = spec.task_count
         for count, _, machine in sorted(by_zone.get(seating.zone, ()), key=lambda i: (-i[1], i[2].name)):
             kept.append(machine)
             left -= count
--- a/sorrelsill/placement/guarantees.py
+++ b/sorrelsill/placement/guarantees.py
@@ -118,7 +118,7 @@
         share = self._shares.get(team.name)
         if share is None:
             share = self._shares[team.name] = _TeamShare(team)
-        cpus, gpus = (round(each * spec.shards * _MICRO) for each in (spec.cpus, spec.gpus))
+        cpus, gpus = (round(each * spec.task_count * _MICRO) for each in (spec.cpus, spec.gpus))
         claimant = _Claimant(job.submitted, job.order, spec.job_id, cpus, gpus)
         self._known[spec.job_id] = share, claimant
         if share.add(claimant):
--- a/sorrelsill/placement/job_queue.py
+++ b/sorrelsill/placement/job_queue.py
@@ -60,7 +60,7 @@
             self._places[job_id] = place
 
     def _set_timer(self, job: Job, now: float) -> None:
-        moments = [job.submitted + mark_s - job.spec.expected_s for mark_s in self._aims.marks_s(job)]
+        moments = [job.submitted + mark_s - job.spec.expected_run_s for mark_s in self._aims.marks_s(job)]
         if not job.bound:
             moments.append(job.served_at + constants.AGED_S)
         coming = [moment for moment in moments if moment >= now]
--- a/sorrelsill/placement/order.py
+++ b/sorrelsill/placement/order.py
@@ -16,7 +16,7 @@
     below_production: bool
     not_aged: bool
     outside_guarantee: bool
-    rank: int
+    priority: int
     missed_marks: int
     work_left: float  # CPU seconds
     next_mark: float
@@ -27,8 +27,10 @@
     spec = job.spec
     mark = aims.next_mark(job, now)
     # The least work first: by their marks alone, in a burst all jobs share what room there is and all miss.
-    work = 0.0 if spec.endless else (spec.shards - job.done.count) * spec.cpus * spec.expected_s
-    return Precedence(spec.rank > 0, not aged_out(job, now), not guaranteed, spec.rank, mark.missed, work, mark.at)
+    work = 0.0 if spec.is_service else (spec.task_count - job.done.count) * spec.cpus * spec.expected_run_s
+    return Precedence(
+        spec.priority > 0, not aged_out(job, now), not guaranteed, spec.priority, mark.missed, work, mark.at
+    )
 
 
 def aged_out(job: Job, now: float) -> bool:
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -10,6 +10,7 @@
 
 from sorrelsill import constants
 from sorrelsill.fleet import time_to_rent
+from sorrelsill.model import Priority
 from sorrelsill.placement import groups
 from sorrelsill.workers import Attempt, ClusterState, Job, Machine, group_loss
 
@@ -58,7 +59,7 @@
         victim = attempt.spec
         if victim is None or attempt.exited:
             return False
-        if victim.rank > job.spec.rank and (self._may_preempt(job) or self._yields(victim, job.spec)):
+        if victim.priority > job.spec.priority and (self._may_preempt(job) or self._yields(victim, job.spec)):
             return True
         return (
             job.spec.job_id in self._guaranteed
@@ -68,7 +69,7 @@
 
     def _may_preempt(self, job: Job) -> bool:
         """Whether the job may take room from any lower work: others wait, so that low work gets done as well."""
-        return job.spec.rank == constants.PRODUCTION_RANK or job.spec.whole or job.spec.job_id in self._guaranteed
+        return job.spec.priority is Priority.PRODUCTION or job.spec.is_gang or job.spec.job_id in self._guaranteed
 
     def _presses(self, cluster: ClusterState, job: Job, now: float) -> bool:
         """Whether the next moment that matters to the job's user would pass before a rented machine could help. Until
@@ -106,7 +107,7 @@
         """Jobs of one kind find room in the same places."""
         spec = job.spec
         guaranteed = spec.job_id in self._guaranteed
-        return spec.rank, spec.team, guaranteed, spec.cpus, spec.memory, spec.gpus, spec.spot
+        return spec.priority, spec.team, guaranteed, spec.cpus, spec.memory_gb, spec.gpus, spec.spot_allowed
 
     def _sample(self, job: Job, machines: Sequence[Machine], now: float) -> list[Machine]:
         """Few of the machines where room may be made, by the dice; all are asked only if hardly any will do."""
@@ -154,7 +155,7 @@
         log.debug("room for %s: %s", spec.job_id, names)
         wait_s = patience_s
         for attempt in attempts:
-            cluster.stop(attempt, _reason(spec), hurry=spec.rank == constants.PRODUCTION_RANK)
+            cluster.stop(attempt, _reason(spec), hurry=spec.priority is Priority.PRODUCTION)
             wait_s = max(wait_s, patience_s + attempt.wind_down)
         return wait_s
 
@@ -164,11 +165,15 @@
         mine = _reason(spec)
         if any(a.stop and a.spec is not None and a.stop_reason == mine for a in machine.attempts.values()):
             return None  # room is being made here for this job already
-        lack_cpus = spec.cpus * count - (machine.cap_cpus - machine.cpus) - constants.AMOUNT_TOLERANCE
-        lack_gpus = spec.gpus * count - (machine.cap_gpus - machine.gpus) - constants.AMOUNT_TOLERANCE
-        lack_memory = spec.memory * count - (machine.cap_memory - machine.memory) - constants.AMOUNT_TOLERANCE
+        lack_cpus = spec.cpus * count - (machine.capacity_cpus - machine.cpus) - constants.AMOUNT_TOLERANCE
+        lack_gpus = spec.gpus * count - (machine.capacity_gpus - machine.gpus) - constants.AMOUNT_TOLERANCE
+        lack_memory = (
+            spec.memory_gb * count - (machine.capacity_memory_gb - machine.memory_gb) - constants.AMOUNT_TOLERANCE
+        )
         can = [a for a in machine.attempts.values() if not a.stop and self._may_stop(job, a)]
-        can.sort(key=lambda a: (-(a.spec.rank if a.spec else 0), a.job_id in cluster.groups, _loss(cluster, a, now)))
+        can.sort(
+            key=lambda a: (-(a.spec.priority if a.spec else 0), a.job_id in cluster.groups, _loss(cluster, a, now))
+        )
         cost, chosen = 0.0, []
         for attempt in can:
             if lack_cpus <= 0 and lack_gpus <= 0 and lack_memory <= 0:
@@ -177,7 +182,7 @@
             assert victim is not None
             lack_cpus -= victim.cpus
             lack_gpus -= victim.gpus
-            lack_memory -= victim.memory
+            lack_memory -= victim.memory_gb
             cost += _loss(cluster, attempt, now) * victim.cpus
             chosen.append(attempt)
         if not chosen or lack_cpus > 0 or lack_gpus > 0 or lack_memory > 0:
@@ -192,7 +197,7 @@
         if not any(machine.live for machine in machines):
             return False
         guaranteed = spec.job_id in self._guaranteed
-        kind = ("group", spec.rank, spec.team, guaranteed, spec.cpus, spec.shards, spec.spot)
+        kind = ("group", spec.priority, spec.team, guaranteed, spec.cpus, spec.task_count, spec.spot_allowed)
         if self._reservations.searched_in_vain(kind, now):
             return False
         sample = self._rng.sample(machines, min(len(machines), constants.PREEMPT_SAMPLE * constants.GROUP_SAMPLES))
@@ -208,7 +213,7 @@
             return False
         seating, victims = found
         until = now + self._stop(cluster, spec, victims, constants.CLAIM_S)
-        self._reservations.claim(spec.job_id, until, spec.shards)
+        self._reservations.claim(spec.job_id, until, spec.task_count)
         for seat in seating.seats:
             self._reservations.reserve(seat.machine, spec.job_id, until)
         return True
@@ -228,6 +233,6 @@
     """Seconds of work that stopping the attempt throws away."""
     if attempt.running_since is None or attempt.spec is None:
         return 0.0
-    if attempt.spec.snapshot_s > 0:
-        return attempt.spec.snapshot_cost_s
+    if attempt.spec.checkpoint_interval_s > 0:
+        return attempt.spec.checkpoint_cost_s
     return now - attempt.running_since + constants.PREEMPT_BASE_S
--- a/sorrelsill/placement/reservations.py
+++ b/sorrelsill/placement/reservations.py
@@ -26,7 +26,7 @@
     """A machine that is kept filling up for a group: work of no higher rank than the group's stays away."""
 
     job_id: str
-    rank: int
+    priority: int
     until: float
 
 
@@ -95,7 +95,7 @@
 
     def fill_up_for(self, machine: Machine, job: Job, until: float) -> None:
         """Work of no higher rank stays away from the machine until the group can use it."""
-        self._filling[machine.name] = _Filling(job.spec.job_id, job.spec.rank, until)
+        self._filling[machine.name] = _Filling(job.spec.job_id, job.spec.priority, until)
 
     def filling(self, machine: Machine) -> bool:
         """Whether the machine fills up for any group."""
@@ -122,7 +122,7 @@
             return False
         filling = self._filling.get(machine.name)
         if filling is not None and filling.job_id != job.spec.job_id and filling.until > now:
-            return job.spec.rank < filling.rank and job.avoid.get(machine.name, 0.0) <= now
+            return job.spec.priority < filling.priority and job.avoid.get(machine.name, 0.0) <= now
         return job.avoid.get(machine.name, 0.0) <= now
 
     # --- searches in vain ---
--- a/sorrelsill/placement/round.py
+++ b/sorrelsill/placement/round.py
@@ -22,4 +22,4 @@
 
 def kind_of_room(spec: JobSpec) -> Hashable:
     """Jobs of one kind fit on the same machines."""
-    return spec.machine_types, spec.zone, spec.cpus, spec.gpus, spec.memory, spec.spot
+    return spec.machine_types, spec.zone, spec.cpus, spec.gpus, spec.memory_gb, spec.spot_allowed
--- a/sorrelsill/placement/test_engine.py
+++ b/sorrelsill/placement/test_engine.py
@@ -25,7 +25,7 @@
 
 def add(cluster: ClusterState, job_id: str, submitted: float = 0.0, **fields: object) -> Job:
     spec = parse_spec(job(job_id, **fields))
-    return cluster.add_job(spec, TaskSet(spec.shards), 2, False, submitted, [])
+    return cluster.add_job(spec, TaskSet(spec.task_count), 2, False, submitted, [])
 
 
 def place(cluster: ClusterState, now: float = 1.0, hurried: bool = False, budget: float = 1.0) -> Placer:
--- a/sorrelsill/placement/test_job_queue.py
+++ b/sorrelsill/placement/test_job_queue.py
@@ -34,7 +34,7 @@
         if team is None:
             continue
         cpus, gpus = used.get(team.name, (0.0, 0.0))
-        used[team.name] = cpus + spec.cpus * spec.shards, gpus + spec.gpus * spec.shards
+        used[team.name] = cpus + spec.cpus * spec.task_count, gpus + spec.gpus * spec.task_count
         if used[team.name][0] <= team.cpus + 1e-6 and used[team.name][1] <= team.gpus + 1e-6:
             inside.add(spec.job_id)
     return inside
@@ -70,7 +70,7 @@
         }
         spec = parse_spec(job(f"run-{self.count:04d}", **fields))
         submitted = self.now - self.rng.choice([0.0, 3.0, 30.0])
-        self.cluster.add_job(spec, TaskSet(spec.shards), 1, False, submitted, [])
+        self.cluster.add_job(spec, TaskSet(spec.task_count), 1, False, submitted, [])
 
     def step(self) -> None:
         self.now += self.rng.choice([0.03, 0.5, 7.0])
@@ -106,9 +106,9 @@
 def test_a_job_nothing_of_which_ran_for_too_long_moves_without_any_event() -> None:
     history = History(1)
     spec = parse_spec(job("run-old", rank="best_effort", workload="other"))
-    history.cluster.add_job(spec, TaskSet(spec.shards), 1, False, 0.0, [])
+    history.cluster.add_job(spec, TaskSet(spec.task_count), 1, False, 0.0, [])
     spec = parse_spec(job("run-new", rank="high", workload="other"))
-    history.cluster.add_job(spec, TaskSet(spec.shards), 1, False, 70.0, [])
+    history.cluster.add_job(spec, TaskSet(spec.task_count), 1, False, 70.0, [])
     queue = JobQueue(AIMS, set())
     queue.update(history.cluster, history.cluster.take_changed_jobs(), 70.0)
     assert queue.in_order() == ["run-new", "run-old"]
@@ -123,7 +123,7 @@
         queue = JobQueue(AIMS, guarantees.inside)
         for number in range(jobs):
             spec = parse_spec(job(f"run-{number:05d}", owner="red"))
-            cluster.add_job(spec, TaskSet(spec.shards), 1, False, float(number), [])
+            cluster.add_job(spec, TaskSet(spec.task_count), 1, False, float(number), [])
 
         def update() -> None:
             changed = cluster.take_changed_jobs()
@@ -131,7 +131,7 @@
 
         update()
         spec = parse_spec(job("run-one-more", owner="red"))
-        cluster.add_job(spec, TaskSet(spec.shards), 1, False, 0.5, [])
+        cluster.add_job(spec, TaskSet(spec.task_count), 1, False, 0.5, [])
         return count_calls(update)
 
     assert calls(4000) <= calls(400) < 60
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -48,11 +48,11 @@
     gpus_max: float = 0.0
 
 
-class Objective(msgspec.Struct, frozen=True, rename={"workload": "class"}):
+class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
     """An aim for a class of jobs."""
 
     kind: str
-    workload: str | None = None
+    job_class: str | None = None
     within_s: float | None = None
     after_s: float | None = None
     share: float | None = None
--- a/sorrelsill/test_settings.py
+++ b/sorrelsill/test_settings.py
@@ -47,7 +47,7 @@
 
 def test_a_good_file_loads_and_timings_fit_the_workers_lease(tmp_path: Path) -> None:
     settings = load(_file(tmp_path, GOOD))
-    assert settings.facts.objectives[0].workload == "live"
+    assert settings.facts.objectives[0].job_class == "live"
     timings = Timings.derive(settings.facts.workers, load_operator(None))
     assert timings.ping_s < timings.validity_s < timings.lease_s < settings.facts.workers.lease_s / 2
     assert timings.loss_s > settings.facts.workers.lease_s
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -39,7 +39,7 @@
     machine = attempt.machine
     _take_room(cluster, attempt, job)
     known = job.bound.get(attempt.index)
-    keep = 0 <= attempt.index < job.spec.shards and attempt.index not in job.done
+    keep = 0 <= attempt.index < job.spec.task_count and attempt.index not in job.done
     if keep and known is not None:
         # The later attempt was only made once the earlier one was proved gone. So the earlier is a phantom out of a
         # late copy of a report, and must not cost the true one its place.
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -126,17 +126,17 @@
         self._jobs_added += 1
         job.order = self._jobs_added
         self.jobs[spec.job_id] = job
-        if spec.whole:
+        if spec.is_gang:
             self.groups[spec.job_id] = job
             if done.count:
                 # Its tasks complete together; the version before this one recorded them one by one.
-                for index in range(spec.shards):
+                for index in range(spec.task_count):
                     done.add(index)
-            largest = self.largest_group.get(spec.workload)
-            if largest is None or largest.cpus * largest.shards < spec.cpus * spec.shards:
-                self.largest_group[spec.workload] = spec
+            largest = self.largest_group.get(spec.job_class)
+            if largest is None or largest.cpus * largest.task_count < spec.cpus * spec.task_count:
+                self.largest_group[spec.job_class] = spec
         self.job_changed(spec.job_id)
-        if done.count == spec.shards and not spec.endless:
+        if done.count == spec.task_count and not spec.is_service:
             self.dirty.add(spec.job_id)
         for attempt in self.attempts.of_job(spec.job_id):
             if attempt.spec is None and not attempt.exited:
@@ -226,7 +226,7 @@
         machine.live += 1
         machine.cpus += spec.cpus
         machine.gpus += spec.gpus
-        machine.memory += spec.memory
+        machine.memory_gb += spec.memory_gb
         self.bound_usage.take(spec)
         self.index.room_changed(machine)
 
@@ -241,7 +241,7 @@
         machine.live -= 1
         machine.cpus = max(0.0, machine.cpus - spec.cpus)
         machine.gpus = max(0.0, machine.gpus - spec.gpus)
-        machine.memory = max(0.0, machine.memory - spec.memory)
+        machine.memory_gb = max(0.0, machine.memory_gb - spec.memory_gb)
         self.bound_usage.give_back(spec)
         self.index.room_changed(machine)
         ended = self.takeover.ended.get(spec.job_id)
@@ -264,7 +264,7 @@
     def group_spare(self, classes: Iterable[str]) -> float:
         """CPUs for one more group of each of these classes, as large as the largest seen."""
         largest = (self.largest_group.get(name) for name in classes)
-        return constants.GROUP_SPARE * sum(s.cpus * s.shards for s in largest if s is not None)
+        return constants.GROUP_SPARE * sum(s.cpus * s.task_count for s in largest if s is not None)
 
     def release_all(self, machine: Machine, now: float, reason: str) -> None:
         """All that was on the machine is proved gone."""
@@ -274,7 +274,7 @@
                 job.note(f"task {attempt.index}: {reason} ({machine.name})")
             self.attempts.leave(attempt)
             self.unbind(attempt, now)
-        machine.cpus = machine.gpus = machine.memory = 0.0
+        machine.cpus = machine.gpus = machine.memory_gb = 0.0
         self.index.room_changed(machine)
 
     # --- machines ---
@@ -290,7 +290,11 @@
     def _size(self, machine: Machine) -> None:
         kind: MachineType | None = self.catalog.machine_types.get(machine.machine_type)
         if kind is not None:
-            machine.cap_cpus, machine.cap_gpus, machine.cap_memory = kind.cpus, kind.gpus, kind.memory
+            machine.capacity_cpus, machine.capacity_gpus, machine.capacity_memory_gb = (
+                kind.cpus,
+                kind.gpus,
+                kind.memory_gb,
+            )
             machine.cache_gb = kind.cache_gb
             self.index.room_changed(machine)
 
--- a/sorrelsill/workers/ended_jobs.py
+++ b/sorrelsill/workers/ended_jobs.py
@@ -21,14 +21,14 @@
     @property
     def unseen(self) -> int:
         """Tasks that may run on machines that were not heard."""
-        return self.spec.shards - self._accounted.count
+        return self.spec.task_count - self._accounted.count
 
     def found(self, index: int) -> None:
         """The task is on a machine that was heard, so on no other."""
-        if 0 <= index < self.spec.shards:
+        if 0 <= index < self.spec.task_count:
             self._accounted.add(index)
 
     def lost_sight(self, index: int) -> None:
         """What was found was a phantom out of a late copy of a report: the true task may be anywhere."""
-        if 0 <= index < self.spec.shards:
+        if 0 <= index < self.spec.task_count:
             self._accounted.discard(index)
--- a/sorrelsill/workers/groups.py
+++ b/sorrelsill/workers/groups.py
@@ -22,7 +22,7 @@
 def enforce_gang_completeness(cluster: ClusterState) -> None:
     """Groups that are not whole any more, or that somebody began to stop, and what has to be done about the rest."""
     for job in cluster.groups.values():
-        if job.bound and job.done.count < job.spec.shards:
+        if job.bound and job.done.count < job.spec.task_count:
             _enforce(cluster, job)
 
 
@@ -38,7 +38,7 @@
         return
     if not cluster.takeover.settled(job):
         return  # what is missing may be on a machine that was not heard yet
-    whole = len(tasks) == job.spec.shards and len({a.attempt_number for a in tasks}) == 1
+    whole = len(tasks) == job.spec.task_count and len({a.attempt_number for a in tasks}) == 1
     if whole and not any(a.stop for a in tasks):
         return
     # Halting at once is quicker than waiting until the others notice, and loses no more: a group that lost a task falls
@@ -58,8 +58,8 @@
 def may_save(job: Job) -> bool:
     """An orderly stop needs all tasks running and all of them told within a moment of each other."""
     return (
-        job.spec.snapshot_s > 0
-        and len(job.bound) == job.spec.shards
+        job.spec.checkpoint_interval_s > 0
+        and len(job.bound) == job.spec.task_count
         and all(a.phase == "running" and not a.stop for a in job.bound.values())
         and reachable(job)
     )
@@ -68,7 +68,7 @@
 def stop(cluster: ClusterState, job: Job, reason: str, hurry: bool) -> None:
     """Stop a group: in order, so that its progress is kept, if all can be told; else at once."""
     saving = any(a.phase == "saving" for a in job.bound.values())
-    orderly = not hurry and (may_save(job) or saving and job.spec.snapshot_s > 0)
+    orderly = not hurry and (may_save(job) or saving and job.spec.checkpoint_interval_s > 0)
     for attempt in list(job.bound.values()):
         cluster.halt(attempt, reason, not orderly, cluster.peer_s if orderly else 0.0)
 
@@ -80,7 +80,7 @@
     if not any(a.running_since is not None for a in job.bound.values()):
         return True
     if may_save(job):
-        return left <= job.spec.snapshot_cost_s + constants.DRAIN_AHEAD_S
+        return left <= job.spec.checkpoint_cost_s + constants.DRAIN_AHEAD_S
     return left <= constants.DRAIN_AHEAD_S
 
 
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -252,9 +252,9 @@
     cause = item.exit_cause or "unknown"
     machine = attempt.machine
     if cause == "done":
-        if job is not None and 0 <= attempt.index < job.spec.shards and not job.spec.endless:
+        if job is not None and 0 <= attempt.index < job.spec.task_count and not job.spec.is_service:
             # The tasks of a group complete together, also those whose machines die before they tell.
-            for index in range(job.spec.shards) if job.spec.whole else (attempt.index,):
+            for index in range(job.spec.task_count) if job.spec.is_gang else (attempt.index,):
                 if job.done.add(index):
                     job.dirty_parts.add(index // constants.PART_SHARDS)
                     cluster.dirty.add(attempt.job_id)
@@ -266,7 +266,7 @@
         other = job.bound.get(attempt.index) if job is not None else None
         if other is not None and other is not attempt:
             cluster.order_stop(other, "the result is there")
-        cluster.unbind(attempt, now, requeue=job is not None and job.spec.endless)
+        cluster.unbind(attempt, now, requeue=job is not None and job.spec.is_service)
         return
     attempt.clearable = True
     if attempt.start_sent:
@@ -293,7 +293,7 @@
 def _failed(cluster: ClusterState, job: Job, machine: Machine, now: float) -> None:
     """Guards against jobs that fail wherever they run: their failures must not cost machines their good name."""
     failures = job.failures
-    if job.spec.endless:
+    if job.spec.is_service:
         for replica in job.bound.values():
             if replica.running_since is not None and now - replica.running_since >= constants.REPLICA_PROOF_S:
                 _accuse(cluster, job, failures.success(replica.machine.name))
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -51,7 +51,7 @@
         self.failures = FailureHistory(succeeded=done.count > 0)
         self.avoid: dict[str, float] = {}
         self.dirty_parts: set[int] = set()  # of its finished tasks, `PART_SHARDS` to a part, what is not recorded yet
-        self.split = spec.shards > constants.CHUNK_SHARDS  # its finished tasks are kept beside its record
+        self.split = spec.task_count > constants.CHUNK_SHARDS  # its finished tasks are kept beside its record
         self.shown_running = 0  # tasks that run, as the record says
         self.recorded_at = now
         self.order = 0
@@ -59,12 +59,12 @@
     @property
     def waiting(self) -> int:
         """Tasks that are neither done nor bound."""
-        return self.spec.shards - self.done.count - len(self.bound)
+        return self.spec.task_count - self.done.count - len(self.bound)
 
     @property
     def unknown(self) -> int:
         """Tasks neither done nor bound; unlike `waiting` exact for those that are both."""
-        return self.spec.shards - self.done.count - sum(1 for index in self.bound if index not in self.done)
+        return self.spec.task_count - self.done.count - sum(1 for index in self.bound if index not in self.done)
 
     def next_task(self) -> int | None:
         """The lowest task that is neither done nor bound; it stays queued until it is bound."""
@@ -74,7 +74,7 @@
                 heapq.heappop(self.requeued)
                 continue
             return index
-        while self.cursor < self.spec.shards:
+        while self.cursor < self.spec.task_count:
             if self.cursor not in self.done and self.cursor not in self.bound:
                 return self.cursor
             self.cursor += 1
@@ -83,7 +83,7 @@
     def trials_left(self) -> int:
         """How many more of its tasks may be started now: few, if it seems to fail wherever it is tried."""
         bound = len(self.bound)
-        return constants.TRIAL_TASKS - bound if self.failures.suspect(bound) else self.spec.shards
+        return constants.TRIAL_TASKS - bound if self.failures.suspect(bound) else self.spec.task_count
 
     def running(self) -> int:
         """A task of a group that waits for the others does not run."""
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -120,16 +120,16 @@
             if spec is None or attempt.stop or attempt.exited:
                 continue
             left = machine.evict_at - now
-            if spec.whole and attempt.job_id in cluster.groups:
+            if spec.is_gang and attempt.job_id in cluster.groups:
                 if groups.must_leave(cluster, cluster.groups[attempt.job_id], left):
                     cluster.stop(attempt, "machine is taken back")
                 continue
             if attempt.running_since is None:
                 late = True
-            elif spec.snapshot_s > 0:
-                late = left <= spec.snapshot_cost_s + constants.DRAIN_AHEAD_S
+            elif spec.checkpoint_interval_s > 0:
+                late = left <= spec.checkpoint_cost_s + constants.DRAIN_AHEAD_S
             else:
-                through = attempt.running_since + spec.expected_s
-                late = left <= constants.DRAIN_AHEAD_S or spec.endless or through > machine.evict_at
+                through = attempt.running_since + spec.expected_run_s
+                late = left <= constants.DRAIN_AHEAD_S or spec.is_service or through > machine.evict_at
             if late:
                 cluster.stop(attempt, "machine is taken back")
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -88,8 +88,8 @@
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.live = 0  # attempts that hold room on it
         self.unknown = 0  # tasks on it of jobs that are over or unknown, not yet gone
-        self.cpus = self.gpus = self.memory = 0.0  # in use
-        self.cap_cpus = self.cap_gpus = self.cap_memory = self.cache_gb = 0.0
+        self.cpus = self.gpus = self.memory_gb = 0.0  # in use
+        self.capacity_cpus = self.capacity_gpus = self.capacity_memory_gb = self.cache_gb = 0.0
         self.images: OrderedDict[str, float] = OrderedDict()
         self.fetching: set[str] = set()  # images that tasks on it wait for
         self.idle_since = idle_since
@@ -116,17 +116,17 @@
     def room_for(self, spec: JobSpec) -> bool:
         """Whether one more task of the job fits now."""
         return (
-            self.cap_cpus - self.cpus + AMOUNT_TOLERANCE >= spec.cpus
-            and self.cap_memory - self.memory + AMOUNT_TOLERANCE >= spec.memory
-            and self.cap_gpus - self.gpus + AMOUNT_TOLERANCE >= spec.gpus
+            self.capacity_cpus - self.cpus + AMOUNT_TOLERANCE >= spec.cpus
+            and self.capacity_memory_gb - self.memory_gb + AMOUNT_TOLERANCE >= spec.memory_gb
+            and self.capacity_gpus - self.gpus + AMOUNT_TOLERANCE >= spec.gpus
         )
 
     def large_enough_for(self, spec: JobSpec) -> bool:
         """Whether a task would fit if the machine were empty."""
         return (
-            self.cap_cpus + AMOUNT_TOLERANCE >= spec.cpus
-            and self.cap_memory + AMOUNT_TOLERANCE >= spec.memory
-            and self.cap_gpus + AMOUNT_TOLERANCE >= spec.gpus
+            self.capacity_cpus + AMOUNT_TOLERANCE >= spec.cpus
+            and self.capacity_memory_gb + AMOUNT_TOLERANCE >= spec.memory_gb
+            and self.capacity_gpus + AMOUNT_TOLERANCE >= spec.gpus
         )
 
     def allows(self, spec: JobSpec) -> bool:
@@ -134,7 +134,7 @@
         return (
             (spec.machine_types is None or self.machine_type in spec.machine_types)
             and (spec.zone is None or self.zone == spec.zone)
-            and (spec.spot or not self.spot)
+            and (spec.spot_allowed or not self.spot)
         )
 
     def hold_image(self, image: str, size: float) -> list[str]:
--- a/sorrelsill/workers/machine_sets.py
+++ b/sorrelsill/workers/machine_sets.py
@@ -118,7 +118,7 @@
 
     def put(self, machine: Machine) -> None:
         """The machine may be given work, and this is what is free on it now."""
-        free = machine.cap_cpus - machine.cpus
+        free = machine.capacity_cpus - machine.cpus
         if free <= AMOUNT_TOLERANCE:
             self.discard(machine.name)
             return
--- a/sorrelsill/workers/stopping.py
+++ b/sorrelsill/workers/stopping.py
@@ -32,8 +32,8 @@
     if attempt.stop or attempt.exited:
         return
     spec = attempt.spec
-    if spec is not None and spec.snapshot_s > 0 and not hurry:
-        attempt.wind_down = spec.snapshot_cost_s + 1.0 + wait_s
+    if spec is not None and spec.checkpoint_interval_s > 0 and not hurry:
+        attempt.wind_down = spec.checkpoint_cost_s + 1.0 + wait_s
     order_stop(cluster, attempt, reason)
 
 
--- a/sorrelsill/workers/takeover.py
+++ b/sorrelsill/workers/takeover.py
@@ -27,7 +27,7 @@
 
     def may_hold(self, spec: JobSpec) -> bool:
         """Whether a task of the job may run on such a machine."""
-        if self.spot and not spec.spot:
+        if self.spot and not spec.spot_allowed:
             return False
         if self.machine_type and spec.machine_types is not None and self.machine_type not in spec.machine_types:
             return False
@@ -156,7 +156,7 @@
 def _room_left(machine: Machine, catalog: Catalog) -> Resources:
     if machine.machine_type not in catalog.machine_types:
         return _ANY_SIZE  # guards against a machine whose size is not known counting as one without room
-    return Resources(machine.cap_cpus - machine.cpus, machine.cap_gpus - machine.gpus).at_least(NOTHING)
+    return Resources(machine.capacity_cpus - machine.cpus, machine.capacity_gpus - machine.gpus).at_least(NOTHING)
 
 
 def _add(by_team: dict[str, Resources], spec: JobSpec, tasks: int) -> None:
--- a/sorrelsill/workers/test_machine_sets.py
+++ b/sorrelsill/workers/test_machine_sets.py
@@ -8,7 +8,7 @@
 
 def machine(name: str, cpus: float, used: float = 0.0, zone: str = "a", spot: bool = False) -> Machine:
     made = Machine(name)
-    made.cap_cpus, made.cpus, made.zone, made.spot = cpus, used, zone, spot
+    made.capacity_cpus, made.cpus, made.zone, made.spot = cpus, used, zone, spot
     return made
 
 
@@ -41,10 +41,10 @@
     known = [each for each in machines if each.name in free]
     for cpus in (0.05, 0.5, 1.0, 1.1, 40.0, 99.5, 200.0):
         offered = {each.name for each in free.with_room(cpus)}
-        assert {each.name for each in known if each.cap_cpus - each.cpus + 1e-6 >= cpus} <= offered
+        assert {each.name for each in known if each.capacity_cpus - each.cpus + 1e-6 >= cpus} <= offered
         # Sorted by whole CPUs up to the number of classes: what is offered in vain lacks less than one.
-        assert all(each.cap_cpus - each.cpus > min(cpus, 64.0) - 1.0 for each in known if each.name in offered)
-    by_zone = {z: sum(m.cap_cpus - m.cpus for m in known if m.zone == z and not m.spot) for z in "ab"}
+        assert all(each.capacity_cpus - each.cpus > min(cpus, 64.0) - 1.0 for each in known if each.name in offered)
+    by_zone = {z: sum(m.capacity_cpus - m.cpus for m in known if m.zone == z and not m.spot) for z in "ab"}
     assert {z: round(cpus, 3) for z, cpus in free.ordinary_cpus().items()} == {
         z: round(cpus, 3) for z, cpus in by_zone.items() if cpus
     }
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -143,8 +143,8 @@
         self.reports += 1
         for key in leader.tasks[name].keys() - before:
             spec = leader.cluster.jobs[key[0].rpartition("/")[0]].spec
-            if not spec.endless:
-                heapq.heappush(self._ends, (leader.now + spec.expected_s * self._rng.uniform(0.6, 1.4), name, key))
+            if not spec.is_service:
+                heapq.heappush(self._ends, (leader.now + spec.expected_run_s * self._rng.uniform(0.6, 1.4), name, key))
 
     def _machines_report(self) -> None:
         count = max(1, int(len(self._schedule) * STEP_S / REPORT_S))
@@ -170,7 +170,7 @@
             job = cluster.jobs.get(job_id)
             for attempt in cluster.attempts.unrecorded(job_id):
                 attempt.clearable = True
-            if job is not None and job.done.count == job.spec.shards and not job.spec.endless:
+            if job is not None and job.done.count == job.spec.task_count and not job.spec.is_service:
                 cluster.end_job(job_id)
         cluster.dirty.clear()
 
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -101,7 +101,7 @@
 
     def add(self, spec: JobSpec, old: bool = False) -> None:
         """A job is accepted."""
-        self.cluster.add_job(spec, TaskSet(spec.shards), 1, old, self.now, [])
+        self.cluster.add_job(spec, TaskSet(spec.task_count), 1, old, self.now, [])
 
     def round(self) -> None:
         """Look for losses and place until all jobs were seen."""
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -101,7 +101,7 @@
                 continue
             index, machines = node.cluster.index, node.cluster.machines.values()
             ready = {m.name for m in machines if m.usable}
-            free = {m.name for m in machines if m.usable and m.cap_cpus - m.cpus > 1e-6}
+            free = {m.name for m in machines if m.usable and m.capacity_cpus - m.cpus > 1e-6}
             idle = {m.name for m in machines if not m.live}
             for name, indexed, walked in (
                 ("ready", index.ready.names(), ready),
