--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -13,7 +13,7 @@
 RETURN_MAX: Final = 100  # names; the cloud's limit per return request
 LIST_PAGE: Final = 500  # machines; the cloud's limit per page
 KV_PAGE: Final = 1000  # keys; the state service's limit per page
-CONDITIONS_PER_OP: Final = 4  # conditions allowed for each put or delete of a transaction
+COMPARES_PER_OP: Final = 4  # conditions allowed for each put or delete of a transaction
 LEAST_OPS: Final = 2  # writes; the end of a job takes this many in one transaction
 TXN_BYTES: Final = 56 * 1024  # bytes; below the 64 KiB of a transaction, as the limit counts JSON form
 
@@ -72,19 +72,19 @@
 
 # --- state service ----------------------------------------------------------------------------------
 STORE_TIMEOUT_S: Final = 1.5  # s; an answer normally takes 10 ms, now and then a few hundred
-FOLLOW_HOLD_S: Final = 1.0  # s; length of a watch, which bounds how stale the view can silently get
-FOLLOW_GRACE_S: Final = 2.0  # s; a watch that is this much overdue is given up
+WATCH_HOLD_S: Final = 1.0  # s; length of a watch, which bounds how stale the view can silently get
+WATCH_GRACE_S: Final = 2.0  # s; a watch that is this much overdue is given up
 STORE_SHARE: Final = 0.9  # ratio; the part of the store's rates that all nodes together plan to use
 LEADER_WRITE_SHARE: Final = 0.6  # ratio; of the planned writes, the leader's part
 BARRIER_RATE_OF_RPS: Final = 0.12  # ratio; read barriers a node may make per second, of the store's rate
-VIEW_STALE_S: Final = 3.0  # s; no start on a job view older than this
+WATCH_CACHE_STALE_S: Final = 3.0  # s; no start on a job view older than this
 RETRY_S: Final = 0.25  # s; pause after a failed store call in a loop
 FINAL_CACHE: Final = 20_000  # jobs; finished jobs whose final state is held in memory
 ENDED_MARGIN_S: Final = 10.0  # s; jobs lately over are remembered for longer than their tasks may live, by this
 CHUNK_SHARDS: Final = 16_384  # tasks; jobs above this keep finished tasks in keys of their own
 PART_SHARDS: Final = 4_096  # tasks; the same in smaller keys where a value may not be that long: at most 0.7 KB each
 VALUE_SHARE: Final = 0.9  # ratio; of a value's limit that we fill, since how the store writes JSON is not known
-ROSTER_PARTS: Final = 32  # keys that share the roster; one that is full goes on in further keys
+REGISTRY_PARTS: Final = 32  # keys that share the roster; one that is full goes on in further keys
 ASIDE_S: Final = 60.0  # s; a change that the store refuses by itself is not tried again for this long
 WRITER_TICK_S: Final = 0.2  # s; finished tasks and changed states are gathered this long per write
 PROGRESS_EVERY_S: Final = 6.0  # s; the record of a job that goes on running is written this often at the most ...
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -27,7 +27,7 @@
 from sorrelsill.peers import DegradedMode
 from sorrelsill.placement import Placer
 from sorrelsill.settings import Operator, Settings, Timings
-from sorrelsill.store import CATALOG, JOB_PREFIX, LEADER, Condition, Put, Store, UnavailableError, View
+from sorrelsill.store import CATALOG, JOB_PREFIX, LEADER, Compare, KeyValueStore, Put, UnavailableError, WatchCache
 from sorrelsill.store import AmbiguousError as StoreAmbiguous
 from sorrelsill.workers import CallLimits, ClusterState, Pusher, enforce_gang_completeness
 
@@ -63,20 +63,20 @@
         self.tick_s = operator.tick_s or constants.TICK_S
 
         ended_window_s = facts.workers.cancel_s + facts.workers.lease_s
-        self.store = Store(make_client(settings.services.state), facts.state, facts.nodes)
-        self.view = View(
+        self.store = KeyValueStore(make_client(settings.services.state), facts.state, facts.nodes)
+        self.watch_cache = WatchCache(
             self.store,
             ended_window_s + constants.ENDED_MARGIN_S,
             self._on_final,
             (PRESENCE_PREFIX,) if membership is not None else (),
         )
         self.cancellations = Cancellations(now, facts.workers.cancel_s, self.timings.renew_s, len(settings.members))
-        self.followed_jobs = FollowedJobs(self.view, self.cancellations, time_of_day, ended_window_s)
-        self.admission = Admission(self.store, self.view, facts.teams, time_of_day)
+        self.followed_jobs = FollowedJobs(self.watch_cache, self.cancellations, time_of_day, ended_window_s)
+        self.admission = Admission(self.store, self.watch_cache, facts.teams, time_of_day)
         self.watchdog = Watchdog(self.timings.stall_s, self.timings.self_release_s)
         self.elector = Elector(
             self.store,
-            self.view,
+            self.watch_cache,
             self.timings,
             settings.label,
             self.watchdog,
@@ -100,9 +100,9 @@
         self.cloud = Cloud(make_client(settings.services.cloud), facts.cloud)
         limits = CallLimits.derive(facts.quota.sockets)
         self.pusher = Pusher(make_client, self.elector.valid, self._fresh, limits, self._news)
-        self._user_routes = UserRoutes(self.admission, self.view, self._count)
+        self._user_routes = UserRoutes(self.admission, self.watch_cache, self._count)
         self._heartbeat_routes = HeartbeatRoutes(
-            self.view,
+            self.watch_cache,
             self.elector,
             self.degraded_mode,
             self.cancellations,
@@ -112,9 +112,9 @@
             self._count,
             self._news,
         )
-        self.view.listeners.append(self._on_key)
+        self.watch_cache.listeners.append(self._on_key)
         self.membership = (
-            make_membership(settings, membership, self.store, self.view, make_client, self._count)
+            make_membership(settings, membership, self.store, self.watch_cache, make_client, self._count)
             if membership is not None
             else None
         )
@@ -147,7 +147,7 @@
             self.settings.facts.workers.gang_peer_s,
         )
         cluster.renewed_by_others = min(now, self.elector.bound_until)
-        cluster.takeover.expect_machines(self.view.roster())
+        cluster.failover.expect_machines(self.watch_cache.registered_machines())
         self.followed_jobs.load(cluster)
         self.leading = Leading(cluster, self._make_fleet(cluster), self._make_record_writer(cluster))
         self.placer.reset()
@@ -161,10 +161,10 @@
             logging.INFO,
             "takeover",
             term=cluster.term,
-            view_revision=self.view.rev,
-            followed_s=trio.current_time() - self.view.whole_since,
+            view_revision=self.watch_cache.rev,
+            followed_s=trio.current_time() - self.watch_cache.complete_since,
             jobs=len(cluster.jobs),
-            unconfirmed=len(cluster.takeover.unconfirmed),
+            unconfirmed=len(cluster.failover.unconfirmed),
         )
         if not log.isEnabledFor(logging.DEBUG):
             return
@@ -174,7 +174,7 @@
     def _make_record_writer(self, cluster: ClusterState) -> RecordWriter:
         return RecordWriter(
             self.store,
-            self.view,
+            self.watch_cache,
             cluster,
             self.elector.valid,
             on_fenced=lambda: self.elector.fenced(cluster.term + 1),
@@ -235,7 +235,7 @@
 
     def _fresh(self) -> bool:
         """Whether the view of the jobs is recent enough to start anything on it."""
-        return trio.current_time() - self.view.fresh_at < constants.VIEW_STALE_S
+        return trio.current_time() - self.watch_cache.fresh_at < constants.WATCH_CACHE_STALE_S
 
     def _news(self) -> None:
         if self.cluster is not None and self.cluster.wake_placing:
@@ -285,7 +285,7 @@
 
     def ready(self) -> bool:
         """Able to serve. If all lack the store, staying ready and answering 503 beats a refused connection."""
-        if not self.view.loaded or self._draining:
+        if not self.watch_cache.loaded or self._draining:
             return False
         return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.others_fail_too()
 
@@ -298,8 +298,8 @@
     async def run(self) -> None:
         """Serve until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.view.run)
-            nursery.start_soon(self.view.run_barriers)
+            nursery.start_soon(self.watch_cache.run)
+            nursery.start_soon(self.watch_cache.run_barriers)
             nursery.start_soon(self.admission.run)
             nursery.start_soon(self.elector.run)
             nursery.start_soon(self.degraded_mode.run)
@@ -369,7 +369,7 @@
             self._catalog_saved = raw
             return
         try:
-            txn = await self.store.multi([Condition(LEADER, self.elector.term or 0)], [Put(CATALOG, raw)])
+            txn = await self.store.commit([Compare(LEADER, self.elector.term or 0)], [Put(CATALOG, raw)])
             if txn.ok:
                 self._catalog_saved = raw
         except (UnavailableError, StoreAmbiguous) as error:
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -10,7 +10,7 @@
 
 from sorrelsill import constants
 from sorrelsill.jobs import Cancellations, InvalidJobError, parse_record
-from sorrelsill.store import View
+from sorrelsill.store import WatchCache
 from sorrelsill.workers import ClusterState
 
 log = logging.getLogger(__name__)
@@ -20,9 +20,13 @@
     """Reads the records of live jobs for the leader."""
 
     def __init__(
-        self, view: View, cancellations: Cancellations, time_of_day: Callable[[], float], ended_window_s: float
+        self,
+        watch_cache: WatchCache,
+        cancellations: Cancellations,
+        time_of_day: Callable[[], float],
+        ended_window_s: float,
     ) -> None:
-        self._view = view
+        self._watch_cache = watch_cache
         self._cancellations = cancellations
         self._time_of_day = time_of_day
         self._ended_window_s = ended_window_s  # cancelled tasks may live so long
@@ -31,18 +35,18 @@
         """All jobs of which an earlier leader may have left tasks, into the cluster state of a term that begins: live
         ones, and those lately over, since every task of a cancelled job is gone within `cancel_s` of the answer."""
         readable = True
-        for job_id, value, rev in self._view.jobs():
+        for job_id, value, rev in self._watch_cache.jobs():
             if self._over(job_id):
                 # Known by a peer's word or a read of the final key, and not followed yet. Found by reading: neither
                 # among the live jobs nor among those lately over, it was counted nowhere.
                 readable &= self._add_ended(cluster, job_id, value)
             else:
                 readable &= self._add(cluster, job_id, value, rev)
-        lately_over = self._view.lately_over(self._ended_window_s)
-        for job_id, value in lately_over.records:
+        recently_ended = self._watch_cache.recently_ended(self._ended_window_s)
+        for job_id, value in recently_ended.records:
             readable &= self._add_ended(cluster, job_id, value)
         # With a damaged record among them, or an end that was missed, what may be in use can't be told.
-        cluster.takeover.set_all_ended_known(readable and lately_over.complete)
+        cluster.failover.set_all_ended_known(readable and recently_ended.complete)
 
     def record_changed(self, cluster: ClusterState, job_id: str, value: Any, rev: int) -> bool:
         """A job's record was written or removed. True if placing has to look at it."""
@@ -61,15 +65,15 @@
 
     def _over(self, job_id: str) -> bool:
         """Whether the job is known to be over, whatever an older record says."""
-        return self._view.final(job_id) is not None or self._cancellations.known(job_id)
+        return self._watch_cache.final(job_id) is not None or self._cancellations.known(job_id)
 
     def _add_ended(self, cluster: ClusterState, job_id: str, value: Any) -> bool:
         """A job that is over, with its last live record. False if that is damaged."""
-        final = self._view.final(job_id)
+        final = self._watch_cache.final(job_id)
         if isinstance(final, dict) and final.get("p") == "done":
             return True  # nothing of it can run
         try:
-            spec, done, _ = parse_record(value, self._view.chunks(job_id))
+            spec, done, _ = parse_record(value, self._watch_cache.chunks(job_id))
         except (InvalidJobError, ValueError, TypeError) as error:
             log.error("record of %s, which is over: %s", job_id, error)
             return False
@@ -78,7 +82,7 @@
 
     def _add(self, cluster: ClusterState, job_id: str, value: Any, rev: int) -> bool:
         try:
-            spec, done, why = parse_record(value, self._view.chunks(job_id))
+            spec, done, why = parse_record(value, self._watch_cache.chunks(job_id))
             accepted = float(value.get("t") or 0.0)
         except (InvalidJobError, ValueError, TypeError) as error:
             # Guards against one damaged record stopping all the others.
@@ -90,7 +94,7 @@
         # What the record says already need not be written again: after a takeover that would be one write a job.
         running = value.get("r")
         job.shown_running = running if isinstance(running, int) else 0
-        job.split |= bool(self._view.chunk_keys(job_id))
+        job.split |= bool(self._watch_cache.chunk_keys(job_id))
         if job.split and value.get("d"):
             # Written by the version before this one, which knows of no parts beside the record of a smaller job: what
             # it adds stands only there, and has to go into the parts before the record leaves it out.
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -13,7 +13,7 @@
 from sorrelsill.jobs import Cancellations
 from sorrelsill.leadership import Elector
 from sorrelsill.peers import DegradedMode
-from sorrelsill.store import View
+from sorrelsill.store import WatchCache
 from sorrelsill.workers import (
     ClusterState,
     FencedError,
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        view: View,
+        watch_cache: WatchCache,
         elector: Elector,
         degraded_mode: DegradedMode,
         cancellations: Cancellations,
@@ -48,7 +48,7 @@
         count: Callable[[str], None],
         news: Callable[[], None],
     ) -> None:
-        self._view = view
+        self._watch_cache = watch_cache
         self._elector = elector
         self._degraded_mode = degraded_mode
         self._cancellations = cancellations
@@ -100,18 +100,18 @@
 
     def _may_renew(self, now: float) -> bool:
         """The one rule for every answer that renews a worker's lease (`jobs/cancellations.py`)."""
-        self._cancellations.followed(self._view.followed_since, self._view.fresh_at)
+        self._cancellations.followed(self._watch_cache.followed_since, self._watch_cache.fresh_at)
         return self._cancellations.may_renew(now)
 
     def _stop_commands(self, heartbeat: WorkerHeartbeat, now: float) -> list[dict[str, Any]]:
         """In degraded mode: tasks of jobs known to be cancelled still have to go. Stopping them is always right,
         whoever leads next, and a worker takes it from any controller that names its fencing token. A view that was
         read anew not long ago lacks what was cancelled before, so what is not live in it is stopped as well."""
-        unknown = self._view.fresh_at > float("-inf") and self._cancellations.suspect_unknown(now)
+        unknown = self._watch_cache.fresh_at > float("-inf") and self._cancellations.suspect_unknown(now)
         out = []
         for item in heartbeat.tasks:
             job_id = item.task_id.rpartition("/")[0]
-            over = self._cancellations.known(job_id) or is_cancelled(self._view.final(job_id))
-            if item.phase != "exited" and (over or unknown and self._view.job(job_id) is None):
+            over = self._cancellations.known(job_id) or is_cancelled(self._watch_cache.final(job_id))
+            if item.phase != "exited" and (over or unknown and self._watch_cache.job(job_id) is None):
                 out.append(stop_command(item.task_id, item.attempt_number, 0.0))
         return out
--- a/sorrelsill/controller/operator_state.py
+++ b/sorrelsill/controller/operator_state.py
@@ -24,7 +24,7 @@
         "store_failing_s": round(controller.store.failing_for(), 2),
         "jobs": len(cluster.jobs) if cluster else None,
         "hosts": len(cluster.machines) if cluster else None,
-        "unheard": len(cluster.takeover.unconfirmed) if cluster else None,
+        "unheard": len(cluster.failover.unconfirmed) if cluster else None,
         "unplaced": sum(u.count for u in controller.placer.unplaced.values()) if cluster else None,
         "groups": len(cluster.groups) if cluster else None,
         "groups_waiting": sum(1 for j in cluster.groups.values() if not j.running()) if cluster else None,
--- a/sorrelsill/controller/test_followed_jobs.py
+++ b/sorrelsill/controller/test_followed_jobs.py
@@ -10,7 +10,7 @@
 from sorrelsill.jobs import Cancellations, new_record
 from sorrelsill.model import Catalog, MachineType
 from sorrelsill.settings import StateLimits
-from sorrelsill.store import Store, View, job_key
+from sorrelsill.store import KeyValueStore, WatchCache, job_key
 from sorrelsill.workers import ClusterState
 from tests.simulation import FakeNet, FakeStore, array_job
 
@@ -20,7 +20,7 @@
 CANCELLED = {"p": "cancelled", "n": 0, "o": "red"}
 
 
-def load(prepare: Callable[[FakeStore, View, Cancellations], Any], followed_s: float = 60.0) -> ClusterState:
+def load(prepare: Callable[[FakeStore, WatchCache, Cancellations], Any], followed_s: float = 60.0) -> ClusterState:
     """The cluster state of a term that begins with one machine unheard, after `prepare`."""
     clusters = []
 
@@ -28,18 +28,18 @@
         async with trio.open_nursery() as nursery:
             net, fake = FakeNet(nursery), FakeStore()
             net.handlers["store"] = fake.handle
-            store = Store(net.client("n0")("store"), StateLimits(1000.0, 1000.0, 32.0, 16), 1)
-            view = View(store, ENDED_WINDOW_S + 5.0)
-            nursery.start_soon(view.run)
+            store = KeyValueStore(net.client("n0")("store"), StateLimits(1000.0, 1000.0, 32.0, 16), 1)
+            watch_cache = WatchCache(store, ENDED_WINDOW_S + 5.0)
+            nursery.start_soon(watch_cache.run)
             spec = array_job("run-1", shards=6, owner="red")
             fake._multi({"if": [], "writes": [{"set": job_key("run-1"), "value": new_record(spec, 0.0)}]})
             await trio.sleep(followed_s)
             cancellations = Cancellations(0.0, 30.0, 10.0, 2)
-            prepare(fake, view, cancellations)
+            prepare(fake, watch_cache, cancellations)
             await trio.sleep(1)
             cluster = ClusterState(fake.rev + 1, trio.current_time(), Catalog({"std": MACHINE_TYPE}), 14.5, 3.4)
-            cluster.takeover.expect_machines([UNHEARD_MACHINE])
-            FollowedJobs(view, cancellations, trio.current_time, ENDED_WINDOW_S).load(cluster)
+            cluster.failover.expect_machines([UNHEARD_MACHINE])
+            FollowedJobs(watch_cache, cancellations, trio.current_time, ENDED_WINDOW_S).load(cluster)
             clusters.append(cluster)
             nursery.cancel_scope.cancel()
 
@@ -48,14 +48,14 @@
 
 
 def test_a_live_job_counts_on_a_machine_that_was_not_heard() -> None:
-    assert load(lambda fake, view, cancellations: None).unaccounted("red") == (6.0, 0.0)
+    assert load(lambda fake, watch_cache, cancellations: None).unaccounted("red") == (6.0, 0.0)
 
 
 def test_a_job_known_to_be_over_counts_though_its_record_is_still_live_in_the_view() -> None:
     """By reading: it was left out as over, and was not among the jobs lately over yet."""
     for learn in (
-        lambda fake, view, cancellations: view.remember_final("run-1", CANCELLED),
-        lambda fake, view, cancellations: cancellations.learn("run-1", trio.current_time()),
+        lambda fake, watch_cache, cancellations: watch_cache.remember_final("run-1", CANCELLED),
+        lambda fake, watch_cache, cancellations: cancellations.learn("run-1", trio.current_time()),
     ):
         cluster = load(learn)
         assert "run-1" not in cluster.jobs
@@ -63,7 +63,7 @@
 
 
 def test_a_job_whose_removal_was_followed_counts() -> None:
-    def cancel(fake: FakeStore, view: View, cancellations: Cancellations) -> None:
+    def cancel(fake: FakeStore, watch_cache: WatchCache, cancellations: Cancellations) -> None:
         fake._multi({"if": [], "writes": [{"remove": job_key("run-1")}]})
 
     assert load(cancel).unaccounted("red") == (6.0, 0.0)
--- a/sorrelsill/controller/user_routes.py
+++ b/sorrelsill/controller/user_routes.py
@@ -15,7 +15,7 @@
 from sorrelsill.events import log_event
 from sorrelsill.http import Reply, Request
 from sorrelsill.jobs import Admission, BusyError
-from sorrelsill.store import View
+from sorrelsill.store import WatchCache
 
 log = logging.getLogger(__name__)
 
@@ -30,9 +30,9 @@
 class UserRoutes:
     """Each call is answered, or refused at once with the time to come back."""
 
-    def __init__(self, admission: Admission, view: View, count: Callable[[str], None]) -> None:
+    def __init__(self, admission: Admission, watch_cache: WatchCache, count: Callable[[str], None]) -> None:
         self._admission = admission
-        self._view = view
+        self._watch_cache = watch_cache
         self._count = count
 
     async def handle(self, request: Request) -> Reply | None:
@@ -76,8 +76,8 @@
                 path=request.path,
                 status=status,
                 phase=answer.get("phase"),
-                view_revision=self._view.rev,
-                view_age_s=trio.current_time() - self._view.fresh_at,
+                view_revision=self._watch_cache.rev,
+                view_age_s=trio.current_time() - self._watch_cache.fresh_at,
             )
         return Reply(status, _encode(answer))
 
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -196,7 +196,7 @@
             if machine.name not in self._give_back:
                 self._choose_return(machine, keep, now)
         for name, pending in self.pending.items():
-            if name in self._cluster.takeover.unconfirmed:
+            if name in self._cluster.failover.unconfirmed:
                 continue
             up = self._running_since.get(name)
             if given_up(pending, self._boots, self._cluster.catalog, now, self._cluster.started):
@@ -267,7 +267,7 @@
         if self._hurried or self._open or now - self._drained_at < constants.DRAIN_EVERY_S:
             return
         few = int(constants.DRAIN_SHARE * len(cluster.index.ready))
-        if len(self.pending) > few or cluster.takeover.unconfirmed:
+        if len(self.pending) > few or cluster.failover.unconfirmed:
             return
         if any(u.count for u in self._unplaced()) or any(h.draining for h in cluster.machines.values()):
             return
--- a/sorrelsill/fleet/test_plan.py
+++ b/sorrelsill/fleet/test_plan.py
@@ -33,7 +33,7 @@
     machines = []
     for number in range(count):
         machine = cluster.machine(f"m{number}", "c8", "ab"[number % 2], False, 0.0)
-        machine.synced = machine.reachable = machine.rostered = True
+        machine.synced = machine.reachable = machine.registered = True
         machine.images["img"] = 0.5
         machines.append(machine)
         fields = {"shape": "standing", "shards": replicas, "rank": "prod", "vcpus": 1.0, "memoryGb": 1.0}
--- a/sorrelsill/jobs/admission.py
+++ b/sorrelsill/jobs/admission.py
@@ -20,13 +20,13 @@
 from sorrelsill.settings import Team
 from sorrelsill.store import (
     AmbiguousError,
-    Condition,
+    Compare,
+    Delete,
+    KeyValueStore,
     Put,
     RefusedError,
-    Remove,
-    Store,
     UnavailableError,
-    View,
+    WatchCache,
     final_key,
     job_key,
 )
@@ -82,9 +82,11 @@
 class Admission:
     """Takes submissions, polls and cancellations of users."""
 
-    def __init__(self, store: Store, view: View, teams: list[Team], time_of_day: Callable[[], float]) -> None:
+    def __init__(
+        self, store: KeyValueStore, watch_cache: WatchCache, teams: list[Team], time_of_day: Callable[[], float]
+    ) -> None:
         self._store = store
-        self._view = view
+        self._watch_cache = watch_cache
         self._teams = {t.name: t for t in teams}
         self._time_of_day = time_of_day
         self.catalog: Catalog | None = None
@@ -123,7 +125,7 @@
 
     def _known(self, job_id: str) -> dict[str, Any] | None:
         """What is known of a job without asking; enough to say that it was accepted."""
-        final = self._view.final(job_id)
+        final = self._watch_cache.final(job_id)
         if final is not None:
             return {"uid": job_id, "phase": final["p"], "done": final.get("n", 0), "running": 0}
         return None
@@ -167,15 +169,15 @@
 
     async def _commit(self, todo: dict[str, list[_Waiting]], since: float) -> bool:
         """One transaction for all jobs of a batch. What is settled leaves it; True if the rest may be tried again."""
-        conditions: list[Condition] = []
-        writes: list[Put | Remove] = []
+        compares: list[Compare] = []
+        writes: list[Put | Delete] = []
         records = {job_id: new_record(group[0].spec, self._time_of_day()) for job_id, group in todo.items()}
         for job_id, record in records.items():
-            conditions += [Condition(job_key(job_id), 0), Condition(final_key(job_id), 0)]
+            compares += [Compare(job_key(job_id), 0), Compare(final_key(job_id), 0)]
             writes.append(Put(job_key(job_id), record))
         sent_at = trio.current_time()
         try:
-            txn = await self._store.multi(conditions, writes)
+            txn = await self._store.commit(compares, writes)
         except RefusedError:
             await self._admit_singly(todo)
             return False
@@ -195,7 +197,7 @@
                     await self._settle(job_id, todo.pop(job_id))
             return True
         for job_id, group in todo.items():
-            self._view.apply(job_key(job_id), records[job_id], txn.rev, True)
+            self._watch_cache.apply_change(job_key(job_id), records[job_id], txn.rev, True)
             for waiting in group:
                 waiting.tell((201, {"uid": job_id, "phase": "pending"}), sent_at)
         return False
@@ -220,7 +222,7 @@
             if found is not None:
                 value = found[0]
                 if isinstance(value, dict) and "p" in value:
-                    self._view.remember_final(job_id, value)
+                    self._watch_cache.remember_final(job_id, value)
                     return {"uid": job_id, "phase": value["p"], "done": value.get("n", 0), "running": 0}
                 return _state(job_id, value)
         return None
@@ -264,28 +266,28 @@
             return 200, known
         if self._store.failing_for() > constants.READY_STORE_S / 2:
             raise BusyError("the state service can't be reached")
-        if self._view.waiting() >= constants.POLL_QUEUE:
+        if self._watch_cache.waiting() >= constants.POLL_QUEUE:
             # Guards against storms of polls: what waits is bounded, and the rest is told at once to come back.
             raise BusyError("too many polls are waiting")
         asked_at = trio.current_time()
         with trio.move_on_after(constants.POLL_DEADLINE_S):
-            if not await self._view.barrier():
+            if not await self._watch_cache.read_barrier():
                 raise BusyError("the state service does not answer")
             _check_age(asked_at)
             known = self._known(job_id)
             if known is not None:
                 return 200, known
-            live = self._view.job(job_id)
+            live = self._watch_cache.job(job_id)
             if live is not None:
                 return 200, _state(job_id, live[0])
             # Not live after the barrier: over long ago, or never accepted when the poll came.
             found = await self._read_final(job_id)
             _check_age(asked_at)
             if found is not None:
-                self._view.remember_final(job_id, found[0])
+                self._watch_cache.remember_final(job_id, found[0])
                 return 200, self._known(job_id) or {}
             # Accepted during the read: another controller may have told so by now.
-            live = self._view.job(job_id)
+            live = self._watch_cache.job(job_id)
             if live is not None:
                 return 200, _state(job_id, live[0])
             return 404, {"error": "no such job"}
@@ -310,8 +312,8 @@
         """Why the job's tasks stopped or wait: the newest notes."""
         status, answer = await self.poll(job_id)
         if status == 200:
-            live = self._view.job(job_id)
-            value = self._view.final(job_id) or (live[0] if live is not None else {})
+            live = self._watch_cache.job(job_id)
+            value = self._watch_cache.final(job_id) or (live[0] if live is not None else {})
             answer["why"] = [str(w) for w in value.get("w") or []]
         return status, answer
 
@@ -320,13 +322,13 @@
         if name not in self._teams:
             return 404, {"error": "no such team"}
         asked_at = trio.current_time()
-        if not await self._view.barrier():
+        if not await self._watch_cache.read_barrier():
             raise BusyError("the state service does not answer")
         _check_age(asked_at)
         mine = sorted(
             (
                 (job_id, value)
-                for job_id, value, _ in self._view.jobs()
+                for job_id, value, _ in self._watch_cache.jobs()
                 if value["s"].get("owner") == name and job_id > after
             ),
             key=lambda item: item[0],
@@ -366,12 +368,12 @@
 
     async def _cancel(self, job_id: str) -> Answer:
         while True:
-            final = self._view.final(job_id)
+            final = self._watch_cache.final(job_id)
             if final is None:
                 found = await self._store.get(final_key(job_id))
                 final = found[0] if found is not None else None
                 if final is not None:
-                    self._view.remember_final(job_id, final)
+                    self._watch_cache.remember_final(job_id, final)
             if final is not None:
                 return 200, {"uid": job_id, "phase": final["p"]}
             live = await self._store.get(job_key(job_id))
@@ -382,11 +384,11 @@
                 continue
             value, rev = live
             record = self._end_of(job_id, value)
-            chunks = [Remove(key) for key in self._view.chunk_keys(job_id)]
-            writes: list[Put | Remove] = [Remove(job_key(job_id)), Put(final_key(job_id), record)]
+            chunks = [Delete(key) for key in self._watch_cache.chunk_keys(job_id)]
+            writes: list[Put | Delete] = [Delete(job_key(job_id)), Put(final_key(job_id), record)]
             room = max(0, self._store.txn_ops - 2)
-            txn = await self._store.multi([Condition(job_key(job_id), rev)], [*writes, *chunks[:room]])
+            txn = await self._store.commit([Compare(job_key(job_id), rev)], [*writes, *chunks[:room]])
             if txn.ok:
-                self._view.apply(job_key(job_id), None, txn.rev, False)
-                self._view.remember_final(job_id, record)
+                self._watch_cache.apply_change(job_key(job_id), None, txn.rev, False)
+                self._watch_cache.remember_final(job_id, record)
                 return 200, {"uid": job_id, "phase": record["p"]}
--- a/sorrelsill/jobs/cancellations.py
+++ b/sorrelsill/jobs/cancellations.py
@@ -35,7 +35,7 @@
         self._cancel_s = cancel_s
         self._renew_s = renew_s  # how far back the certainty may lie when a lease is renewed
         self._learnt: OrderedDict[str, float] = OrderedDict()  # job -> when we learnt that it is cancelled
-        self._whole_since = begun  # all that this process learnt of since then is in `_learnt`
+        self._complete_since = begun  # all that this process learnt of since then is in `_learnt`
         self._followed_since = float("inf")  # since then the view has followed every change
         self._fresh_at = float("-inf")
         self._floor = float("-inf")  # what was committed before this is known here, or not live in our view
@@ -53,7 +53,7 @@
         keep = now - constants.CANCELLED_KEPT * self._cancel_s
         while self._learnt and (oldest := next(iter(self._learnt.items())))[1] < keep:
             del self._learnt[oldest[0]]
-            self._whole_since = max(self._whole_since, oldest[1])
+            self._complete_since = max(self._complete_since, oldest[1])
         return True
 
     def known(self, job_id: str) -> bool:
@@ -103,7 +103,7 @@
         back = asked.get("back")
         if not _is_age(back):
             return {}
-        since = max(now - back, self._whole_since)
+        since = max(now - back, self._complete_since)
         named = [job_id for job_id, at in self._learnt.items() if at >= since]
         if len(named) > constants.CANCELLED_NAMED:
             return {}
--- a/sorrelsill/jobs/roster.py
+++ b/sorrelsill/jobs/machine_registry.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class RosterWrite:
+class RegistryWrite:
     """One value to put, and what its commit means."""
 
     key: str
@@ -24,7 +24,9 @@
     added: list[str] = field(default_factory=list)
 
 
-def next_write(base: str, parts: dict[str, Entries], add: Entries, gone: set[str], limit: int) -> RosterWrite | None:
+def next_registry_write(
+    base: str, parts: dict[str, Entries], add: Entries, gone: set[str], limit: int
+) -> RegistryWrite | None:
     """The next key to write so that `add` stands in some part and `gone` in none; None if nothing is left to do or
     fits. A part that was written when longer values were allowed is shrunk by writes that fit: first its entries are
     copied to further keys, then those that stand elsewhere are left out of it."""
@@ -34,20 +36,20 @@
             elsewhere = {n for k, v in parts.items() if k != key and json_size(v) <= limit for n in v}
             left = {n: e for n, e in slim.items() if n not in elsewhere}
             if json_size(left) <= limit:
-                return RosterWrite(key, left)
+                return RegistryWrite(key, left)
             return _fill(base, {k: v for k, v in parts.items() if k != key}, left, limit, parts)
         here = {n: e for n, e in add.items() if n in slim and slim[n] != e}
         same = [n for n in add if n in slim and slim[n] == add[n]]
         if here or len(slim) != len(value) or same:
             trial = {**slim, **here}
             if json_size(trial) <= limit:
-                return RosterWrite(key, trial, [*here, *same])
+                return RegistryWrite(key, trial, [*here, *same])
     return _fill(base, parts, add, limit, parts) if add else None
 
 
 def _fill(
     base: str, into: dict[str, Entries], entries: Entries, limit: int, parts: dict[str, Entries]
-) -> RosterWrite | None:
+) -> RegistryWrite | None:
     """Put as many of the entries as fit into the first part with room, or into a new one."""
     new = base if base not in parts else f"{base}.{len(parts)}"
     for key, value in [*into.items(), (new, {})]:
@@ -63,5 +65,5 @@
                 size += more
                 added.append(name)
         if added:
-            return RosterWrite(key, grown, added)
+            return RegistryWrite(key, grown, added)
     return None
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -15,24 +15,24 @@
 import trio
 
 from sorrelsill import constants
+from sorrelsill.jobs.machine_registry import RegistryWrite, next_registry_write
 from sorrelsill.jobs.records import chunk_value, final_record, json_size, record_value, with_notes
-from sorrelsill.jobs.roster import RosterWrite, next_write
 from sorrelsill.model import RegistryEntry
 from sorrelsill.store import (
     LEADER,
     AmbiguousError,
-    Condition,
+    Compare,
+    Delete,
+    KeyValueStore,
     Put,
     RefusedError,
-    Remove,
-    Store,
     UnavailableError,
-    View,
+    WatchCache,
     chunk_key,
     final_key,
     job_key,
-    part_key,
-    roster_key,
+    registry_key,
+    small_chunk_key,
 )
 
 if TYPE_CHECKING:
@@ -47,18 +47,18 @@
     """One transaction in the making, and what its commit means."""
 
     def __init__(self, term: int, ops: int) -> None:
-        self.conditions = [Condition(LEADER, term)]
-        self.writes: list[Put | Remove] = []
+        self.compares = [Compare(LEADER, term)]
+        self.writes: list[Put | Delete] = []
         self.after: list[Callable[[int], None]] = []
         self.undo: list[Callable[[], None]] = []  # if it is not known to be committed: what stays due
         self.units: list[str] = []  # the changes in it, each of which could go by itself
         self.size = 200
         self.ops = ops
 
-    def room(self, conditions: int, writes: int, size: int) -> bool:
+    def room(self, compares: int, writes: int, size: int) -> bool:
         return (
             len(self.writes) + writes <= self.ops
-            and len(self.conditions) + conditions <= self.ops * constants.CONDITIONS_PER_OP
+            and len(self.compares) + compares <= self.ops * constants.COMPARES_PER_OP
             and self.size + size <= constants.TXN_BYTES
         )
 
@@ -68,15 +68,15 @@
 
     def __init__(
         self,
-        store: Store,
-        view: View,
+        store: KeyValueStore,
+        watch_cache: WatchCache,
         cluster: ClusterState,
         valid: Callable[[], bool],
         on_fenced: Callable[[], None] = lambda: None,
     ) -> None:
         """`on_superseded` is told when the store says that another leader's term has begun."""
         self._store = store
-        self._view = view
+        self._watch_cache = watch_cache
         self._cluster = cluster
         self._valid = valid
         self._alone = 0  # steps in which each change goes by itself, after a refusal
@@ -99,7 +99,7 @@
         # Jobs that are over go first, since their users wait for it, then machines that wait for their first work,
         # then jobs that begin or stop to run. Mere progress never costs what these need next.
         self._records(batch, over)
-        self._roster(batch)
+        self._write_registry(batch)
         self._records(batch, turned)
         bucket = self._store.writes
         # Found by reading: at the smaller store's rate the reserve was all that could be saved up, and no progress was
@@ -112,7 +112,7 @@
             return False
         self._alone = max(0, self._alone - 1)
         try:
-            txn = await self._store.multi(batch.conditions, batch.writes)
+            txn = await self._store.commit(batch.compares, batch.writes)
         except RefusedError as error:
             self._refused(batch, error, trio.current_time())
             txn = None
@@ -143,7 +143,7 @@
     def _takes(self, batch: _Batch, unit: str) -> bool:
         return unit not in self._aside and not (self._alone and batch.units)
 
-    def _roster(self, batch: _Batch) -> None:
+    def _write_registry(self, batch: _Batch) -> None:
         """Machines that may hold work, many to a key. Each write carries the revision of what it replaces: found by
         reading, a removal that was carried out late or twice could undo a later entry of the same term, and the next
         leader would not have waited for that machine."""
@@ -155,27 +155,27 @@
             if (
                 machine is not None
                 and machine.synced
-                or not any(name in value for value, _ in self._view.roster_parts(name).values())
+                or not any(name in value for value, _ in self._watch_cache.registry_parts(name).values())
             ):
                 cluster.gone.discard(name)
             else:
-                bases[roster_key(name)] = name
-        for name, machine in list(cluster.to_roster.items()):
-            if not machine.synced or machine.rostered or machine.returning:
-                del cluster.to_roster[name]
+                bases[registry_key(name)] = name
+        for name, machine in list(cluster.machines_to_register.items()):
+            if not machine.synced or machine.registered or machine.returning:
+                del cluster.machines_to_register[name]
             else:
-                bases[roster_key(name)] = name
-                add.setdefault(roster_key(name), {})[name] = machine
+                bases[registry_key(name)] = name
+                add.setdefault(registry_key(name), {})[name] = machine
         for base, one in sorted(bases.items()):
             machines = add.get(base, {})
-            parts = self._view.roster_parts(one)
+            parts = self._watch_cache.registry_parts(one)
             entries = {
                 n: RegistryEntry(h.machine_type, h.addr, h.zone, h.spot).to_stored() for n, h in machines.items()
             }
             values = {key: value for key, (value, _) in parts.items()}
             # Further keys only once the store refuses longer values: a leader of the former version that finds a
             # machine in two of them never takes it for heard.
-            write = next_write(base, values, entries, cluster.gone, self._store.value_bytes)
+            write = next_registry_write(base, values, entries, cluster.gone, self._store.value_bytes)
             if write is None:
                 # Without an entry a machine gets no work: that must not go unseen.
                 log.error("roster part %s: entries of %d machines fit no value", base, len(machines))
@@ -184,27 +184,27 @@
             if not self._takes(batch, write.key) or not batch.room(max(1, len(parts)), 1, size):
                 continue
             # Of all parts, since what is left out of one may rest on standing in another.
-            batch.conditions += [Condition(key, rev) for key, (_, rev) in parts.items()]
+            batch.compares += [Compare(key, rev) for key, (_, rev) in parts.items()]
             if write.key not in parts:
-                batch.conditions.append(Condition(write.key, 0))
+                batch.compares.append(Compare(write.key, 0))
             batch.writes.append(Put(write.key, write.value))
             batch.size += size
             batch.units.append(write.key)
             added = [(machines[n], machines[n].incarnation) for n in write.added if n in machines]
-            batch.after.append(partial(self._rostered, write, added))
+            batch.after.append(partial(self._registered, write, added))
 
-    def _rostered(self, write: RosterWrite, added: list[tuple[Machine, int]], rev: int) -> None:
+    def _registered(self, write: RegistryWrite, added: list[tuple[Machine, int]], rev: int) -> None:
         """A part of the roster is committed: its machines may be given work, unless they changed meanwhile. Machines
         that are gone stay due until they stand in no part any more."""
         cluster = self._cluster
-        self._view.apply(write.key, write.value, rev, True)
+        self._watch_cache.apply_change(write.key, write.value, rev, True)
         for machine, incarnation in added:
-            cluster.to_roster.pop(machine.name, None)
+            cluster.machines_to_register.pop(machine.name, None)
             if machine.synced and machine.incarnation == incarnation:
-                machine.rostered = True
+                machine.registered = True
                 cluster.wake_placing = True
             elif machine.synced:
-                cluster.to_roster[machine.name] = machine
+                cluster.machines_to_register[machine.name] = machine
 
     def _due(self) -> tuple[list[Job], list[Job], list[Job]]:
         """Jobs that are over, that begin or stop to run, and whose progress is due. That is for display, and its
@@ -241,18 +241,18 @@
         results = cluster.attempts.unrecorded(job_id)
         if job.done.count == spec.task_count and not spec.is_service:
             # What finds no room of its parts is removed later, as an orphan.
-            parts_gone = [Remove(key) for key in self._view.chunk_keys(job_id)][: max(0, batch.ops - 3)]
+            parts_gone = [Delete(key) for key in self._watch_cache.chunk_keys(job_id)][: max(0, batch.ops - 3)]
             if not batch.room(1, 2 + len(parts_gone), 500):
                 return False
             record = final_record("done", spec, spec.task_count, job.why, store.small_bytes)
-            batch.conditions.append(Condition(job_key(job_id), job.rev))
-            batch.writes += [Remove(job_key(job_id)), Put(final_key(job_id), record), *parts_gone]
+            batch.compares.append(Compare(job_key(job_id), job.rev))
+            batch.writes += [Delete(job_key(job_id)), Put(final_key(job_id), record), *parts_gone]
             batch.size += json_size(record) + 300
             batch.units.append(job_id)
 
             def finished(rev: int) -> None:
-                self._view.remember_final(job_id, record)
-                self._view.apply(job_key(job_id), None, rev, False)
+                self._watch_cache.remember_final(job_id, record)
+                self._watch_cache.apply_change(job_key(job_id), None, rev, False)
                 cluster.end_job(job_id)
                 _clear(results)
 
@@ -284,7 +284,7 @@
             return True
         if not batch.room(1, last + len(puts), size):
             return False
-        batch.conditions.append(Condition(job_key(job_id), job.rev))
+        batch.compares.append(Compare(job_key(job_id), job.rev))
         batch.writes += [Put(job_key(job_id), value), *puts] if last else puts
         batch.size += size
         batch.units.append(job_id)
@@ -296,11 +296,11 @@
 
         def written(rev: int) -> None:
             for put in puts:
-                self._view.apply(put.key, put.value, rev, True)
+                self._watch_cache.apply_change(put.key, put.value, rev, True)
             if last:
                 job.shown_running = running
                 job.rev = max(job.rev, rev)
-                self._view.apply(job_key(job_id), value, rev, True)
+                self._watch_cache.apply_change(job_key(job_id), value, rev, True)
             if whole:
                 _clear(results)
 
@@ -335,26 +335,26 @@
                 first = chunk * _PARTS_OF_CHUNK
                 numbers.update(job.dirty_parts & set(range(first, first + _PARTS_OF_CHUNK)))
             else:
-                puts.append(Put(part_key(job_id, number), chunk_value(done, number, constants.PART_SHARDS)))
+                puts.append(Put(small_chunk_key(job_id, number), chunk_value(done, number, constants.PART_SHARDS)))
                 numbers.add(number)
         return puts, numbers
 
     def _orphans(self, batch: _Batch) -> None:
         """Parts of jobs that are over, out of what room is left."""
-        for job_id in self._view.orphans():
-            keys = self._view.chunk_keys(job_id)[: max(0, batch.ops - len(batch.writes))]
+        for job_id in self._watch_cache.jobs_with_orphaned_chunks():
+            keys = self._watch_cache.chunk_keys(job_id)[: max(0, batch.ops - len(batch.writes))]
             unit = f"parts of {job_id}"
             if not keys or not self._takes(batch, unit) or not batch.room(1, len(keys), 100 * len(keys)):
                 return
-            batch.conditions.append(Condition(job_key(job_id), 0))
-            batch.writes += [Remove(key) for key in keys]
+            batch.compares.append(Compare(job_key(job_id), 0))
+            batch.writes += [Delete(key) for key in keys]
             batch.size += 100 * len(keys)
             batch.units.append(unit)
             batch.after.append(partial(self._swept, keys))
 
     def _swept(self, keys: list[str], rev: int) -> None:
         for key in keys:
-            self._view.apply(key, None, rev, False)
+            self._watch_cache.apply_change(key, None, rev, False)
 
 
 def _registry_entry(machine: Machine) -> RegistryEntry:
--- a/sorrelsill/leadership/elector.py
+++ b/sorrelsill/leadership/elector.py
@@ -21,7 +21,7 @@
 from sorrelsill import constants
 from sorrelsill.events import log_event
 from sorrelsill.settings import Timings
-from sorrelsill.store import LEADER, AmbiguousError, Condition, Put, Store, UnavailableError, View
+from sorrelsill.store import LEADER, AmbiguousError, Compare, KeyValueStore, Put, UnavailableError, WatchCache
 
 log = logging.getLogger(__name__)
 
@@ -73,8 +73,8 @@
 
     def __init__(
         self,
-        store: Store,
-        view: View,
+        store: KeyValueStore,
+        watch_cache: WatchCache,
         timings: Timings,
         label: str,
         watchdog: Watchdog,
@@ -87,7 +87,7 @@
         """`on_term` is told of each term that begins, and None when one ends; `hears_no_worker` says whether we lead
         but hear no worker any more; `other_candidates` whether any but the former leader could take the key now."""
         self._store = store
-        self._view = view
+        self._watch_cache = watch_cache
         self._t = timings
         self._label = label
         self._watchdog = watchdog
@@ -108,7 +108,7 @@
         self._on_term = on_term
         self._other_candidates = other_candidates
         self._changed = trio.Event()
-        view.listeners.append(self._seen)
+        watch_cache.listeners.append(self._seen)
 
     def valid(self) -> bool:
         """Whether this controller may act as leader at this very moment."""
@@ -122,7 +122,7 @@
 
     def leader_label(self) -> str | None:
         """Who leads as far as the view tells."""
-        known = self._view.leader()
+        known = self._watch_cache.leader()
         if known is None or not isinstance(known[0], dict):
             return None
         label = known[0].get("label")
@@ -227,8 +227,8 @@
         """Warm follower: wait for the key to go, then try to take it."""
         changed = self._changed
         now = trio.current_time()
-        free = self._view.loaded and self._view.leader() is None
-        if self._view.loaded and await self._end_former():
+        free = self._watch_cache.loaded and self._watch_cache.leader() is None
+        if self._watch_cache.loaded and await self._end_former():
             return
         wait = max(self.bound_until, self.acquire_after) - now
         if not free or self._watchdog.out() or wait > 0:
@@ -237,7 +237,7 @@
             return
         await trio.sleep(self._rng.random() * constants.ACQUIRE_JITTER_S)
         await self._defer()
-        if self._view.leader() is not None:
+        if self._watch_cache.leader() is not None:
             return
         self.acquiring = True
         try:
@@ -262,7 +262,7 @@
     async def _end_former(self) -> bool:
         """A process that is back at once finds the key of its former self, which is dead for certain, or one that a
         request of its former self took after its end. Nobody pings it: ending it spares the wait for its lease."""
-        known = self._view.leader()
+        known = self._watch_cache.leader()
         value = known[0] if known is not None else None
         if not isinstance(value, dict) or value.get("label") != self._label:
             return False
@@ -284,7 +284,7 @@
         nonce = f"{self._rng.getrandbits(64):016x}"
         value = {"label": self._label, "nonce": nonce, "lease": lease}
         try:
-            txn = await self._store.multi([Condition(LEADER, 0)], [Put(LEADER, value, lease)], urgent=True)
+            txn = await self._store.commit([Compare(LEADER, 0)], [Put(LEADER, value, lease)], urgent=True)
             term = txn.rev if txn.ok else None
         except AmbiguousError:
             # The answer is lost, not necessarily the write: read back and compare the nonce.
@@ -301,11 +301,11 @@
             return
         # The view may have been read page by page while the old leader still wrote: rebuild from one that
         # holds everything up to our own term.
-        while self._view.rev < term:
+        while self._watch_cache.rev < term:
             if trio.current_time() - sent_at >= self._t.validity_s:
                 await self._store.revoke(lease, timeout)
                 return
-            if not await self._view.barrier():
+            if not await self._watch_cache.read_barrier():
                 await trio.sleep(constants.RETRY_S / 5)
         if trio.current_time() - sent_at >= self._t.validity_s:
             # Guards against a process that stood still during the last read and would begin a term that is over.
@@ -319,15 +319,15 @@
         self._good_ping = sent_at
         self.since = trio.current_time()
         self._store.set_leading(True)
-        self._view.apply(LEADER, value, term, True)
-        view_age_s = self.since - self._view.fresh_at
+        self._watch_cache.apply_change(LEADER, value, term, True)
+        view_age_s = self.since - self._watch_cache.fresh_at
         log_event(
             log,
             logging.INFO,
             "leading",
             term=term,
             lease_s=self._t.lease_s,
-            view_revision=self._view.rev,
+            view_revision=self._watch_cache.rev,
             view_age_s=view_age_s,
         )
         self._on_term(term)
--- a/sorrelsill/membership/__init__.py
+++ b/sorrelsill/membership/__init__.py
@@ -13,7 +13,7 @@
     from sorrelsill.http import Client
     from sorrelsill.membership.service import Membership
     from sorrelsill.settings import Settings
-    from sorrelsill.store import Store, View
+    from sorrelsill.store import KeyValueStore, WatchCache
 
 PRESENCE_PREFIX = "s/n/"  # keys by which controllers show in the state service that they run
 
@@ -21,8 +21,8 @@
 def make_membership(
     settings: Settings,
     membership: MembershipSettings,
-    store: Store,
-    view: View,
+    store: KeyValueStore,
+    watch_cache: WatchCache,
     make_client: Callable[[str], Client],
     count: Callable[[str], None],
 ) -> Membership:
@@ -30,7 +30,7 @@
     from sorrelsill.membership.presence import PresenceKeeper  # noqa: PLC0415 - see above
     from sorrelsill.membership.service import Membership  # noqa: PLC0415
 
-    presence = PresenceKeeper(store, view, settings.label, membership.presence_lease_s)
+    presence = PresenceKeeper(store, watch_cache, settings.label, membership.presence_lease_s)
     return Membership(settings.label, settings.members, membership, make_client, presence, count)
 
 
--- a/sorrelsill/membership/presence.py
+++ b/sorrelsill/membership/presence.py
@@ -11,7 +11,7 @@
 from sorrelsill import constants
 from sorrelsill.membership import PRESENCE_PREFIX
 from sorrelsill.membership.detector import Presence
-from sorrelsill.store import AmbiguousError, Put, Store, UnavailableError, View
+from sorrelsill.store import AmbiguousError, KeyValueStore, Put, UnavailableError, WatchCache
 
 log = logging.getLogger(__name__)
 
@@ -24,9 +24,9 @@
 class PresenceKeeper:
     """Holds the key for as long as the process runs."""
 
-    def __init__(self, store: Store, view: View, label: str, lease_s: float) -> None:
+    def __init__(self, store: KeyValueStore, watch_cache: WatchCache, label: str, lease_s: float) -> None:
         self._store = store
-        self._view = view
+        self._watch_cache = watch_cache
         self._key = presence_key(label)
         self._lease_s = lease_s
         self._lease: int | None = None
@@ -35,8 +35,8 @@
 
     def of(self, label: str, now: float) -> Presence:
         """Whether another controller's key is there, and how far that can be told now."""
-        fresh = self._view.loaded and now - self._view.fresh_at < constants.VIEW_STALE_S
-        return Presence(presence_key(label) in self._view.keys, fresh and self._store.failing_for() == 0)
+        fresh = self._watch_cache.loaded and now - self._watch_cache.fresh_at < constants.WATCH_CACHE_STALE_S
+        return Presence(presence_key(label) in self._watch_cache.keys, fresh and self._store.failing_for() == 0)
 
     async def run(self) -> None:
         """Register, renew, and register anew when the lease or the key is gone."""
@@ -71,10 +71,10 @@
 
     def _overwritten(self) -> bool:
         """Whether a late write of an earlier process of ours replaced the key: it goes with that process's lease."""
-        known = self._view.keys.get(self._key)
-        return self._view.rev >= self.process and (known is None or known[1] != self.process)
+        known = self._watch_cache.keys.get(self._key)
+        return self._watch_cache.rev >= self.process and (known is None or known[1] != self.process)
 
     async def _write(self) -> None:
-        txn = await self._store.multi([], [Put(self._key, {"lease": self._lease}, self._lease)], urgent=True)
+        txn = await self._store.commit([], [Put(self._key, {"lease": self._lease}, self._lease)], urgent=True)
         if txn.ok:
             self.process = txn.rev
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -26,7 +26,7 @@
 from sorrelsill.jobs import Cancellations
 from sorrelsill.leadership import Elector
 from sorrelsill.settings import Member
-from sorrelsill.store import Store
+from sorrelsill.store import KeyValueStore
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        store: Store,
+        store: KeyValueStore,
         elector: Elector,
         members: list[Member],
         client: Callable[[str], Client],
--- a/sorrelsill/placement/engine.py
+++ b/sorrelsill/placement/engine.py
@@ -111,7 +111,7 @@
     def _place_job(self, placing: Round, job: Job) -> bool:
         """False if the round's time is used up before the job was seen whole."""
         self.unplaced.pop(job.spec.job_id, None)
-        if not placing.cluster.takeover.settled(job) or job.failures.next_trial_at > placing.now:
+        if not placing.cluster.failover.settled(job) or job.failures.next_trial_at > placing.now:
             return True
         if job.spec.is_gang:
             self._place_group(placing, job)
--- a/sorrelsill/placement/team_limits.py
+++ b/sorrelsill/placement/team_limits.py
@@ -64,5 +64,5 @@
         bound_gpus=use.bound.gpus,
         unaccounted_gpus=use.unaccounted.gpus,
         limit_gpus=team.gpus_max,
-        unconfirmed=len(cluster.takeover.unconfirmed),
+        unconfirmed=len(cluster.failover.unconfirmed),
     )
--- a/sorrelsill/placement/test_engine.py
+++ b/sorrelsill/placement/test_engine.py
@@ -19,7 +19,7 @@
     cluster = ClusterState(1, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
     for name, zone, spot in machines:
         machine = cluster.machine(name, "c8", zone, spot, 0.0)
-        machine.synced = machine.reachable = machine.rostered = True
+        machine.synced = machine.reachable = machine.registered = True
     return cluster
 
 
@@ -113,7 +113,7 @@
     assert index.ready.names() == index.free.names() == {other}
 
 
-@pytest.mark.parametrize("condition", ["synced", "reachable", "rostered"])
+@pytest.mark.parametrize("condition", ["synced", "reachable", "registered"])
 def test_a_condition_that_fails_takes_the_machine_out_of_the_indices_at_once(condition: str) -> None:
     cluster = cluster_with(("m1", "a", False))
     setattr(cluster.machines["m1"], condition, False)
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -180,7 +180,7 @@
             # Where `cancel_s` leaves less than this besides the lease, leases alone can't keep the rule, and an
             # ordinary leader must still be able to renew them.
             renew_s=max(
-                constants.VIEW_STALE_S,
+                constants.WATCH_CACHE_STALE_S,
                 workers.cancel_s - workers.lease_s * (1 + 2 * constants.CLOCK_DRIFT) - constants.RENEW_MARGIN_S,
             ),
         )
--- a/sorrelsill/store/__init__.py
+++ b/sorrelsill/store/__init__.py
@@ -1,36 +1,45 @@
 """Dealings with the state service: a client under a rate budget, and a followed view of our keys."""
 
-from sorrelsill.store.client import AmbiguousError, Condition, Put, RefusedError, Remove, Store, Txn, UnavailableError
-from sorrelsill.store.view import (
+from sorrelsill.store.client import (
+    AmbiguousError,
+    Compare,
+    Delete,
+    KeyValueStore,
+    Put,
+    RefusedError,
+    TransactionResult,
+    UnavailableError,
+)
+from sorrelsill.store.watch_cache import (
     CATALOG,
     JOB_PREFIX,
     LEADER,
     EndedRecords,
-    View,
+    WatchCache,
     chunk_key,
     final_key,
     job_key,
-    part_key,
-    roster_key,
+    registry_key,
+    small_chunk_key,
 )
 
 __all__ = [
     "AmbiguousError",
     "CATALOG",
     "JOB_PREFIX",
-    "Condition",
+    "Compare",
     "EndedRecords",
     "LEADER",
     "Put",
     "RefusedError",
-    "Remove",
-    "Store",
-    "Txn",
+    "Delete",
+    "KeyValueStore",
+    "TransactionResult",
     "UnavailableError",
-    "View",
+    "WatchCache",
     "chunk_key",
     "final_key",
     "job_key",
-    "part_key",
-    "roster_key",
+    "small_chunk_key",
+    "registry_key",
 ]
--- a/sorrelsill/store/client.py
+++ b/sorrelsill/store/client.py
@@ -43,13 +43,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Condition:
+class Compare:
     """A key must have this revision; 0 means that it must not exist."""
 
     key: str
     rev: int
 
-    def wire(self) -> dict[str, Any]:
+    def to_wire(self) -> dict[str, Any]:
         """As the state service reads it."""
         return {"k": self.key, "keyRev": self.rev}
 
@@ -62,7 +62,7 @@
     value: Any
     lease: int | None = None
 
-    def wire(self) -> dict[str, Any]:
+    def to_wire(self) -> dict[str, Any]:
         """As the state service reads it."""
         out: dict[str, Any] = {"set": self.key, "value": self.value}
         if self.lease is not None:
@@ -71,18 +71,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Remove:
+class Delete:
     """Remove a key."""
 
     key: str
 
-    def wire(self) -> dict[str, Any]:
+    def to_wire(self) -> dict[str, Any]:
         """As the state service reads it."""
         return {"remove": self.key}
 
 
 @dataclass(slots=True)
-class Txn:
+class TransactionResult:
     """The outcome of a transaction: its revision, or the keys whose conditions failed."""
 
     ok: bool
@@ -90,7 +90,7 @@
     failed: list[str] = field(default_factory=list)
 
 
-class Store:
+class KeyValueStore:
     """Requests under a budget. Pings (`urgent`) never wait for it; what they use is taken from the rest."""
 
     def __init__(self, client: Client, limits: StateLimits, nodes: int) -> None:
@@ -201,13 +201,15 @@
             if not answer.get("hasNext") or not answer["pairs"]:
                 return found, first_rev
 
-    async def multi(self, conditions: list[Condition], writes: list[Put | Remove], urgent: bool = False) -> Txn:
+    async def commit(
+        self, compares: list[Compare], writes: list[Put | Delete], urgent: bool = False
+    ) -> TransactionResult:
         """One atomic transaction."""
         if urgent:
             self.writes.take(len(writes))
         elif writes:
             await self.writes.wait(len(writes))
-        body = {"if": [c.wire() for c in conditions], "writes": [w.wire() for w in writes]}
+        body = {"if": [c.to_wire() for c in compares], "writes": [w.to_wire() for w in writes]}
         try:
             status, answer = await self._call("POST", "/multi", body, urgent=urgent)
         except UnavailableError as error:
@@ -219,9 +221,9 @@
                     self.set_leading(self._leading)
             raise
         if status == 200:
-            return Txn(True, _rev(answer, "storeRev"))
+            return TransactionResult(True, _rev(answer, "storeRev"))
         if status == 409:
-            return Txn(False, _rev(answer, "storeRev"), [str(k) for k in answer.get("failed") or []])
+            return TransactionResult(False, _rev(answer, "storeRev"), [str(k) for k in answer.get("failed") or []])
         # 400: malformed, too large or, for a put with a lease, that lease has ended. Either way nothing was done.
         text = f"the store answers {status}: {answer.get('error')}"
         if status == 400 and not any(isinstance(w, Put) and w.lease is not None for w in writes):
@@ -251,7 +253,7 @@
         """End a lease at once."""
         await self._call("DELETE", f"/grants/{lease}", timeout=timeout, urgent=True)
 
-    async def follow(
+    async def watch(
         self, prefix: str, since: int, hold_s: float, timeout: float
     ) -> tuple[int, list[dict[str, Any]]] | None:
         """Changes after a revision, or None if that revision is too old to follow from."""
--- a/sorrelsill/store/view.py
+++ b/sorrelsill/store/watch_cache.py
@@ -24,14 +24,14 @@
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.store.client import AmbiguousError, Store, UnavailableError
+from sorrelsill.store.client import AmbiguousError, KeyValueStore, UnavailableError
 
 log = logging.getLogger(__name__)
 
 LEADER = "s/leader"
 CATALOG = "s/catalog"
 JOB_PREFIX = "s/j/"
-_CHUNK, _PART, _FINAL, _ROSTER = "s/d/", "s/e/", "s/f/", "s/m/"
+_CHUNK, _PART, _FINAL, _REGISTRY = "s/d/", "s/e/", "s/f/", "s/m/"
 
 Listener = Callable[[str, Any, int], None]
 
@@ -51,14 +51,14 @@
     return f"{_CHUNK}{job_id}/{number}"
 
 
-def part_key(job_id: str, number: int) -> str:
+def small_chunk_key(job_id: str, number: int) -> str:
     """The key of finished tasks in smaller parts."""
     return f"{_PART}{job_id}/{number}"
 
 
-def roster_key(machine: str) -> str:
+def registry_key(machine: str) -> str:
     """Machines share a few keys, so that hundreds that come or go together cost a few writes."""
-    return f"{_ROSTER}{zlib.crc32(machine.encode()) % constants.ROSTER_PARTS:02d}"
+    return f"{_REGISTRY}{zlib.crc32(machine.encode()) % constants.REGISTRY_PARTS:02d}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,24 +69,24 @@
     complete: bool  # none can be missing
 
 
-class View:
+class WatchCache:
     """Live keys in memory; final records only in a bounded cache, since they are kept for ever."""
 
     def __init__(
         self,
-        store: Store,
+        store: KeyValueStore,
         keep_ended_s: float,
         on_final: Callable[[str, Any], None] = lambda job_id, value: None,
         more_prefixes: tuple[str, ...] = (),
     ) -> None:
         """`on_final` is told of each final state as it is learnt of; `more_prefixes` are keys to be read as well."""
-        self._prefixes = (JOB_PREFIX, _CHUNK, _PART, _ROSTER, LEADER, CATALOG, *more_prefixes)
+        self._prefixes = (JOB_PREFIX, _CHUNK, _PART, _REGISTRY, LEADER, CATALOG, *more_prefixes)
         self._store = store
         self._keep_ended_s = keep_ended_s  # how long jobs that are over are remembered
         self.keys: dict[str, tuple[Any, int]] = {}
         self.finals: OrderedDict[str, Any] = OrderedDict()
         self.ended: OrderedDict[str, tuple[float, Any]] = OrderedDict()  # jobs lately over: when seen, last live record
-        self.whole_since = float("inf")  # no end since then can have been missed
+        self.complete_since = float("inf")  # no end since then can have been missed
         self.followed_since = float("inf")  # every change since then was followed, final states included
         self._chunk_keys: dict[
             str, set[str]
@@ -126,13 +126,13 @@
         """Keys of finished tasks kept beside a job's record."""
         return sorted(self._chunk_keys.get(job_id, ()))
 
-    def orphans(self) -> list[str]:
+    def jobs_with_orphaned_chunks(self) -> list[str]:
         """Jobs that are over and left such keys: their end had no room for the removal of all."""
         return [job_id for job_id in self._chunk_keys if JOB_PREFIX + job_id not in self.keys]
 
-    def roster_parts(self, machine: str) -> dict[str, tuple[dict[str, Any], int]]:
+    def registry_parts(self, machine: str) -> dict[str, tuple[dict[str, Any], int]]:
         """The keys, with value and revision, in which a machine's entry may stand."""
-        key = base = roster_key(machine)
+        key = base = registry_key(machine)
         out: dict[str, tuple[dict[str, Any], int]] = {}
         while key in self.keys:
             value, rev = self.keys[key]
@@ -140,9 +140,9 @@
             key = f"{base}.{len(out)}"
         return out
 
-    def roster(self) -> list[tuple[str, Any]]:
+    def registered_machines(self) -> list[tuple[str, Any]]:
         """Machines that may hold work, and their entries as stored."""
-        parts = [v for k, (v, _) in self.keys.items() if k.startswith(_ROSTER) and isinstance(v, dict)]
+        parts = [v for k, (v, _) in self.keys.items() if k.startswith(_REGISTRY) and isinstance(v, dict)]
         return [(name, value) for part in parts for name, value in part.items()]
 
     def leader(self) -> tuple[Any, int] | None:
@@ -162,7 +162,7 @@
 
     # --- keeping it ---
 
-    def apply(self, key: str, value: Any, rev: int, present: bool) -> None:
+    def apply_change(self, key: str, value: Any, rev: int, present: bool) -> None:
         """One change. Answers may come out of order, so an older one than what is known has no effect. Nor has one
         that the view has gone past already: the key may have been removed since. Found on a measured day: the answer
         to a job's record came late, after its cancellation had been followed, and brought the job back to life."""
@@ -210,10 +210,10 @@
         while now - next(iter(self.ended.values()))[0] > self._keep_ended_s:
             self.ended.popitem(last=False)
 
-    def lately_over(self, window: float) -> EndedRecords:
+    def recently_ended(self, window: float) -> EndedRecords:
         """The last live records of jobs that ended within the last `window` seconds."""
         now = trio.current_time()
-        complete = now - window >= self.whole_since and window <= self._keep_ended_s
+        complete = now - window >= self.complete_since and window <= self._keep_ended_s
         return EndedRecords([(i, value) for i, (at, value) in self.ended.items() if now - at <= window], complete)
 
     async def _load(self) -> None:
@@ -227,15 +227,15 @@
             fresh.update(found)
         assert since is not None
         for key, (value, rev) in fresh.items():
-            self.apply(key, value, rev, True)
+            self.apply_change(key, value, rev, True)
         for key in [k for k, (_, r) in self.keys.items() if k not in fresh and r <= since]:
             self._drop(key, since)
         self._gone_past(since)
         self.fresh_at = max(self.fresh_at, sent_at)
-        self.whole_since = trio.current_time()  # jobs that came and went between two readings were never seen
-        self.followed_since = self.whole_since
+        self.complete_since = trio.current_time()  # jobs that came and went between two readings were never seen
+        self.followed_since = self.complete_since
         self.loaded = True
-        took_s = self.whole_since - sent_at
+        took_s = self.complete_since - sent_at
         log_event(log, logging.DEBUG, "view_loaded", revision=self.rev, keys=len(self.keys), took_s=took_s)
 
     def _drop(self, key: str, rev: int) -> None:
@@ -247,9 +247,9 @@
         rev, news = answer
         for change in news:
             if "set" in change:
-                self.apply(change["set"], change.get("value"), change["keyRev"], True)
+                self.apply_change(change["set"], change.get("value"), change["keyRev"], True)
             elif "remove" in change:
-                self.apply(change["remove"], None, change["keyRev"], False)
+                self.apply_change(change["remove"], None, change["keyRev"], False)
         self._gone_past(max(self.rev, rev))
         self.fresh_at = max(self.fresh_at, sent_at)
         if log.isEnabledFor(logging.DEBUG):
@@ -275,8 +275,8 @@
                     await self._load()
                 since = self.rev
                 sent_at = trio.current_time()
-                answer = await self._store.follow(
-                    "s/", since, constants.FOLLOW_HOLD_S, constants.FOLLOW_HOLD_S + constants.FOLLOW_GRACE_S
+                answer = await self._store.watch(
+                    "s/", since, constants.WATCH_HOLD_S, constants.WATCH_HOLD_S + constants.WATCH_GRACE_S
                 )
                 if answer is None:
                     self.loaded = False
@@ -295,7 +295,7 @@
         """How many callers wait for a barrier."""
         return len(self._waiting)
 
-    async def barrier(self) -> bool:
+    async def read_barrier(self) -> bool:
         """After True the view holds every change committed before this call. One read serves all that
         wait; it begins after they came, at most at the node's rate of barriers."""
         event = trio.Event()
@@ -319,7 +319,7 @@
                 if self.loaded:
                     since = self.rev
                     sent_at = trio.current_time()
-                    answer = await self._store.follow("s/", since, 0, constants.POLL_DEADLINE_S / 2)
+                    answer = await self._store.watch("s/", since, 0, constants.POLL_DEADLINE_S / 2)
                     if answer is None:
                         self.loaded = False
                     else:
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -23,7 +23,7 @@
     if job is not None:
         adopt(cluster, attempt, job)
         return
-    ended = cluster.takeover.ended.get(attempt.job_id)
+    ended = cluster.failover.ended.get(attempt.job_id)
     log_attempt(log, "ended_task_found", attempt, size_known=ended is not None)
     if ended is not None:
         adopt_ended(cluster, attempt, ended)
@@ -64,7 +64,7 @@
     gone."""
     _take_room(cluster, attempt, ended)
     ended.found(attempt.index)
-    cluster.takeover.recount()
+    cluster.failover.recount()
     cluster.order_stop(attempt, "its job is over")
 
 
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -22,10 +22,10 @@
 from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.attempt_events import log_attempt
 from sorrelsill.workers.attempt_index import AttemptIndex
+from sorrelsill.workers.failover import FailoverReconciliation
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Machine
 from sorrelsill.workers.machine_index import MachineIndex
-from sorrelsill.workers.takeover import TakeoverAccounting
 from sorrelsill.workers.team_usage import BoundUsage, TeamUse
 from sorrelsill.workers.tombstones import Tombstones
 
@@ -45,7 +45,7 @@
         overdue_s: float = float("inf"),
         peer_s: float = 0.0,
     ) -> None:
-        self.takeover = TakeoverAccounting()
+        self.failover = FailoverReconciliation()
         self.term = term
         self.started = now
         self.catalog = catalog
@@ -61,7 +61,7 @@
         self.attempts = AttemptIndex()
         self.index = MachineIndex()
         self.silence: Timers[Machine] = Timers()  # when machines are looked at for silence
-        self.to_roster: dict[str, Machine] = {}  # machines whose roster entry has to be written
+        self.machines_to_register: dict[str, Machine] = {}  # machines whose roster entry has to be written
         self._changed_jobs: dict[str, None] = {}  # jobs that came, changed or ended since placing last asked
         self.machines_with_pending_commands: dict[
             str, Machine
@@ -113,7 +113,7 @@
 
     def unaccounted(self, team: str) -> Resources:
         """What tasks of a team may be using that are not bound here."""
-        return self.takeover.unaccounted(team, self.jobs, self.catalog, self.attempts.machines_with_unknown.values())
+        return self.failover.unaccounted(team, self.jobs, self.catalog, self.attempts.machines_with_unknown.values())
 
     # --- jobs ---
 
@@ -152,8 +152,8 @@
         if job is None:
             return
         self.job_changed(job_id)
-        if not self.takeover.settled(job):
-            ended = self.takeover.add_ended_job(job.spec, job.done.copy())
+        if not self.failover.settled(job):
+            ended = self.failover.add_ended_job(job.spec, job.done.copy())
             for index in job.bound:
                 ended.found(index)
         for attempt in self.attempts.of_job(job_id):
@@ -166,7 +166,7 @@
 
     def add_ended_job(self, spec: JobSpec, done: TaskSet) -> None:
         """A job that was over before this term; its tasks on machines are stopped, and count until they are gone."""
-        ended = self.takeover.add_ended_job(spec, done)
+        ended = self.failover.add_ended_job(spec, done)
         for attempt in self.attempts.of_job(spec.job_id):
             if attempt.spec is None and not attempt.exited:
                 adoption.adopt_ended(self, attempt, ended)
@@ -236,15 +236,15 @@
         if spec is None:
             return
         attempt.spec = None
-        if self.takeover.unconfirmed:
-            self.takeover.recount()  # it may have been a phantom out of a late copy, and the true one unseen
+        if self.failover.unconfirmed:
+            self.failover.recount()  # it may have been a phantom out of a late copy, and the true one unseen
         machine.live -= 1
         machine.cpus = max(0.0, machine.cpus - spec.cpus)
         machine.gpus = max(0.0, machine.gpus - spec.gpus)
         machine.memory_gb = max(0.0, machine.memory_gb - spec.memory_gb)
         self.bound_usage.give_back(spec)
         self.index.room_changed(machine)
-        ended = self.takeover.ended.get(spec.job_id)
+        ended = self.failover.ended.get(spec.job_id)
         if ended is not None and not attempt.located:
             ended.lost_sight(attempt.index)
         job = self.jobs.get(spec.job_id)
@@ -284,7 +284,7 @@
         self.catalog = catalog
         for machine in self.machines.values():
             self._size(machine)
-        self.takeover.recount()
+        self.failover.recount()
         self.wake_placing = True
 
     def _size(self, machine: Machine) -> None:
@@ -348,15 +348,15 @@
             self.machines_with_pending_commands,
             self.evicting,
             self.attempts.machines_with_unknown,
-            self.to_roster,
+            self.machines_to_register,
         ):
             index.pop(name, None)
 
     def confirm(self, name: str, proof: str, now: float) -> None:
         """What an earlier leader may have left on the machine is known, or gone; `proof` says by what."""
-        if not self.takeover.confirm(name):
+        if not self.failover.confirm(name):
             return
-        left = len(self.takeover.unconfirmed)
+        left = len(self.failover.unconfirmed)
         after_s = now - self.started
         log_event(log, logging.DEBUG, "machine_confirmed", machine=name, proof=proof, after_s=after_s, unconfirmed=left)
         if not left:
--- a/sorrelsill/workers/takeover.py
+++ b/sorrelsill/workers/failover.py
@@ -45,7 +45,7 @@
         return self.by_team.get(team, self.others)
 
 
-class TakeoverAccounting:
+class FailoverReconciliation:
     """The machines not confirmed in this term, and the resources that may be in use on them."""
 
     def __init__(self) -> None:
@@ -60,9 +60,9 @@
         """What the counts rest on has changed: work them out anew when they are next asked for."""
         self._unaccounted = None
 
-    def expect_machines(self, roster: Iterable[tuple[str, Any]]) -> None:
+    def expect_machines(self, registered: Iterable[tuple[str, Any]]) -> None:
         """Machines that an earlier leader may have given work: they have to be heard, or time out."""
-        for name, value in roster:
+        for name, value in registered:
             entry = RegistryEntry.from_stored(value)
             # An entry of an earlier version lacks zone and kind: the machine may be any.
             kind = MachineKind(entry.machine_type, entry.zone, entry.spot)
--- a/sorrelsill/workers/groups.py
+++ b/sorrelsill/workers/groups.py
@@ -36,7 +36,7 @@
         log.info("%s: an earlier leader began to stop it, the rest are told", job.spec.job_id)
         stop(cluster, job, "stopped by an earlier leader", False)
         return
-    if not cluster.takeover.settled(job):
+    if not cluster.failover.settled(job):
         return  # what is missing may be on a machine that was not heard yet
     whole = len(tasks) == job.spec.task_count and len({a.attempt_number for a in tasks}) == 1
     if whole and not any(a.stop for a in tasks):
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -155,12 +155,12 @@
     machine.answered_at = now  # from now on it may be given work, and its incarnation may have begun just now
     if reachable:
         machine.proved_at = now
-    if machine.rostered or machine.name in cluster.takeover.unconfirmed:
-        machine.rostered = True
+    if machine.registered or machine.name in cluster.failover.unconfirmed:
+        machine.registered = True
     cluster.confirm(machine.name, "direct answer" if direct else "report", now)
     cluster.machines_with_pending_commands[machine.name] = machine
-    if not machine.rostered:
-        cluster.to_roster[machine.name] = machine
+    if not machine.registered:
+        cluster.machines_to_register[machine.name] = machine
     cluster.wake_placing = True
 
 
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -34,7 +34,7 @@
     if machine.lost or machine.answered_at is None:
         return float("inf")
     renewed_by_others = cluster.renewed_by_others
-    if machine.name in cluster.takeover.unconfirmed:
+    if machine.name in cluster.failover.unconfirmed:
         renewed_by_others = older_answers_until(cluster)
     return max(machine.answered_at, renewed_by_others) + cluster.loss_s
 
@@ -51,8 +51,8 @@
     if now - cluster.expired_at < constants.EXPIRE_EVERY_S:
         return lost
     cluster.expired_at = now
-    cluster.takeover.recount()
-    cluster.takeover.forget_ended_jobs()
+    cluster.failover.recount()
+    cluster.failover.forget_ended_jobs()
     looked_at: list[Machine] = []
     released = 0
     while (machine := cluster.silence.pop_due(now)) is not None:
@@ -81,7 +81,7 @@
     machine.synced = machine.reachable = machine.located = False
     machine.relearn = True
     machine.first_at = None
-    machine.rostered = False
+    machine.registered = False
     cluster.release_all(machine, now, "machine silent, work lost")
     cluster.confirm(machine.name, "lease over", now)
     cluster.gone.add(machine.name)
@@ -89,7 +89,7 @@
 
 def _forget_unheard(cluster: ClusterState, now: float) -> None:
     """Registered machines that nobody can have answered for longer than a lease hold no work any more."""
-    unconfirmed = cluster.takeover.unconfirmed
+    unconfirmed = cluster.failover.unconfirmed
     if not unconfirmed or now - older_answers_until(cluster) <= cluster.loss_s:
         return
     for name in list(unconfirmed):
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -51,7 +51,7 @@
 
     synced = _Condition(False)  # has reported our term as its highest fencing token: no older leader can order it about
     reachable = _Condition(False)  # has shown in this incarnation that answers or commands reach it
-    rostered = _Condition(False)  # its roster key is committed
+    registered = _Condition(False)  # its roster key is committed
     lost = _Condition(False)  # its incarnation's lease has run out; only a later incarnation is believed
     overdue = _Condition(False)  # its report is late, so it may hang or be cut off: no new work before the next one
     draining = _Condition(False)
@@ -100,7 +100,7 @@
         usable = (
             self.synced
             and self.reachable
-            and self.rostered
+            and self.registered
             and not self.lost
             and not self.overdue
             and not self.draining
--- a/sorrelsill/workers/push.py
+++ b/sorrelsill/workers/push.py
@@ -121,7 +121,7 @@
         never keeps those from being asked that were not asked yet."""
         if self._probed is not cluster:
             self._probed = cluster
-            self._not_probed = deque(cluster.takeover.unconfirmed)
+            self._not_probed = deque(cluster.failover.unconfirmed)
             self._probe_again.clear()
         limit = self._limits.probes
         while self._not_probed and self._probing < limit:
@@ -134,8 +134,8 @@
             self._start_probe(cluster, name, nursery, repeated=True)
 
     def _start_probe(self, cluster: ClusterState, name: str, nursery: trio.Nursery, repeated: bool = False) -> None:
-        addr = cluster.takeover.unconfirmed_addresses.get(name, "")
-        if name not in cluster.takeover.unconfirmed or not _usable(addr):
+        addr = cluster.failover.unconfirmed_addresses.get(name, "")
+        if name not in cluster.failover.unconfirmed or not _usable(addr):
             return
         if name in self._busy:
             self._probe_again.set_if_earlier(name, trio.current_time() + constants.RETRY_S)
@@ -201,7 +201,7 @@
             self._busy.discard(name)
             self._probing -= 1
             self._repeating -= repeated
-            if name in cluster.takeover.unconfirmed and self._probed is cluster:
+            if name in cluster.failover.unconfirmed and self._probed is cluster:
                 self._probe_again.set_if_earlier(name, self._next_try(name))
 
     def _take(self, cluster: ClusterState, raw: bytes) -> None:
--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -14,7 +14,7 @@
     for sequence_number, epoch in ((1, 0), (2, 7)):
         heartbeat(cluster, sequence_number, float(sequence_number), epoch=epoch)
     machine = cluster.machines["m1"]
-    machine.rostered = True
+    machine.registered = True
     return cluster, machine
 
 
@@ -52,12 +52,12 @@
 
 def test_reports_of_a_roster_machine_that_shows_no_token_are_answered_only_for_a_while() -> None:
     cluster = ClusterState(7, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
-    cluster.takeover.expect_machines([("m1", {"f": "c8", "a": "10.0.0.9:9000"})])
+    cluster.failover.expect_machines([("m1", {"f": "c8", "a": "10.0.0.9:9000"})])
     assert heartbeat(cluster, 1, 1.0, epoch=3) is not None
     assert heartbeat(cluster, 4, 5.0, epoch=3) is not None
     assert heartbeat(cluster, 7, 9.0, epoch=3) is None
-    assert not cluster.expire_leases(15.0) and cluster.takeover.unconfirmed
-    assert [h.name for h in cluster.expire_leases(17.0)] == ["m1"] and not cluster.takeover.unconfirmed
+    assert not cluster.expire_leases(15.0) and cluster.failover.unconfirmed
+    assert [h.name for h in cluster.expire_leases(17.0)] == ["m1"] and not cluster.failover.unconfirmed
 
 
 def answer(cluster: ClusterState, sequence_number: int, now: float, incarnation: int = 1) -> None:
@@ -70,7 +70,7 @@
 def greeted() -> tuple[ClusterState, Machine]:
     """A machine of the roster that a new leader reached directly and that has not reported yet."""
     cluster = ClusterState(7, 0.0, Catalog({"c8": KIND}), 11.5, 2.7, overdue_s=2.25)
-    cluster.takeover.expect_machines([("m1", {"f": "c8", "a": "10.0.0.9:9000"})])
+    cluster.failover.expect_machines([("m1", {"f": "c8", "a": "10.0.0.9:9000"})])
     answer(cluster, 1, 1.0)
     return cluster, cluster.machines["m1"]
 
@@ -103,7 +103,7 @@
     assert not machine.usable
     heartbeat(cluster, 3, 4.0, incarnation=2)
     heartbeat(cluster, 4, 5.0, incarnation=2)
-    machine.rostered = True
+    machine.registered = True
     cluster.expire_leases(5.1)
     assert machine.usable
 
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -28,7 +28,7 @@
 from sorrelsill.jobs import RecordWriter
 from sorrelsill.model import JobSpec
 from sorrelsill.settings import CloudLimits, StateLimits, Team
-from sorrelsill.store import Store, View
+from sorrelsill.store import KeyValueStore, WatchCache
 from sorrelsill.workers import enforce_gang_completeness, parse_heartbeat
 from tests.simulation.leader_in_memory import LeaderInMemory, array_job
 
@@ -92,8 +92,8 @@
             {"service"},
         )
         self._fleet._lists = 1
-        store = Store(Client("10.0.0.1:2"), StateLimits(1e6, 1e6, 32.0, 40), 3)
-        self._record_writer = RecordWriter(store, View(store, 60.0), self.leader.cluster, lambda: True)
+        store = KeyValueStore(Client("10.0.0.1:2"), StateLimits(1e6, 1e6, 32.0, 40), 3)
+        self._record_writer = RecordWriter(store, WatchCache(store, 60.0), self.leader.cluster, lambda: True)
         self.reports = 0
         self.waiting_most = 0
 
--- a/tests/scenarios/test_bad_nights.py
+++ b/tests/scenarios/test_bad_nights.py
@@ -27,12 +27,12 @@
         assert trio.current_time() - began < 90, steps
         up = [node for label, node in simulation.nodes.items() if label not in simulation.net.down]
         note("process up", bool(up))
-        note("view loaded", any(node.view.loaded for node in up))
+        note("view loaded", any(node.watch_cache.loaded for node in up))
         label = simulation.leader()
         note("leading", label is not None)
         cluster = simulation.nodes[label].cluster if label is not None else None
         note(
-            "machines confirmed", cluster is not None and not cluster.takeover.unconfirmed and bool(cluster.index.ready)
+            "machines confirmed", cluster is not None and not cluster.failover.unconfirmed and bool(cluster.index.ready)
         )
         note("first start", len(simulation.starts) > starts_before)
         note("last service up", all(len(simulation.running(job_id)) == 3 for job_id in services))
--- a/tests/scenarios/test_cancelled.py
+++ b/tests/scenarios/test_cancelled.py
@@ -143,7 +143,7 @@
         await trio.sleep(0.2)
         for label in LABELS:
             simulation.start(label)
-        await simulation.until(lambda: all(node.view.loaded for node in simulation.nodes.values()), 3)
+        await simulation.until(lambda: all(node.watch_cache.loaded for node in simulation.nodes.values()), 3)
         assert simulation.leader() is None and len(simulation.running("run-c")) == 2
         simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -66,13 +66,13 @@
 
 def test_machines_not_heard_yet_hold_back_only_what_may_run_on_them() -> None:
     """After a takeover with fifty silent machines, their whole size filled each small team's limit for a lease."""
-    leader = LeaderInMemory(MACHINES, roster=True)
+    leader = LeaderInMemory(MACHINES, registered=True)
     silent = [n for n in leader.names if leader.spot(n)][:50]
     leader.add(array_job("run-old", shards=40, owner="red"), old=True)
     leader.add(array_job("run-ordinary", shards=40, owner="red", reclaimable=False), old=True)
     leader.cluster.add_ended_job(array_job("run-over", shards=20, owner="red"), TaskSet(20))
     leader.cluster.add_ended_job(array_job("run-over-ordinary", shards=20, owner="red", reclaimable=False), TaskSet(20))
-    leader.cluster.takeover.set_all_ended_known(True)
+    leader.cluster.failover.set_all_ended_known(True)
     heard = [n for n in leader.names if n not in silent]
     leader.all_send_heartbeats(heard)
     leader.all_send_heartbeats(heard)
@@ -82,32 +82,32 @@
     assert not jobs["run-old"].bound, "its tasks may be running there"
     assert len(jobs["run-ordinary"].bound) == 40, "a spot machine can't hold them"
     assert len(jobs["run-new"].bound) == 600 - 40 - 40 - 20, "all that may be running counts toward the limit"
-    leader.cluster.takeover.set_all_ended_known(False)
+    leader.cluster.failover.set_all_ended_known(False)
     assert leader.cluster.unaccounted("red") == (50 * 16.0, 0.0), "and the whole machines if that can't be told"
 
 
 def test_a_job_that_ends_unseen_still_counts_toward_its_teams_limit() -> None:
-    leader = LeaderInMemory(60, roster=True)
+    leader = LeaderInMemory(60, registered=True)
     leader.add(array_job("run-old", shards=200, owner="red"), old=True)
-    leader.cluster.takeover.set_all_ended_known(True)
+    leader.cluster.failover.set_all_ended_known(True)
     assert leader.cluster.unaccounted("red") == (200.0, 0.0)
     leader.cluster.end_job("run-old")
     assert leader.cluster.unaccounted("red") == (200.0, 0.0) and leader.cluster.unaccounted("blue") == (0.0, 0.0)
     leader.now = LOSS_S + VALIDITY_S + 1
     leader.cluster.expire_leases(leader.now)
-    assert not leader.cluster.takeover.unconfirmed and leader.cluster.unaccounted("red") == (0.0, 0.0)
+    assert not leader.cluster.failover.unconfirmed and leader.cluster.unaccounted("red") == (0.0, 0.0)
 
 
 def test_a_damaged_or_older_roster_entry_holds_back_whatever_may_run_there() -> None:
     leader = LeaderInMemory(60)
     for number, entry in enumerate(({"f": "std", "a": "10.1.9.9:9000"}, None, {"f": 7, "z": 7, "s": 7})):
-        leader.cluster.takeover.expect_machines([(f"m-old-{number}", entry)])
+        leader.cluster.failover.expect_machines([(f"m-old-{number}", entry)])
         leader.add(
             array_job(f"run-{number}", shards=10, owner="red", flavours=["std"], region="a", reclaimable=False), True
         )
-        assert not leader.cluster.takeover.settled(leader.cluster.jobs[f"run-{number}"])
+        assert not leader.cluster.failover.settled(leader.cluster.jobs[f"run-{number}"])
     assert leader.cluster.unaccounted("red")[0] > 1000, "of a type that is not known the size is not known either"
-    leader.cluster.takeover.set_all_ended_known(True)
+    leader.cluster.failover.set_all_ended_known(True)
     assert leader.cluster.unaccounted("red") == (30.0, 0.0)
 
 
@@ -133,7 +133,7 @@
         return made
 
     async def main() -> None:
-        leader = LeaderInMemory(300, roster=True)
+        leader = LeaderInMemory(300, registered=True)
         limits = CallLimits.derive(1600)
         pusher = Pusher(client, lambda: True, lambda: True, limits)
         async with trio.open_nursery() as nursery:
@@ -153,30 +153,30 @@
     """Its parts hold machines of the past as well until they are proved empty."""
     import msgspec
 
-    from sorrelsill.store import roster_key
+    from sorrelsill.store import registry_key
 
     parts: dict[str, dict[str, object]] = {}
     for number in range(2 * MACHINES):
         name = f"m-{number:06d}"
         entry = {"f": "a-long-machine-type", "a": "10.100.200.200:9000", "z": "a-long-zone-name", "s": False}
-        parts.setdefault(roster_key(name), {})[name] = entry
+        parts.setdefault(registry_key(name), {})[name] = entry
     assert max(len(msgspec.json.encode(p)) for p in parts.values()) < 8 * 1024 - 100
 
 
 def test_taking_over_costs_each_job_the_same_however_many_there_are() -> None:
-    from sorrelsill.store import View, chunk_key, job_key
+    from sorrelsill.store import WatchCache, chunk_key, job_key
 
     def calls(jobs: int) -> float:
-        view = View.__new__(View)
-        View.__init__(view, _NoStore(), 60.0)  # type: ignore[arg-type]
-        view.listeners = []
+        watch_cache = WatchCache.__new__(WatchCache)
+        WatchCache.__init__(watch_cache, _NoStore(), 60.0)  # type: ignore[arg-type]
+        watch_cache.listeners = []
         for number in range(jobs):
-            view.apply(job_key(f"run-{number}"), {"n": 0}, number + 1, True)
-            view.apply(chunk_key(f"run-{number}", 0), "", number + 1, True)
-        found: Callable[[], object] = lambda: [view.chunks(job_id) for job_id, _, _ in view.jobs()]  # noqa: E731
+            watch_cache.apply_change(job_key(f"run-{number}"), {"n": 0}, number + 1, True)
+            watch_cache.apply_change(chunk_key(f"run-{number}", 0), "", number + 1, True)
+        found: Callable[[], object] = lambda: [watch_cache.chunks(job_id) for job_id, _, _ in watch_cache.jobs()]  # noqa: E731
         steps = 0
-        for job_id, _, _ in view.jobs():
-            steps += len(view._chunk_keys[job_id])
+        for job_id, _, _ in watch_cache.jobs():
+            steps += len(watch_cache._chunk_keys[job_id])
         assert steps == jobs
         return count_calls(found) / jobs
 
--- a/tests/scenarios/test_grown.py
+++ b/tests/scenarios/test_grown.py
@@ -93,7 +93,7 @@
         await simulation.until(lambda: len([1 for _, h in simulation.running("run-s") if h != name]) == 4, 60)
         assert trio.current_time() - began < 35
         leader = await simulation.until_leader()
-        assert not cluster_of(simulation.nodes[leader]).takeover.unconfirmed
+        assert not cluster_of(simulation.nodes[leader]).failover.unconfirmed
 
     run_scenario(scenario, teams=[Team("red", cpus_max=10.0)])
 
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -13,7 +13,7 @@
 from sorrelsill.jobs import RecordWriter
 from sorrelsill.model import TaskSet
 from sorrelsill.settings import StateLimits, Team
-from sorrelsill.store import Store, View
+from sorrelsill.store import KeyValueStore, WatchCache
 from sorrelsill.workers import CallLimits, Pusher
 from tests.simulation import LOSS_S, OVERDUE_S, FakeNet, FakeStore, LeaderInMemory, array_job, count_calls
 
@@ -167,7 +167,7 @@
         return made
 
     async def main() -> None:
-        leader = LeaderInMemory(machines, roster=True)
+        leader = LeaderInMemory(machines, registered=True)
         limits = CallLimits.derive(3 * machines)
         pusher = Pusher(client, lambda: True, lambda: True, limits)
         heard_after = None
@@ -175,7 +175,7 @@
             while trio.current_time() < 30.0:
                 pusher.probe_unconfirmed(leader.cluster, nursery)
                 assert len(pusher._busy) <= limits.probes
-                if heard_after is None and len(leader.cluster.takeover.unconfirmed) == machines // 2:
+                if heard_after is None and len(leader.cluster.failover.unconfirmed) == machines // 2:
                     heard_after = trio.current_time()
                 await trio.sleep(0.05)
             nursery.cancel_scope.cancel()
@@ -189,12 +189,12 @@
 
 def test_taking_over_costs_each_machine_the_same_in_a_large_fleet() -> None:
     def cost(machines: int) -> float:
-        leader = LeaderInMemory(machines, roster=True)
+        leader = LeaderInMemory(machines, registered=True)
         for number in range(machines // MACHINES_PER_JOB):
             leader.add(array_job(f"run-{number}", shards=64, owner="blue"), old=True)
-        leader.cluster.takeover.set_all_ended_known(True)
+        leader.cluster.failover.set_all_ended_known(True)
         calls = count_calls(lambda: leader.all_send_heartbeats(leader.names))
-        assert not leader.cluster.takeover.unconfirmed or len(leader.cluster.takeover.unconfirmed) == machines
+        assert not leader.cluster.failover.unconfirmed or len(leader.cluster.failover.unconfirmed) == machines
         return calls / machines
 
     assert cost(LARGE) <= 1.1 * cost(SMALL)
@@ -202,11 +202,11 @@
 
 def test_what_jobs_lately_over_left_costs_each_machine_the_same_in_a_large_fleet() -> None:
     def cost(machines: int) -> float:
-        leader = LeaderInMemory(machines, roster=True, teams=[Team("red", cpus_max=float(machines))])
+        leader = LeaderInMemory(machines, registered=True, teams=[Team("red", cpus_max=float(machines))])
         tasks = 2 * MACHINES_PER_JOB
         for number in range(machines // MACHINES_PER_JOB):
             leader.cluster.add_ended_job(array_job(f"run-{number}", shards=tasks, owner="red"), TaskSet(tasks))
-        leader.cluster.takeover.set_all_ended_known(True)
+        leader.cluster.failover.set_all_ended_known(True)
         for number, name in enumerate(leader.names):
             job_id, index = f"run-{number // MACHINES_PER_JOB}", 2 * (number % MACHINES_PER_JOB)
             leader.tasks[name] = {(f"{job_id}/{index + more}", 1): "running" for more in (0, 1)}
@@ -234,15 +234,15 @@
             net, fake = FakeNet(nursery), FakeStore(txn_ops=40, value_kb=8.0)
             fake.narrow(8.0, 40, 50.0)
             net.handlers["store"] = fake.handle
-            store = Store(net.client("n0")("store"), StateLimits(150.0, 50.0, 8.0, 40), 3)
+            store = KeyValueStore(net.client("n0")("store"), StateLimits(150.0, 50.0, 8.0, 40), 3)
             store.set_leading(True)
-            view = View(store, 60.0)
-            nursery.start_soon(view.run)
+            watch_cache = WatchCache(store, 60.0)
+            nursery.start_soon(watch_cache.run)
             fake.kv["s/leader"] = ({"label": "n0"}, TERM, None)
             for name in leader.names:
                 leader.send_heartbeat(name)
                 leader.send_heartbeat(name)
-            writer = RecordWriter(store, view, leader.cluster, lambda: True)
+            writer = RecordWriter(store, watch_cache, leader.cluster, lambda: True)
             while len(leader.cluster.index.ready) < machines and trio.current_time() < 60.0:
                 await writer.step()
                 await trio.sleep(constants.WRITER_TICK_S)
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -5,7 +5,7 @@
 
 from sorrelsill.http import Request
 from sorrelsill.settings import Team
-from sorrelsill.store import roster_key
+from sorrelsill.store import registry_key
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 
 
@@ -58,7 +58,7 @@
         await simulation.until(lambda: len(simulation.running("run-a")) > 3)
         old = await simulation.until_leader()
         node = simulation.nodes[old]
-        node.view.listeners.remove(node.elector._seen)  # it does not notice
+        node.watch_cache.listeners.remove(node.elector._seen)  # it does not notice
         lease = next(iter(simulation.store.leases))
         simulation.store._end_lease(lease)
         await simulation.until(lambda: any(n.elector.valid() for k, n in simulation.nodes.items() if k != old), 5)
@@ -100,7 +100,7 @@
         await simulation.until(lambda: len(simulation.running("run-s")) == 2)
         old = await simulation.until_leader()
         name = simulation.running("run-s")[0][1]
-        key = roster_key(name)
+        key = registry_key(name)
         assert name in simulation.store.kv[key][0]
         held: list[Request] = []
 
--- a/tests/scenarios/test_limits.py
+++ b/tests/scenarios/test_limits.py
@@ -8,10 +8,10 @@
 from sorrelsill import constants
 from sorrelsill.http import Request
 from sorrelsill.jobs import json_size
-from sorrelsill.jobs.roster import next_write
+from sorrelsill.jobs.machine_registry import next_registry_write
 from sorrelsill.model import TaskSet
 from sorrelsill.settings import NextLimits
-from sorrelsill.store import chunk_key, job_key, part_key, roster_key
+from sorrelsill.store import chunk_key, job_key, registry_key, small_chunk_key
 from tests.simulation import SimulatedCluster, job, run_scenario
 
 COMING = NextLimits(write_rps=40.0, value_kb=2.0, txn_ops=5)
@@ -255,7 +255,7 @@
     names = [f"m-{n:06d}" for n in range(975)]
     parts: dict[str, dict[str, dict[str, Any]]] = {}
     for number, name in enumerate(names):  # as the version before wrote them
-        parts.setdefault(roster_key(name), {}).setdefault(roster_key(name), {})[name] = entry(number)
+        parts.setdefault(registry_key(name), {}).setdefault(registry_key(name), {})[name] = entry(number)
     assert max(json_size(p) for group in parts.values() for p in group.values()) > SMALL
     dice = random.Random(1)
     for base, group in parts.items():
@@ -263,7 +263,7 @@
         gone = {n for n in mine if dice.random() < 0.1}
         add = {f"{base}-new-{n}": entry(n) for n in range(4)}
         left, steps = dict(add), 0
-        while (write := next_write(base, group, left, gone, int(SMALL * constants.VALUE_SHARE))) is not None:
+        while (write := next_registry_write(base, group, left, gone, int(SMALL * constants.VALUE_SHARE))) is not None:
             assert json_size(write.value) <= SMALL
             group[write.key] = write.value
             left = {n: e for n, e in left.items() if n not in write.added}
@@ -280,7 +280,7 @@
         await simulation.until_leader()
         parts: dict[str, dict[str, Any]] = {}
         for number in range(1200):
-            part = parts.setdefault(roster_key(f"m-{number}"), {})
+            part = parts.setdefault(registry_key(f"m-{number}"), {})
             if len(part) < 27:
                 part[f"m-{number}"] = entry(number)
         for key, full in parts.items():
@@ -315,7 +315,7 @@
         await simulation.until_leader()
         for number in range(12):
             simulation.store.rev += 1
-            key = part_key("run-gone", number) if number % 2 else chunk_key("run-gone", number)
+            key = small_chunk_key("run-gone", number) if number % 2 else chunk_key("run-gone", number)
             simulation.store.kv[key] = ("1-2", simulation.store.rev, None)
             simulation.store.log.append((simulation.store.rev, key, "1-2", True))
         await simulation.submit(job("run-a"))
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -27,12 +27,12 @@
     """All machines report, twice to show that they hear; the halts in the answers are still on their way."""
     for name in leader.names * 2:
         leader.cluster.on_heartbeat(leader.next_heartbeat(name), leader.now)
-    leader.write_roster()
+    leader.write_registry()
 
 
 def test_tasks_of_a_job_that_is_over_count_while_their_machine_takes_other_work() -> None:
     """Found in an incident: what they use was told from the room on their machine, which other teams' work took."""
-    leader = LeaderInMemory(2, roster=True, teams=TEAMS)
+    leader = LeaderInMemory(2, registered=True, teams=TEAMS)
     in_zone_a, in_zone_b = leader.names
     run_by_earlier_leader(leader, in_zone_a, "run-over", 10)
     report_without_answer(leader)
@@ -45,9 +45,9 @@
 
 def leader_after_takeover(machines: int = 2) -> LeaderInMemory:
     """A leader that knows of a job lately over, which had ten tasks."""
-    leader = LeaderInMemory(machines, roster=True, teams=TEAMS)
+    leader = LeaderInMemory(machines, registered=True, teams=TEAMS)
     leader.cluster.add_ended_job(array_job("run-over", shards=10, owner="red"), TaskSet(10))
-    leader.cluster.takeover.set_all_ended_known(True)
+    leader.cluster.failover.set_all_ended_known(True)
     return leader
 
 
@@ -72,7 +72,7 @@
 
 
 def test_a_machine_with_tasks_of_unknown_size_takes_no_work_until_they_are_gone() -> None:
-    leader = LeaderInMemory(2, roster=True, teams=TEAMS)
+    leader = LeaderInMemory(2, registered=True, teams=TEAMS)
     in_zone_a, in_zone_b = leader.names
     run_by_earlier_leader(leader, in_zone_a, "run-over", 10)
     report_without_answer(leader)
@@ -91,7 +91,7 @@
     run_by_earlier_leader(leader, leader.names[0], "run-over", 8)
     for _ in range(3):
         leader.all_send_heartbeats(leader.names[:2])
-    assert silent in leader.cluster.takeover.unconfirmed
+    assert silent in leader.cluster.failover.unconfirmed
     assert leader.cluster.team_use("red").total == (2.0, 0.0), "two of the ten were not found"
 
 
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -10,10 +10,10 @@
 
 from sorrelsill.http import Request
 from sorrelsill.jobs import chunk_value, new_record, parse_record, parse_spec, record_value
-from sorrelsill.jobs.roster import next_write
+from sorrelsill.jobs.machine_registry import next_registry_write
 from sorrelsill.model import TaskSet
 from sorrelsill.settings import NextLimits
-from sorrelsill.store import View
+from sorrelsill.store import WatchCache
 from tests.simulation import SimulatedCluster, job, production, run_scenario, service
 from tests.simulation.users import LABELS
 
@@ -269,7 +269,7 @@
     parts: dict[str, dict[str, Any]] = {}
     left = dict(entries)
     while left:
-        write = next_write("s/m/07", parts, left, set(), 1800)
+        write = next_registry_write("s/m/07", parts, left, set(), 1800)
         assert write is not None
         parts[write.key] = write.value
         for name in write.added:
@@ -277,16 +277,20 @@
     assert len(parts) == 3
 
     async def both() -> None:
-        views = [View.__new__(View), production.module("store.view").View.__new__(production.module("store.view").View)]
-        for view in views:
-            view.__dict__.update(keys={}, _chunk_keys={}, listeners=[], rev=0, finals={}, ended={}, _removed={})
+        former_type = production.module("store.view").View
+        present, former = WatchCache.__new__(WatchCache), former_type.__new__(former_type)
+        for cache, apply, machines in (
+            (present, present.apply_change, present.registered_machines),
+            (former, former.apply, former.roster),
+        ):
+            cache.__dict__.update(keys={}, _chunk_keys={}, listeners=[], rev=0, finals={}, ended={}, _removed={})
             for number, (key, value) in enumerate(parts.items()):
-                view.apply(key, value, number + 1, True)
-            view.apply("s/e/run-1/3", "1-5", 9, True)
-            view.apply("s/j/run-1", {"s": job("run-1", shards=20_000)}, 10, True)
-            assert dict(view.roster()) == entries
-        assert views[0].chunks("run-1") == [(3 * 4096, "1-5")]
-        assert views[1].chunks("run-1") == []
+                apply(key, value, number + 1, True)
+            apply("s/e/run-1/3", "1-5", 9, True)
+            apply("s/j/run-1", {"s": job("run-1", shards=20_000)}, 10, True)
+            assert dict(machines()) == entries
+        assert present.chunks("run-1") == [(3 * 4096, "1-5")]
+        assert former.chunks("run-1") == []
 
     trio.run(both)
 
@@ -302,10 +306,11 @@
         "PROMISE_MARGIN_S",
         "TRY_BITS",
         "CHUNK_SHARDS",
-        "ROSTER_PARTS",
+        "REGISTRY_PARTS",
         "LOSS_MARGIN_S",
         "VALIDITY_OF_LEASE",
         "LEASE_OF_WORKER_LEASE",
     )
+    former_names = {"REGISTRY_PARTS": "ROSTER_PARTS"}
     for name in shared:
-        assert getattr(old, name) == getattr(new, name), name
+        assert getattr(old, former_names.get(name, name)) == getattr(new, name), name
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -27,7 +27,7 @@
 class LeaderInMemory:
     """A leader's cluster state and placer, with workers whose images are there at once."""
 
-    def __init__(self, machines: int, roster: bool = False, teams: list[Team] | None = None) -> None:
+    def __init__(self, machines: int, registered: bool = False, teams: list[Team] | None = None) -> None:
         self.now = 0.0
         self.cluster = ClusterState(TERM, 0.0, Catalog({"std": MACHINE_TYPE}), LOSS_S, VALIDITY_S, OVERDUE_S)
         self.names = [f"m-{number:06d}" for number in range(machines)]
@@ -36,10 +36,10 @@
         self.tasks: dict[str, dict[tuple[str, int], str]] = {name: {} for name in self.names}
         objectives = [Objective("finished", "w", 60.0)]
         self.placer = Placer(teams or TEAMS, objectives, random.Random(1), constants.SAMPLE, True)
-        if roster:
-            self.cluster.takeover.expect_machines([(name, self._roster_entry(name)) for name in self.names])
+        if registered:
+            self.cluster.failover.expect_machines([(name, self._registry_entry(name)) for name in self.names])
 
-    def _roster_entry(self, name: str) -> dict[str, object]:
+    def _registry_entry(self, name: str) -> dict[str, object]:
         return {"f": "std", "a": self.address(name), "z": self.zone(name), "s": self.spot(name)}
 
     def zone(self, name: str) -> str:
@@ -87,17 +87,17 @@
         """A machine reports and carries out the answer."""
         self.obey(name, self.cluster.on_heartbeat(self.next_heartbeat(name, fencing_token), self.now) or [])
 
-    def write_roster(self) -> None:
+    def write_registry(self) -> None:
         """The registry entries of all machines that wait for one are committed."""
-        for machine in list(self.cluster.to_roster.values()):
-            machine.rostered = True
-        self.cluster.to_roster.clear()
+        for machine in list(self.cluster.machines_to_register.values()):
+            machine.registered = True
+        self.cluster.machines_to_register.clear()
 
     def all_send_heartbeats(self, names: list[str] | None = None) -> None:
         """All of these machines report, and are registered."""
         for name in names if names is not None else self.names:
             self.send_heartbeat(name)
-        self.write_roster()
+        self.write_registry()
 
     def add(self, spec: JobSpec, old: bool = False) -> None:
         """A job is accepted."""
