--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -41,13 +41,13 @@
 DRAIN_AHEAD_S: Final = 2.5  # s; work on a machine that will be taken is told to save this much ahead
 START_BACKOFF_S: Final = 2.0  # s; first pause before a failed task is tried again; doubles
 START_BACKOFF_MAX_S: Final = 60.0  # s; cap of that pause
-HOST_ERRORS_SUSPECT: Final = 2  # distinct jobs, each of which succeeded elsewhere, failing on a machine before it is
+QUARANTINE_JOBS: Final = 2  # distinct jobs, each of which succeeded elsewhere, failing on a machine before it is
 #                                  held faulty
 SUSPECT_MACHINES: Final = 2  # machines; a job that failed on so many without a success is probably at fault itself
 ACCUSED_MAX: Final = 3  # machines; a job whose failures would count against more of them is no reliable witness
 TRIAL_TASKS: Final = 1  # tasks; of a job that is probably at fault, tried at a time
 REPLICA_PROOF_S: Final = 20.0  # s; a replica that has run for this long shows that its service can run
-HOST_AVOID_S: Final = 120.0  # s; a machine that refused or failed a job's task is avoided for that job
+MACHINE_AVOID_S: Final = 120.0  # s; a machine that refused or failed a job's task is avoided for that job
 EXPIRE_EVERY_S: Final = 0.25  # s; between two looks for machines silent past their lease
 EXPIRE_TASKS: Final = 600  # tasks; given up as lost in one look, some 10 ms of work; the next look goes on from there
 REPEAT_S: Final = 120.0  # s; a repeat of a direct start may come this late: its task is cleared only after it
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -153,7 +153,7 @@
             if name not in found and now - pending.since > patience:
                 del self.pending[name]
         for name, machine in list(self._cluster.machines.items()):
-            if name not in found and machine.lost and now - machine.seen_at > patience:
+            if name not in found and machine.lease_expired and now - machine.seen_at > patience:
                 self._cluster.drop(machine, now)
 
     def _report_use(self, now: float) -> None:
@@ -205,16 +205,21 @@
                 self._give_back.setdefault(name, "up but silent")
 
     def _choose_return(self, machine: Machine, keep: RoomToKeep, now: float) -> None:
-        if machine.lost:
+        if machine.lease_expired:
             if now - machine.seen_at > self._cluster.loss_s + constants.SILENT_RETURN_S:
                 self._give_back[machine.name] = "silent"
             return
-        if machine.live or machine.unknown or machine.evict_at is not None or not machine.synced:
+        if (
+            machine.bound_count
+            or machine.unknown
+            or machine.spot_reclaim_at is not None
+            or not machine.token_acknowledged
+        ):
             return
         if any(not a.clearable for a in machine.attempts.values()):
             return  # a result that is not recorded yet
-        if machine.faulty:
-            self._start_return(machine, "faulty")
+        if machine.quarantined:
+            self._start_return(machine, "quarantined")
         elif machine.draining:
             self._start_return(machine, "drained")
         elif now - max(machine.idle_since, self._cluster.started) > self._patience(machine) and keep.lets_go(machine):
@@ -236,7 +241,7 @@
         names = []
         for name in list(self._give_back):
             machine = self._cluster.machines.get(name)
-            if machine is not None and (machine.live or machine.unknown):
+            if machine is not None and (machine.bound_count or machine.unknown):
                 # It came back to life, with work: it stays.
                 machine.returning = False
                 del self._give_back[name]
--- a/sorrelsill/fleet/spare_room.py
+++ b/sorrelsill/fleet/spare_room.py
@@ -15,7 +15,7 @@
 def tasks_that_could_start(machine: Machine, spec: JobSpec) -> int:
     """On one machine, in free room or in place of lesser work."""
     cpus, memory_gb = machine.capacity_cpus, machine.capacity_memory_gb
-    for attempt in machine.attempts.values() if machine.live else ():
+    for attempt in machine.attempts.values() if machine.bound_count else ():
         kept = attempt.spec
         if kept is not None and (kept.priority <= spec.priority or kept.is_gang):
             cpus -= kept.cpus
--- a/sorrelsill/fleet/test_plan.py
+++ b/sorrelsill/fleet/test_plan.py
@@ -33,7 +33,7 @@
     machines = []
     for number in range(count):
         machine = cluster.machine(f"m{number}", "c8", "ab"[number % 2], False, 0.0)
-        machine.synced = machine.reachable = machine.registered = True
+        machine.token_acknowledged = machine.reachable = machine.registered = True
         machine.images["img"] = 0.5
         machines.append(machine)
         fields = {"shape": "standing", "shards": replicas, "rank": "prod", "vcpus": 1.0, "memoryGb": 1.0}
@@ -98,7 +98,7 @@
             cluster.attempts.leave(attempt)
             cluster.unbind(attempt, 2.0)
         elif rng.random() < 0.9:
-            machine.overdue = not machine.overdue
+            machine.heartbeat_overdue = not machine.heartbeat_overdue
         elif len(cluster.machines) > 5:
             cluster.gone_for_certain(machine.name, 3.0, "returned")
         spec = rng.choice([small, small, large])
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -150,19 +150,19 @@
         cluster = self._cluster
         bases: dict[str, str] = {}  # key of a part -> a machine of it
         add: dict[str, dict[str, Machine]] = {}
-        for name in list(cluster.gone):
+        for name in list(cluster.pending_writes.deregistrations):
             machine = cluster.machines.get(name)
             if (
                 machine is not None
-                and machine.synced
+                and machine.token_acknowledged
                 or not any(name in value for value, _ in self._watch_cache.registry_parts(name).values())
             ):
-                cluster.gone.discard(name)
+                cluster.pending_writes.deregistrations.discard(name)
             else:
                 bases[registry_key(name)] = name
-        for name, machine in list(cluster.machines_to_register.items()):
-            if not machine.synced or machine.registered or machine.returning:
-                del cluster.machines_to_register[name]
+        for name, machine in list(cluster.pending_writes.registrations.items()):
+            if not machine.token_acknowledged or machine.registered or machine.returning:
+                del cluster.pending_writes.registrations[name]
             else:
                 bases[registry_key(name)] = name
                 add.setdefault(registry_key(name), {})[name] = machine
@@ -175,7 +175,9 @@
             values = {key: value for key, (value, _) in parts.items()}
             # Further keys only once the store refuses longer values: a leader of the former version that finds a
             # machine in two of them never takes it for heard.
-            write = next_registry_write(base, values, entries, cluster.gone, self._store.value_bytes)
+            write = next_registry_write(
+                base, values, entries, cluster.pending_writes.deregistrations, self._store.value_bytes
+            )
             if write is None:
                 # Without an entry a machine gets no work: that must not go unseen.
                 log.error("roster part %s: entries of %d machines fit no value", base, len(machines))
@@ -199,27 +201,28 @@
         cluster = self._cluster
         self._watch_cache.apply_change(write.key, write.value, rev, True)
         for machine, incarnation in added:
-            cluster.machines_to_register.pop(machine.name, None)
-            if machine.synced and machine.incarnation == incarnation:
+            cluster.pending_writes.registrations.pop(machine.name, None)
+            if machine.token_acknowledged and machine.incarnation == incarnation:
                 machine.registered = True
                 cluster.wake_placing = True
-            elif machine.synced:
-                cluster.machines_to_register[machine.name] = machine
+            elif machine.token_acknowledged:
+                cluster.pending_writes.registrations[machine.name] = machine
 
     def _due(self) -> tuple[list[Job], list[Job], list[Job]]:
         """Jobs that are over, that begin or stop to run, and whose progress is due. That is for display, and its
         results stay on the workers until they are recorded, so it is gathered: found on a measured day, writing each
         job at each change used up the store's rate, and submissions waited. With many jobs it is gathered longer."""
         cluster = self._cluster
-        cluster.dirty.intersection_update(cluster.jobs)
+        cluster.pending_writes.records.intersection_update(cluster.jobs)
         now = trio.current_time()
         pace = max(
-            constants.PROGRESS_EVERY_S, len(cluster.dirty) / (constants.PROGRESS_SHARE * self._store.writes.rate)
+            constants.PROGRESS_EVERY_S,
+            len(cluster.pending_writes.records) / (constants.PROGRESS_SHARE * self._store.writes.rate),
         )
         over: list[Job] = []
         turned: list[Job] = []
         progress: list[Job] = []
-        for job in (cluster.jobs[job_id] for job_id in cluster.dirty):
+        for job in (cluster.jobs[job_id] for job_id in cluster.pending_writes.records):
             if job.done.count == job.spec.task_count and not job.spec.is_service:
                 over.append(job)
             elif bool(job.shown_running) != any(a.phase == "running" for a in job.bound.values()):
@@ -280,7 +283,7 @@
         # The record goes last, with or after all its parts, as it may leave out what it held itself before.
         last = fits and numbers >= job.dirty_parts
         if not puts and not last:
-            cluster.dirty.discard(job_id)  # nothing of it can be written
+            cluster.pending_writes.records.discard(job_id)  # nothing of it can be written
             return True
         if not batch.room(1, last + len(puts), size):
             return False
@@ -290,7 +293,7 @@
         batch.units.append(job_id)
         whole = numbers >= job.dirty_parts
         if whole:
-            cluster.dirty.discard(job_id)
+            cluster.pending_writes.records.discard(job_id)
             job.recorded_at = trio.current_time()
         job.dirty_parts.difference_update(numbers)
 
@@ -305,7 +308,7 @@
                 _clear(results)
 
         def undone() -> None:
-            cluster.dirty.add(job_id)
+            cluster.pending_writes.records.add(job_id)
             job.dirty_parts.update(numbers)
 
         batch.after.append(written)
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -115,7 +115,7 @@
         for few in (4 * constants.PREEMPT_SAMPLE, len(machines)):
             for machine in self._rng.sample(machines, min(few, len(machines))):
                 if (
-                    machine.live
+                    machine.bound_count
                     and machine.usable
                     and machine.allows(job.spec)
                     and not self._reservations.reserved(machine)
@@ -194,14 +194,18 @@
     def make_room_for_group(self, placing: Round, job: Job, seatings: list[groups.Seating]) -> bool:
         """Stop lesser work if that lets the whole group in; the machines are reserved until it is gone."""
         cluster, now, machines, spec = placing.cluster, placing.now, placing.machines, job.spec
-        if not any(machine.live for machine in machines):
+        if not any(machine.bound_count for machine in machines):
             return False
         guaranteed = spec.job_id in self._guaranteed
         kind = ("group", spec.priority, spec.team, guaranteed, spec.cpus, spec.task_count, spec.spot_allowed)
         if self._reservations.searched_in_vain(kind, now):
             return False
         sample = self._rng.sample(machines, min(len(machines), constants.PREEMPT_SAMPLE * constants.GROUP_SAMPLES))
-        may = [m for m in sample if m.live and m.usable and m.allows(spec) and self._reservations.open_to(job, m, now)]
+        may = [
+            m
+            for m in sample
+            if m.bound_count and m.usable and m.allows(spec) and self._reservations.open_to(job, m, now)
+        ]
 
         def offer(machine: Machine, more: int) -> tuple[float, list[Attempt]] | None:
             found = self._victims(cluster, job, machine, now, groups.capacity(machine, spec) + more)
--- a/sorrelsill/placement/test_engine.py
+++ b/sorrelsill/placement/test_engine.py
@@ -19,7 +19,7 @@
     cluster = ClusterState(1, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
     for name, zone, spot in machines:
         machine = cluster.machine(name, "c8", zone, spot, 0.0)
-        machine.synced = machine.reachable = machine.registered = True
+        machine.token_acknowledged = machine.reachable = machine.registered = True
     return cluster
 
 
@@ -82,7 +82,7 @@
     machine = at(work)[0]
     assert (
         set(cluster.attempts.by_job["run-a"]) == set(work.bound.values())
-        and machine.live == 4
+        and machine.bound_count == 4
         and cluster.unaccounted("red") == (0.0, 0.0)
     )
     cluster.end_job("run-a")
@@ -113,7 +113,7 @@
     assert index.ready.names() == index.free.names() == {other}
 
 
-@pytest.mark.parametrize("condition", ["synced", "reachable", "registered"])
+@pytest.mark.parametrize("condition", ["token_acknowledged", "reachable", "registered"])
 def test_a_condition_that_fails_takes_the_machine_out_of_the_indices_at_once(condition: str) -> None:
     cluster = cluster_with(("m1", "a", False))
     setattr(cluster.machines["m1"], condition, False)
@@ -122,7 +122,7 @@
     assert cluster.index.ready.names() == cluster.index.free.names() == {"m1"}
 
 
-@pytest.mark.parametrize("trouble", ["lost", "overdue", "draining", "returning", "faulty"])
+@pytest.mark.parametrize("trouble", ["lease_expired", "heartbeat_overdue", "draining", "returning", "quarantined"])
 def test_a_trouble_takes_the_machine_out_of_the_indices_at_once(trouble: str) -> None:
     cluster = cluster_with(("m1", "a", False))
     setattr(cluster.machines["m1"], trouble, True)
@@ -133,7 +133,7 @@
 
 def test_a_machine_that_is_to_be_taken_back_or_has_grown_is_indexed_anew() -> None:
     cluster = cluster_with(("m1", "a", False), ("m2", "a", False))
-    cluster.machines["m1"].evict_at = 30.0
+    cluster.machines["m1"].spot_reclaim_at = 30.0
     assert cluster.index.ready.names() == {"m2"}
     spec = parse_spec(job("run-a", vcpus=12.0))
     assert {m.name for m in cluster.index.with_room(spec)} == set()
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -30,7 +30,7 @@
         return
     # Guards against work that fills the machine and hides what these tasks use: their size is not known, so the room
     # that is left counts toward every team's limit, and must not be given away before they are gone.
-    attempt.machine.unsized = True
+    attempt.machine.holds_tasks_of_unknown_size = True
     cluster.order_stop(attempt, "its job is over or not known")
 
 
@@ -56,7 +56,7 @@
     job.bound[attempt.index] = attempt
     job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
     cluster.job_changed(attempt.job_id)
-    cluster.dirty.add(attempt.job_id)
+    cluster.pending_writes.records.add(attempt.job_id)
 
 
 def adopt_ended(cluster: ClusterState, attempt: Attempt, ended: EndedJob) -> None:
--- a/sorrelsill/workers/attempt_index.py
+++ b/sorrelsill/workers/attempt_index.py
@@ -45,7 +45,7 @@
             self.machines_with_unknown[machine.name] = machine
         else:
             self.machines_with_unknown.pop(machine.name, None)
-            machine.unsized = False
+            machine.holds_tasks_of_unknown_size = False
 
     def of_job(self, job_id: str) -> list[Attempt]:
         """All attempts of a job that are on machines, exited ones too."""
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -26,6 +26,7 @@
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Machine
 from sorrelsill.workers.machine_index import MachineIndex
+from sorrelsill.workers.pending_writes import PendingWrites
 from sorrelsill.workers.team_usage import BoundUsage, TeamUse
 from sorrelsill.workers.tombstones import Tombstones
 
@@ -61,17 +62,15 @@
         self.attempts = AttemptIndex()
         self.index = MachineIndex()
         self.silence: Timers[Machine] = Timers()  # when machines are looked at for silence
-        self.machines_to_register: dict[str, Machine] = {}  # machines whose roster entry has to be written
         self._changed_jobs: dict[str, None] = {}  # jobs that came, changed or ended since placing last asked
         self.machines_with_pending_commands: dict[
             str, Machine
         ] = {}  # machines that may have orders not sent to them yet
-        self.evicting: dict[str, Machine] = {}  # machines with a notice
+        self.machines_with_reclaim_notice: dict[str, Machine] = {}  # machines with a notice
         self.tombstones = Tombstones()
+        self.pending_writes = PendingWrites()
         self.unreachable_after_s = loss_s / 2
         self.expired_at = float("-inf")
-        self.dirty: set[str] = set()  # jobs whose record has to be written
-        self.gone: set[str] = set()  # machines whose roster key has to be removed
         self.renewed_by_others = float("-inf")  # leases may have been renewed by any node up to then
         self.heard_at: float | None = None  # receipt of the last report of any worker in this term
         self.wake_placing = True
@@ -137,7 +136,7 @@
                 self.largest_group[spec.job_class] = spec
         self.job_changed(spec.job_id)
         if done.count == spec.task_count and not spec.is_service:
-            self.dirty.add(spec.job_id)
+            self.pending_writes.records.add(spec.job_id)
         for attempt in self.attempts.of_job(spec.job_id):
             if attempt.spec is None and not attempt.exited:
                 adoption.adopt(self, attempt, job)
@@ -148,7 +147,7 @@
         """The job is over, as committed: none of its tasks may start, all have to go."""
         job = self.jobs.pop(job_id, None)
         self.groups.pop(job_id, None)
-        self.dirty.discard(job_id)
+        self.pending_writes.records.discard(job_id)
         if job is None:
             return
         self.job_changed(job_id)
@@ -223,7 +222,7 @@
         """Count an attempt whose size is known, on its machine and for its team."""
         machine, spec = attempt.machine, attempt.spec
         assert spec is not None
-        machine.live += 1
+        machine.bound_count += 1
         machine.cpus += spec.cpus
         machine.gpus += spec.gpus
         machine.memory_gb += spec.memory_gb
@@ -238,7 +237,7 @@
         attempt.spec = None
         if self.failover.unconfirmed:
             self.failover.recount()  # it may have been a phantom out of a late copy, and the true one unseen
-        machine.live -= 1
+        machine.bound_count -= 1
         machine.cpus = max(0.0, machine.cpus - spec.cpus)
         machine.gpus = max(0.0, machine.gpus - spec.gpus)
         machine.memory_gb = max(0.0, machine.memory_gb - spec.memory_gb)
@@ -254,9 +253,9 @@
             job.served_at = now
             if requeue and attempt.index not in job.done:
                 heapq.heappush(job.requeued, attempt.index)
-            self.dirty.add(spec.job_id)
+            self.pending_writes.records.add(spec.job_id)
             self.job_changed(spec.job_id)
-        if machine.live == 0:
+        if machine.bound_count == 0:
             machine.idle_since = now
             machine.fetching.clear()
         self.wake_placing = True
@@ -333,7 +332,7 @@
         self._forget(name)
         self.tombstones.bury_for_good(name, now)
         self.confirm(name, reason, now)
-        self.gone.add(name)
+        self.pending_writes.deregistrations.add(name)
         self.wake_placing = True
 
     def drop(self, machine: Machine, now: float) -> None:
@@ -346,9 +345,9 @@
     def _forget(self, name: str) -> None:
         for index in (
             self.machines_with_pending_commands,
-            self.evicting,
+            self.machines_with_reclaim_notice,
             self.attempts.machines_with_unknown,
-            self.machines_to_register,
+            self.pending_writes.registrations,
         ):
             index.pop(name, None)
 
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -19,10 +19,15 @@
         if attempt.exited:
             # Only once no older leader can order a start any more: a repeated start after
             # `clear` would run the task again.
-            if attempt.clearable and machine.synced and not attempt.unanswered_starts and now >= attempt.clear_after:
+            if (
+                attempt.clearable
+                and machine.token_acknowledged
+                and not attempt.unanswered_starts
+                and now >= attempt.clear_after
+            ):
                 out.append(messages.clear_command(attempt.task_id, attempt.attempt_number))
         elif attempt.stop:
-            if attempt.unanswered_starts and not attempt.confirmed and machine.synced:
+            if attempt.unanswered_starts and not attempt.confirmed and machine.token_acknowledged:
                 # Get it onto the worker first: a late direct start then finds the attempt ended
                 # there, and has no effect.
                 out.append(messages.start_command(attempt.task_id, attempt.attempt_number))
@@ -33,7 +38,7 @@
             fresh
             and not attempt.confirmed
             and attempt.spec is not None
-            and machine.synced
+            and machine.token_acknowledged
             and attempt.job_id in cluster.jobs
         ):
             out.append(messages.start_command(attempt.task_id, attempt.attempt_number))
--- a/sorrelsill/workers/groups.py
+++ b/sorrelsill/workers/groups.py
@@ -50,7 +50,10 @@
 def reachable(job: Job) -> bool:
     """Whether all machines of the group will most likely get an order at once."""
     return all(
-        a.machine.synced and a.machine.reachable and not a.machine.overdue and not a.machine.lost
+        a.machine.token_acknowledged
+        and a.machine.reachable
+        and not a.machine.heartbeat_overdue
+        and not a.machine.lease_expired
         for a in job.bound.values()
     )
 
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -45,7 +45,7 @@
         heartbeat.incarnation == machine.incarnation and heartbeat.sequence_number <= machine.heartbeat_sequence_number
     ):
         return None  # late or repeated: its task list is older than what is known
-    if machine.lost and heartbeat.incarnation == machine.incarnation:
+    if machine.lease_expired and heartbeat.incarnation == machine.incarnation:
         machine.sequence_number = max(machine.sequence_number, heartbeat.sequence_number)
         return None  # its lease is over by our clock: only its next incarnation is believed
     stale = heartbeat.incarnation == machine.incarnation and heartbeat.sequence_number < machine.sequence_number
@@ -55,18 +55,18 @@
     machine.heartbeat_sequence_number = heartbeat.sequence_number
     machine.has_sent_heartbeat = True
     machine.seen_at = now
-    if machine.overdue:
-        machine.overdue = False
+    if machine.heartbeat_overdue:
+        machine.heartbeat_overdue = False
     if stale:
         # Overtaken by an answer to a direct call, which told more. It is no copy, so its lease may go on.
-        if not machine.synced:
+        if not machine.token_acknowledged:
             return None
-        machine.answered_at = cluster.heard_at = now
+        machine.lease_renewed_at = cluster.heard_at = now
         # No starts, but halts: an answer that renews a lease always names what has to go.
         return commands(cluster, machine, False, now) if acting else []
     known = machine.sequence_number >= 0
     _newer(cluster, machine, heartbeat, now)
-    if not machine.synced:
+    if not machine.token_acknowledged:
         if machine.first_at is None:
             machine.first_at = now
         machine.relearn |= not known and heartbeat.fencing_token == cluster.term
@@ -79,11 +79,15 @@
     if follows:
         machine.proved_at = now
     cluster.heard_at = now
-    if not machine.synced and machine.first_at is not None and now - machine.first_at > cluster.unreachable_after_s:
+    if (
+        not machine.token_acknowledged
+        and machine.first_at is not None
+        and now - machine.first_at > cluster.unreachable_after_s
+    ):
         # Its reports arrive, our answers do not. Unanswered, its lease can run out, which is a proof.
         _reconcile(cluster, machine, heartbeat, now, True)
         return None
-    machine.answered_at = now
+    machine.lease_renewed_at = now
     _reconcile(cluster, machine, heartbeat, now, True)
     return commands(cluster, machine, fresh, now) if acting else []
 
@@ -98,12 +102,12 @@
     machine = cluster.machine(heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now)
     if (heartbeat.incarnation, heartbeat.sequence_number) <= (machine.incarnation, machine.sequence_number):
         return
-    if machine.lost and heartbeat.incarnation == machine.incarnation:
+    if machine.lease_expired and heartbeat.incarnation == machine.incarnation:
         machine.sequence_number = heartbeat.sequence_number
         return
     if machine.incarnation and heartbeat.incarnation > machine.incarnation:
         # Its lease ran out and yet it hears us: it does not reach us, so work on it would die with each lease.
-        machine.overdue = True
+        machine.heartbeat_overdue = True
     _newer(cluster, machine, heartbeat, now)
     if machine.seen_at == float("-inf"):
         machine.seen_at = now
@@ -111,8 +115,8 @@
         _sync(cluster, machine, heartbeat, True, now, direct=True)
         machine.reachable = True
         machine.proved_at = now
-    if machine.answered_at is None:
-        machine.answered_at = now
+    if machine.lease_renewed_at is None:
+        machine.lease_renewed_at = now
     _reconcile(cluster, machine, heartbeat, now, False)
 
 
@@ -126,17 +130,17 @@
             machine.relearn = True
         machine.reachable = False
         machine.incarnation = heartbeat.incarnation
-        if machine.synced:
+        if machine.token_acknowledged:
             # An incarnation has a whole lease from its beginning, which was before now, whether or not a report of it
             # was ever answered. Found on a day of our own (ran_twice): a machine that reached nobody answered
             # direct calls in its second incarnation, and was taken for lost by the lease of its first.
-            machine.answered_at = now
-        machine.lost = False
+            machine.lease_renewed_at = now
+        machine.lease_expired = False
         machine.heartbeat_sequence_number = -1
     machine.sequence_number = heartbeat.sequence_number
-    if heartbeat.evict_in_s is not None:
-        machine.evict_at = now + heartbeat.evict_in_s
-        cluster.evicting[machine.name] = machine
+    if heartbeat.spot_reclaim_in_s is not None:
+        machine.spot_reclaim_at = now + heartbeat.spot_reclaim_in_s
+        cluster.machines_with_reclaim_notice[machine.name] = machine
 
 
 def _sync(
@@ -147,12 +151,12 @@
     now: float,
     direct: bool = False,
 ) -> None:
-    if heartbeat.fencing_token != cluster.term or machine.synced:
+    if heartbeat.fencing_token != cluster.term or machine.token_acknowledged:
         return
-    machine.synced = True
+    machine.token_acknowledged = True
     machine.first_at = None
     machine.reachable = reachable
-    machine.answered_at = now  # from now on it may be given work, and its incarnation may have begun just now
+    machine.lease_renewed_at = now  # from now on it may be given work, and its incarnation may have begun just now
     if reachable:
         machine.proved_at = now
     if machine.registered or machine.name in cluster.failover.unconfirmed:
@@ -160,7 +164,7 @@
     cluster.confirm(machine.name, "direct answer" if direct else "report", now)
     cluster.machines_with_pending_commands[machine.name] = machine
     if not machine.registered:
-        cluster.machines_to_register[machine.name] = machine
+        cluster.pending_writes.registrations[machine.name] = machine
     cluster.wake_placing = True
 
 
@@ -183,7 +187,7 @@
         _take_phase(cluster, attempt, item, now)
     if seen != len(attempts):
         _drop_absent(cluster, machine, heartbeat, now, proper)
-    if machine.synced and not machine.located:
+    if machine.token_acknowledged and not machine.located:
         # What an earlier message told may have been a late copy; what this one tells is there.
         machine.located = True
         for attempt in attempts.values():
@@ -227,7 +231,7 @@
         log_attempt(log, "runs", attempt, after_bind_s=now - attempt.created)
         if attempt.spec is not None:
             cluster.index.hold_image(machine, attempt.spec)
-            cluster.dirty.add(attempt.job_id)
+            cluster.pending_writes.records.add(attempt.job_id)
 
 
 def _drop_absent(
@@ -257,7 +261,7 @@
             for index in range(job.spec.task_count) if job.spec.is_gang else (attempt.index,):
                 if job.done.add(index):
                     job.dirty_parts.add(index // constants.PART_SHARDS)
-                    cluster.dirty.add(attempt.job_id)
+                    cluster.pending_writes.records.add(attempt.job_id)
                     cluster.job_changed(attempt.job_id)
             _accuse(cluster, job, job.failures.success(machine.name))
         else:
@@ -285,7 +289,7 @@
         job.note(f"task {attempt.index}: {cause}, its group is started anew")
         return
     job.note(f"task {attempt.index}: {cause} on {machine.name}")
-    job.avoid[machine.name] = now + constants.HOST_AVOID_S
+    job.avoid[machine.name] = now + constants.MACHINE_AVOID_S
     if cause == "error":
         _failed(cluster, job, machine, now)
 
@@ -307,12 +311,12 @@
 
 
 def _accuse(cluster: ClusterState, job: Job, names: set[str]) -> None:
-    """The job failed on these machines and succeeded on another. A machine accused by several jobs is faulty."""
+    """The job failed on these machines and succeeded on another. A machine that several jobs blame is quarantined."""
     for name in names:
         machine = cluster.machines.get(name)
         if machine is None:
             continue
         machine.accused_by.add(job.spec.job_id)
-        if len(machine.accused_by) >= constants.HOST_ERRORS_SUSPECT and not machine.faulty:
-            log.info("%s is faulty: %s failed there and succeeded elsewhere", name, sorted(machine.accused_by))
-            machine.faulty = True
+        if len(machine.accused_by) >= constants.QUARANTINE_JOBS and not machine.quarantined:
+            log.info("%s is quarantined: %s failed there and succeeded elsewhere", name, sorted(machine.accused_by))
+            machine.quarantined = True
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -19,7 +19,7 @@
 
 def _next_look(cluster: ClusterState, machine: Machine) -> float:
     """When silence that goes on would next change what is believed of the machine."""
-    overdue_at = float("inf") if machine.overdue else machine.seen_at + _patience(cluster, machine)
+    overdue_at = float("inf") if machine.heartbeat_overdue else machine.seen_at + _patience(cluster, machine)
     return min(overdue_at, _lost_at(cluster, machine))
 
 
@@ -31,12 +31,12 @@
 
 def _lost_at(cluster: ClusterState, machine: Machine) -> float:
     """From when on its lease has run out for certain."""
-    if machine.lost or machine.answered_at is None:
+    if machine.lease_expired or machine.lease_renewed_at is None:
         return float("inf")
     renewed_by_others = cluster.renewed_by_others
     if machine.name in cluster.failover.unconfirmed:
         renewed_by_others = older_answers_until(cluster)
-    return max(machine.answered_at, renewed_by_others) + cluster.loss_s
+    return max(machine.lease_renewed_at, renewed_by_others) + cluster.loss_s
 
 
 def older_answers_until(cluster: ClusterState) -> float:
@@ -60,7 +60,7 @@
             continue  # gone since its timer was set: guards against it coming back into the indices
         looked_at.append(machine)
         if now - machine.seen_at > _patience(cluster, machine):
-            machine.overdue = True
+            machine.heartbeat_overdue = True
         if now <= _lost_at(cluster, machine):
             continue
         if released >= constants.EXPIRE_TASKS:
@@ -77,14 +77,14 @@
 
 
 def _declare_lost(cluster: ClusterState, machine: Machine, now: float) -> None:
-    machine.lost = True
-    machine.synced = machine.reachable = machine.located = False
+    machine.lease_expired = True
+    machine.token_acknowledged = machine.reachable = machine.located = False
     machine.relearn = True
     machine.first_at = None
     machine.registered = False
     cluster.release_all(machine, now, "machine silent, work lost")
     cluster.confirm(machine.name, "lease over", now)
-    cluster.gone.add(machine.name)
+    cluster.pending_writes.deregistrations.add(machine.name)
 
 
 def _forget_unheard(cluster: ClusterState, now: float) -> None:
@@ -94,9 +94,9 @@
         return
     for name in list(unconfirmed):
         machine = cluster.machines.get(name)
-        if machine is None or machine.answered_at is None:
+        if machine is None or machine.lease_renewed_at is None:
             cluster.confirm(name, "nobody can have renewed its lease", now)
-            cluster.gone.add(name)
+            cluster.pending_writes.deregistrations.add(name)
     cluster.wake_placing = True
 
 
@@ -105,21 +105,24 @@
     proves nothing, and a leader that never heard any is no better replaced."""
     if cluster.heard_at is None or now - max(cluster.heard_at, cluster.renewed_by_others) <= limit:
         return False
-    return sum(1 for h in cluster.machines.values() if not h.lost and h.answered_at is not None) >= constants.DEAF_HOSTS
+    return (
+        sum(1 for h in cluster.machines.values() if not h.lease_expired and h.lease_renewed_at is not None)
+        >= constants.DEAF_HOSTS
+    )
 
 
 def drain(cluster: ClusterState, now: float) -> None:
     """Work on machines that are about to be taken: what saves itself does so as late as is safe; what can't, and
     won't be through by then, goes at once, and the rest just before the end. Found on a measured day: left to
     die with its machine it was only known to be lost once a whole lease of silence had passed."""
-    for machine in cluster.evicting.values():
-        if machine.evict_at is None or machine.lost:
+    for machine in cluster.machines_with_reclaim_notice.values():
+        if machine.spot_reclaim_at is None or machine.lease_expired:
             continue
         for attempt in machine.attempts.values():
             spec = attempt.spec
             if spec is None or attempt.stop or attempt.exited:
                 continue
-            left = machine.evict_at - now
+            left = machine.spot_reclaim_at - now
             if spec.is_gang and attempt.job_id in cluster.groups:
                 if groups.must_leave(cluster, cluster.groups[attempt.job_id], left):
                     cluster.stop(attempt, "machine is taken back")
@@ -130,6 +133,6 @@
                 late = left <= spec.checkpoint_cost_s + constants.DRAIN_AHEAD_S
             else:
                 through = attempt.running_since + spec.expected_run_s
-                late = left <= constants.DRAIN_AHEAD_S or spec.is_service or through > machine.evict_at
+                late = left <= constants.DRAIN_AHEAD_S or spec.is_service or through > machine.spot_reclaim_at
             if late:
                 cluster.stop(attempt, "machine is taken back")
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -49,16 +49,22 @@
 class Machine:
     """A machine and what is bound to it."""
 
-    synced = _Condition(False)  # has reported our term as its highest fencing token: no older leader can order it about
+    token_acknowledged = _Condition(
+        False
+    )  # has reported our term as its highest fencing token: no older leader can order it about
     reachable = _Condition(False)  # has shown in this incarnation that answers or commands reach it
     registered = _Condition(False)  # its roster key is committed
-    lost = _Condition(False)  # its incarnation's lease has run out; only a later incarnation is believed
-    overdue = _Condition(False)  # its report is late, so it may hang or be cut off: no new work before the next one
+    lease_expired = _Condition(False)  # its incarnation's lease has run out; only a later incarnation is believed
+    heartbeat_overdue = _Condition(
+        False
+    )  # its report is late, so it may hang or be cut off: no new work before the next one
     draining = _Condition(False)
     returning = _Condition(False)
-    faulty = _Condition(False)
-    unsized = _Condition(False)  # holds tasks of jobs that are not known: how much they take can't be told
-    evict_at: _Condition[float | None] = _Condition(None)  # when the cloud takes it away
+    quarantined = _Condition(False)
+    holds_tasks_of_unknown_size = _Condition(
+        False
+    )  # holds tasks of jobs that are not known: how much they take can't be told
+    spot_reclaim_at: _Condition[float | None] = _Condition(None)  # when the cloud takes it away
 
     def __init__(
         self, name: str, idle_since: float = 0.0, on_usable_changed: Callable[[Machine], None] = _ignore
@@ -81,12 +87,12 @@
             False  # our fencing token may be known to it from an earlier incarnation: showing it proves no hearing
         )
         self.first_at: float | None = None  # receipt of the first report since it is not synced
-        self.answered_at: float | None = None  # receipt of the last report that we answered
+        self.lease_renewed_at: float | None = None  # receipt of the last report that we answered
         self.located = (
             False  # its attempts are on it for certain: it reported them with our term as its highest fencing token
         )
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.live = 0  # attempts that hold room on it
+        self.bound_count = 0  # attempts that hold room on it
         self.unknown = 0  # tasks on it of jobs that are over or unknown, not yet gone
         self.cpus = self.gpus = self.memory_gb = 0.0  # in use
         self.capacity_cpus = self.capacity_gpus = self.capacity_memory_gb = self.cache_gb = 0.0
@@ -98,16 +104,16 @@
     def update_usable(self) -> None:
         """Work out anew whether the machine may be given work, and tell the indices of a change."""
         usable = (
-            self.synced
+            self.token_acknowledged
             and self.reachable
             and self.registered
-            and not self.lost
-            and not self.overdue
+            and not self.lease_expired
+            and not self.heartbeat_overdue
             and not self.draining
             and not self.returning
-            and not self.faulty
-            and not self.unsized
-            and self.evict_at is None
+            and not self.quarantined
+            and not self.holds_tasks_of_unknown_size
+            and self.spot_reclaim_at is None
         )
         if usable != self.usable:
             self.usable = usable
--- a/sorrelsill/workers/machine_index.py
+++ b/sorrelsill/workers/machine_index.py
@@ -41,7 +41,7 @@
         self._changed[machine.name] = machine
         if machine.usable:
             self.free.put(machine)
-        if machine.live:
+        if machine.bound_count:
             self.idle.discard(machine.name)
         else:
             self.idle.add(machine)
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -42,7 +42,7 @@
     addr: str = ""
     spot: bool = msgspec.field(name="reclaimable", default=False)
     fencing_token: int = msgspec.field(name="epoch", default=0)
-    evict_in_s: float | None = msgspec.field(name="evictInS", default=None)
+    spot_reclaim_in_s: float | None = msgspec.field(name="evictInS", default=None)
     tasks: list[TaskStatus] = msgspec.field(name="shards", default_factory=list)
 
 
--- a/sorrelsill/workers/push.py
+++ b/sorrelsill/workers/push.py
@@ -102,9 +102,9 @@
             # What is overdue gets its orders with its next report. Found by reasoning: some fifty machines that hang
             # at once took all calls for two seconds each, and the healthy ones waited for their reports.
             if (
-                machine.overdue
-                or machine.lost
-                or not machine.synced
+                machine.heartbeat_overdue
+                or machine.lease_expired
+                or not machine.token_acknowledged
                 or not _usable(machine.addr)
                 or not has_direct_commands(cluster, machine, True)
             ):
@@ -147,7 +147,7 @@
 
     async def _push(self, cluster: ClusterState, machine: Machine) -> None:
         try:
-            if not self._valid() or machine.lost:
+            if not self._valid() or machine.lease_expired:
                 return
             commands, attempts = take_direct_commands(cluster, machine, self._fresh())
             if not commands:
--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -80,7 +80,7 @@
     incarnation, and taken for lost a lease after the first answer, which came out of its first."""
     cluster, machine = greeted()
     answer(cluster, 9, 8.0, incarnation=2)
-    assert not cluster.expire_leases(13.0) and not machine.lost
+    assert not cluster.expire_leases(13.0) and not machine.lease_expired
     assert cluster.expire_leases(20.0) == [machine]
 
 
@@ -112,8 +112,8 @@
     """Found by the simulation's check of the indices: it came back into them, and its name was released anew."""
     cluster, _ = cluster_of_one()
     cluster.gone_for_certain("m1", 3.0, "machine returned")
-    cluster.gone.clear()
-    assert not cluster.expire_leases(60.0) and not cluster.gone
+    cluster.pending_writes.deregistrations.clear()
+    assert not cluster.expire_leases(60.0) and not cluster.pending_writes.deregistrations
     assert not cluster.index.idle and not cluster.index.ready
 
 
@@ -127,7 +127,7 @@
             )
     assert count_calls(lambda: cluster.expire_leases(4.5)) < 20, "none is due"
     cluster.expire_leases(5.505)
-    assert sum(machine.overdue for machine in cluster.machines.values()) == 51
+    assert sum(machine.heartbeat_overdue for machine in cluster.machines.values()) == 51
 
 
 def report_tasks_of_an_unknown_job(cluster: ClusterState, count: int = 2) -> None:
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -162,17 +162,17 @@
         live job's progress due is measured."""
         cluster = self.leader.cluster
         if self.leader.now % constants.WRITER_TICK_S < STEP_S:
-            due, cluster.dirty = cluster.dirty, set(cluster.jobs)
+            due, cluster.pending_writes.records = cluster.pending_writes.records, set(cluster.jobs)
             with self.parts["records"]:
                 self._record_writer._due()
-            cluster.dirty = due
-        for job_id in list(cluster.dirty):
+            cluster.pending_writes.records = due
+        for job_id in list(cluster.pending_writes.records):
             job = cluster.jobs.get(job_id)
             for attempt in cluster.attempts.unrecorded(job_id):
                 attempt.clearable = True
             if job is not None and job.done.count == job.spec.task_count and not job.spec.is_service:
                 cluster.end_job(job_id)
-        cluster.dirty.clear()
+        cluster.pending_writes.records.clear()
 
     def step(self) -> None:
         """One step of simulated time."""
--- a/tests/scenarios/test_bad_nights.py
+++ b/tests/scenarios/test_bad_nights.py
@@ -313,7 +313,7 @@
         await trio.sleep(60)
         cluster = simulation.nodes[label].cluster
         assert cluster is not None
-        assert not any(machine.faulty for machine in cluster.machines.values())
+        assert not any(machine.quarantined for machine in cluster.machines.values())
         assert all(not cluster.jobs[job_id].failures.accused for job_id in mistaken)
         late = [
             task_id for at, task_id, _ in simulation.starts if at > since and task_id.rpartition("/")[0] in mistaken
--- a/tests/scenarios/test_groups.py
+++ b/tests/scenarios/test_groups.py
@@ -281,7 +281,7 @@
         assert (
             not held.avoid
             and not held.failures.failures
-            and not any(h.faulty for h in leader.cluster.machines.values())
+            and not any(h.quarantined for h in leader.cluster.machines.values())
         )
         for worker in simulation.workers.values():
             worker.pull_rate = 1.0
@@ -349,7 +349,7 @@
     cluster = ClusterState(1, 0.0, Catalog({"c8": kind}), 11.0, 3.0)
     for number in range(4):
         machine = cluster.machine(f"m-{number}", "c8", "ab"[number % 2], False, 0.0)
-        machine.synced = machine.reachable = machine.registered = True
+        machine.token_acknowledged = machine.reachable = machine.registered = True
     aims = [Objective("wait", "ceremony", 8.0), Objective("deadline", "w", times=1.0)]
     placer = Placer([Team("red")], aims, random.Random(1), constants.SAMPLE)
     first = cluster.add_job(parse_spec(group("run-g", workload="ceremony", shards=4)), TaskSet(4), 2, False, 0.0, [])
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -111,7 +111,7 @@
         if leader.now > OVERDUE_S + 1.0:
             leader.cluster.expire_leases(leader.now)
             assert len(leader.cluster.index.ready) <= len(others), "no new work goes where silence began"
-    stretches, declared = [], len([m for m in leader.cluster.machines.values() if m.lost])
+    stretches, declared = [], len([m for m in leader.cluster.machines.values() if m.lease_expired])
     assert declared < 100
     while batch := leader.cluster.expire_leases(leader.now):
         stretches.append(sum(len(leader.tasks[machine.name]) for machine in batch))
--- a/tests/scenarios/test_limits.py
+++ b/tests/scenarios/test_limits.py
@@ -112,7 +112,7 @@
                 task.done.add(index)
                 simulation.finished.add(f"run-big/{index}")
                 task.dirty_parts.add(index // constants.PART_SHARDS)
-        leader.cluster.dirty.add("run-big")
+        leader.cluster.pending_writes.records.add("run-big")
         await simulation.until(lambda: simulation.store.kv["s/j/run-big"][0]["n"] > 7000, 30)
         assert max(sizes(simulation, "s/j/")) > SMALL, "written while longer values were allowed"
         narrow(simulation)
@@ -128,7 +128,7 @@
             for index in extra:
                 task.done.add(index)
                 task.dirty_parts.add(index // constants.PART_SHARDS)
-            node.cluster.dirty.add("run-big")
+            node.cluster.pending_writes.records.add("run-big")
             await trio.sleep(dice.choice((0.3, 0.5, 8.0)))
             parts = [
                 (k, v) for k, (v, _, _) in simulation.store.kv.items() if k.startswith(("s/d/run-big", "s/e/run-big"))
@@ -173,7 +173,7 @@
             if index in done:
                 task.done.add(index)
                 task.dirty_parts.add(index // constants.PART_SHARDS)
-        leader.cluster.dirty.add("run-big")
+        leader.cluster.pending_writes.records.add("run-big")
         await simulation.until(lambda: not task.dirty_parts, 40)
         simulation.kill(await simulation.until_leader())
         after = simulation.nodes[await simulation.until_leader()]
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -209,7 +209,7 @@
             assert node.cluster is not None
             done = node.cluster.jobs["run-big"].done
             assert done.count == 200 and 0 in done and 299 in done
-            node.cluster.dirty.add("run-big")
+            node.cluster.pending_writes.records.add("run-big")
             await trio.sleep(9)
         assert simulation.store.kv["s/j/run-big"][0]["d"] == "", "and the record is short again"
 
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -89,9 +89,9 @@
 
     def write_registry(self) -> None:
         """The registry entries of all machines that wait for one are committed."""
-        for machine in list(self.cluster.machines_to_register.values()):
+        for machine in list(self.cluster.pending_writes.registrations.values()):
             machine.registered = True
-        self.cluster.machines_to_register.clear()
+        self.cluster.pending_writes.registrations.clear()
 
     def all_send_heartbeats(self, names: list[str] | None = None) -> None:
         """All of these machines report, and are registered."""
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -102,7 +102,7 @@
             index, machines = node.cluster.index, node.cluster.machines.values()
             ready = {m.name for m in machines if m.usable}
             free = {m.name for m in machines if m.usable and m.capacity_cpus - m.cpus > 1e-6}
-            idle = {m.name for m in machines if not m.live}
+            idle = {m.name for m in machines if not m.bound_count}
             for name, indexed, walked in (
                 ("ready", index.ready.names(), ready),
                 ("free", index.free.names(), free),
