--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -119,7 +119,7 @@
 
 # --- placement --------------------------------------------------------------------------------------
 TICK_S: Final = 0.03  # s; least time between two rounds of placing
-ROUND_BUDGET_S: Final = 0.03  # s; time a round of placing may take; the next one goes on from there
+CYCLE_BUDGET_S: Final = 0.03  # s; time a round of placing may take; the next one goes on from there
 DRAWS_BEFORE_LISTING: Final = 3  # draws; in vain, before all machines that may fit are listed and sifted
 SAMPLE: Final = 24  # machines looked at per task; best fit among these
 FETCH_WEIGHT: Final = 4.0  # score; a missing image against the whole of a machine left over
@@ -131,14 +131,14 @@
 AGED_S: Final = 75.0  # s; a job none of whose tasks ran for this long goes before all but production; the users
 #                       allow four minutes to begin, and some jobs may be in that state together
 AGED_HOLD_S: Final = 30.0  # s; a machine is kept filling up for such a job this long
-PREEMPT_PER_ROUND: Final = 8  # tasks; room is made for this many of a job per round
+PREEMPT_PER_CYCLE: Final = 8  # tasks; room is made for this many of a job per round
 PREEMPT_BASE_S: Final = 5.0  # s; what a stop costs besides the lost run time: fetching and starting again
 WARM_CLAIM_S: Final = 1.0  # s; the same on machines that hold the image; then any machine will do
-GROUP_SAMPLES: Final = 4  # samples; a group needs room on several machines at once, so it looks at more of them
-GROUP_SPARE: Final = 1.0  # groups; of each class whose tasks should start within seconds, room kept ready in one zone
-GROUP_HOLD_S: Final = 30.0  # s; machines are kept filling up for a group this long: most tasks end within it
-GROUP_HOLD_HOSTS: Final = 16  # machines; kept for one group at the most
-GROUP_HOLD_SHARE: Final = 0.1  # ratio; of the machines, kept for groups together
+GANG_SAMPLES: Final = 4  # samples; a group needs room on several machines at once, so it looks at more of them
+GANG_HEADROOM: Final = 1.0  # groups; of each class whose tasks should start within seconds, room kept ready in one zone
+GANG_HOLD_S: Final = 30.0  # s; machines are kept filling up for a group this long: most tasks end within it
+GANG_HOLD_MACHINES: Final = 16  # machines; kept for one group at the most
+GANG_HOLD_SHARE: Final = 0.1  # ratio; of the machines, kept for groups together
 CLAIM_S: Final = 5.0  # s; room that was made is awaited this long before more is made
 
 AMOUNT_TOLERANCE: Final = 1e-6  # CPUs, GPUs or GB; amounts that differ by less are the same
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -21,12 +21,12 @@
 from sorrelsill.fleet import Cloud, FleetManager, parse_catalog
 from sorrelsill.http import Client, Reply, Request
 from sorrelsill.jobs import Admission, Cancellations, RecordWriter, json_size
-from sorrelsill.leadership import Elector, Watchdog
+from sorrelsill.leadership import LeaderElector, Watchdog
 from sorrelsill.membership import PRESENCE_PREFIX, MembershipSettings, make_membership
 from sorrelsill.model import Catalog
 from sorrelsill.peers import DegradedMode
-from sorrelsill.placement import Placer
-from sorrelsill.settings import Operator, Settings, Timings
+from sorrelsill.placement import Scheduler
+from sorrelsill.settings import OperatorOverrides, Settings, Timings
 from sorrelsill.store import CATALOG, JOB_PREFIX, LEADER, Compare, KeyValueStore, Put, UnavailableError, WatchCache
 from sorrelsill.store import AmbiguousError as StoreAmbiguous
 from sorrelsill.workers import CallLimits, ClusterState, Pusher, enforce_gang_completeness
@@ -42,7 +42,7 @@
     def __init__(
         self,
         settings: Settings,
-        operator: Operator,
+        operator: OperatorOverrides,
         rng: random.Random,
         make_client: Callable[[str], Client] = Client,
         time_of_day: Callable[[], float] = time.time,
@@ -74,7 +74,7 @@
         self.followed_jobs = FollowedJobs(self.watch_cache, self.cancellations, time_of_day, ended_window_s)
         self.admission = Admission(self.store, self.watch_cache, facts.teams, time_of_day)
         self.watchdog = Watchdog(self.timings.stall_s, self.timings.self_release_s)
-        self.elector = Elector(
+        self.elector = LeaderElector(
             self.store,
             self.watch_cache,
             self.timings,
@@ -96,7 +96,9 @@
             on_bound=self._on_bound,
             on_cancelled=self._on_cancelled,
         )
-        self.placer = Placer(facts.teams, facts.objectives, rng, operator.sample or constants.SAMPLE, settings.hurried)
+        self.scheduler = Scheduler(
+            facts.teams, facts.objectives, rng, operator.sample or constants.SAMPLE, settings.optimise_latency
+        )
         self.cloud = Cloud(make_client(settings.services.cloud), facts.cloud)
         limits = CallLimits.derive(facts.quota.sockets)
         self.pusher = Pusher(make_client, self.elector.valid, self._fresh, limits, self._news)
@@ -146,11 +148,11 @@
             timings.overdue_s,
             self.settings.facts.workers.gang_peer_s,
         )
-        cluster.renewed_by_others = min(now, self.elector.bound_until)
+        cluster.renewed_by_others = min(now, self.elector.promised_until)
         cluster.failover.expect_machines(self.watch_cache.registered_machines())
         self.followed_jobs.load(cluster)
         self.leading = Leading(cluster, self._make_fleet(cluster), self._make_record_writer(cluster))
-        self.placer.reset()
+        self.scheduler.reset()
         self._log_takeover(cluster)
         for loop in ("place", "record", "fleet"):
             self.watchdog.beat(loop)
@@ -186,8 +188,8 @@
             self.cloud,
             cluster,
             self.elector.valid,
-            lambda: list(self.placer.unplaced.values()),
-            self.settings.hurried,
+            lambda: list(self.scheduler.unschedulable.values()),
+            self.settings.optimise_latency,
             facts.cloud.list_lag_s,
             {o.job_class for o in facts.objectives if o.kind == "wait" and o.job_class},
             on_catalog=self._on_catalog,
@@ -348,7 +350,7 @@
         cluster.drain(now)
         enforce_gang_completeness(cluster)
         cluster.wake_placing = False
-        if not self.placer.round(cluster, now, trio.current_time, constants.ROUND_BUDGET_S) or lost:
+        if not self.scheduler.run_cycle(cluster, now, trio.current_time, constants.CYCLE_BUDGET_S) or lost:
             self._wake.set()
         if self.membership is not None and cluster.first_bound_at is not None:
             self.membership.started(cluster.first_bound_at)
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -11,7 +11,7 @@
 
 from sorrelsill.http import Reply, Request
 from sorrelsill.jobs import Cancellations
-from sorrelsill.leadership import Elector
+from sorrelsill.leadership import LeaderElector
 from sorrelsill.peers import DegradedMode
 from sorrelsill.store import WatchCache
 from sorrelsill.workers import (
@@ -39,7 +39,7 @@
     def __init__(
         self,
         watch_cache: WatchCache,
-        elector: Elector,
+        elector: LeaderElector,
         degraded_mode: DegradedMode,
         cancellations: Cancellations,
         peers: set[str],
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -21,22 +21,22 @@
     def __init__(
         self,
         cluster: ClusterState,
-        unplaced: Callable[[], list[UnschedulableDemand]],
+        unschedulable: Callable[[], list[UnschedulableDemand]],
         counted_on: Callable[[], list[Pending]],
-        hurried: bool,
+        optimise_latency: bool,
         prompt: set[str],
     ) -> None:
         self._cluster = cluster
-        self._unplaced = unplaced
+        self._unschedulable = unschedulable
         self._counted_on = counted_on  # machines on their way that are expected to come up in time
-        self._hurried = hurried  # time counts, not money
+        self._optimise_latency = optimise_latency  # time counts, not money
         self._prompt = prompt  # classes whose tasks should start within seconds
         self._spare_room = SpareRoom(cluster.index)
 
     def needs(self, now: float) -> list[Need]:
         """Room that is missing for waiting tasks, and what is kept ready ahead of work."""
         out = []
-        for item in self._unplaced():
+        for item in self._unschedulable():
             if item.limited:
                 continue
             job, spec = item.job, item.job.spec
@@ -44,7 +44,7 @@
             if spec.deadline_s is not None and not spec.is_service and not spec.is_gang:
                 count = min(count, self._enough(item, now))
             if count > 0:
-                patient = spec.spot_allowed and not self._hurried and self._can_wait(item, now)
+                patient = spec.spot_allowed and not self._optimise_latency and self._can_wait(item, now)
                 out.append(
                     Need(
                         count,
@@ -59,7 +59,7 @@
                         patient,
                     )
                 )
-        return out + self._spare_needs() + self._group_needs() + (self._headroom() if self._hurried else [])
+        return out + self._spare_needs() + self._group_needs() + (self._headroom() if self._optimise_latency else [])
 
     def _headroom(self) -> list[Need]:
         """Where time counts, whole machines ahead of the work: in a burst of arrays a boot costs more than their run.
@@ -75,9 +75,9 @@
         missing = int((constants.HEADROOM * used - free) / max(kind.cpus, 0.1))
         return [Need(missing, kind.cpus, 0.0, kind.memory_gb, None, None, True, None)] if missing > 0 else []
 
-    def group_room(self) -> tuple[dict[str, float], float]:
+    def gang_headroom(self) -> tuple[dict[str, float], float]:
         """CPUs on ordinary machines, free or coming, by zone; and how many are kept ready in one zone for groups."""
-        kept = 0.0 if self._hurried else self._cluster.group_spare(self._prompt)
+        kept = 0.0 if self._optimise_latency else self._cluster.gang_headroom_cpus(self._prompt)
         if not kept:
             return {}, 0.0
         free = dict.fromkeys(self._cluster.catalog.zones, 0.0) | self._cluster.index.free.ordinary_cpus()
@@ -88,12 +88,12 @@
         return free, kept
 
     def _group_needs(self) -> list[Need]:
-        free, kept = self.group_room()
+        free, kept = self.gang_headroom()
         if not kept:
             return []
         zone = max(sorted(free), key=lambda z: free[z])
-        groups = [s for name in self._prompt if (s := self._cluster.largest_group.get(name)) is not None]
-        spec = max(groups, key=lambda s: (s.cpus, s.job_id))
+        gangs = [s for name in self._prompt if (s := self._cluster.largest_gang.get(name)) is not None]
+        spec = max(gangs, key=lambda s: (s.cpus, s.job_id))
         missing = math.ceil((kept - free[zone]) / max(spec.cpus, 0.1))
         if missing <= 0:
             return []
@@ -146,13 +146,13 @@
 class RoomToKeep:
     """The room that returns must leave: for gangs that wait, for one more gang, for one more service."""
 
-    def __init__(self, demand: Demand, unplaced: list[UnschedulableDemand]) -> None:
+    def __init__(self, demand: Demand, unschedulable: list[UnschedulableDemand]) -> None:
         self._demand = demand
         self._spare = demand.spare_spec()
         # A gang that waits needs several machines at once. Guards against each machine rented for it going back as
         # idle before the next one is up.
-        self._awaited = [(u.job.spec, u.zone) for u in unplaced if u.job.spec.is_gang and not u.limited]
-        self._free, self._kept = demand.group_room()
+        self._awaited = [(u.job.spec, u.zone) for u in unschedulable if u.job.spec.is_gang and not u.limited]
+        self._free, self._kept = demand.gang_headroom()
         self._room: dict[str, int] | None = None  # worked out only if a machine could go, since it walks all of them
 
     def lets_go(self, machine: Machine) -> bool:
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -48,8 +48,8 @@
         cloud: Cloud,
         cluster: ClusterState,
         valid: Callable[[], bool],
-        unplaced: Callable[[], list[UnschedulableDemand]],
-        hurried: bool,
+        unschedulable: Callable[[], list[UnschedulableDemand]],
+        optimise_latency: bool,
         lag_s: float,
         prompt: set[str],
         on_catalog: Callable[[dict[str, Any], Catalog], None] = lambda raw, catalog: None,
@@ -60,9 +60,11 @@
         self._list = MachineListReader(cloud)
         self._cluster = cluster
         self._valid = valid
-        self._unplaced = unplaced
-        self._demand = Demand(cluster, unplaced, lambda: self._counted_on(trio.current_time()), hurried, prompt)
-        self._hurried = hurried
+        self._unschedulable = unschedulable
+        self._demand = Demand(
+            cluster, unschedulable, lambda: self._counted_on(trio.current_time()), optimise_latency, prompt
+        )
+        self._optimise_latency = optimise_latency
         self._lag = lag_s
         self._prompt = prompt  # classes whose tasks should start within seconds
         self.pending: dict[str, Pending] = {}
@@ -178,7 +180,7 @@
                 " spot" if spot else "",
                 *row,
             )
-        waiting = [(u.job.spec.job_id, u.count, u.job.spec.expected_run_s) for u in self._unplaced()]
+        waiting = [(u.job.spec.job_id, u.count, u.job.spec.expected_run_s) for u in self._unschedulable()]
         log.debug("waiting: %s", waiting)
 
     # --- returning ---
@@ -191,7 +193,7 @@
         self.refused = {o: t for o, t in self.refused.items() if t > now}
 
     def _choose_returns(self, now: float) -> None:
-        keep = RoomToKeep(self._demand, self._unplaced())
+        keep = RoomToKeep(self._demand, self._unschedulable())
         for machine in sorted(self._cluster.index.idle, key=lambda idle: idle.name):
             if machine.name not in self._give_back:
                 self._choose_return(machine, keep, now)
@@ -227,7 +229,7 @@
 
     def _patience(self, machine: Machine) -> float:
         """How long a machine may idle: it is paid for its first minute anyway."""
-        if self._hurried:
+        if self._optimise_latency:
             return constants.IDLE_RETURN_HURRIED_S
         kind = self._cluster.catalog.machine_types.get(machine.machine_type)
         return constants.IDLE_OF_BOOT * (kind.boot_s if kind is not None else constants.MIN_CHARGE_S)
@@ -269,12 +271,12 @@
         """In quiet times, a few machines at a time: their services move to fuller ones and they go back. One at a time
         was too slow for hundreds, and so was waiting for a moment when none is coming up: there is none."""
         cluster = self._cluster
-        if self._hurried or self._open or now - self._drained_at < constants.DRAIN_EVERY_S:
+        if self._optimise_latency or self._open or now - self._drained_at < constants.DRAIN_EVERY_S:
             return
         few = int(constants.DRAIN_SHARE * len(cluster.index.ready))
         if len(self.pending) > few or cluster.failover.unconfirmed:
             return
-        if any(u.count for u in self._unplaced()) or any(h.draining for h in cluster.machines.values()):
+        if any(u.count for u in self._unschedulable()) or any(h.draining for h in cluster.machines.values()):
             return
         self._drained_at = now
         spare = self._demand.spare_spec()
@@ -312,7 +314,7 @@
             self.refused,
             now,
             in_zone,
-            self._hurried,
+            self._optimise_latency,
         )
         for offer, count in sorted(wanted.items(), key=lambda i: -i[1]):
             self._counter += 1
--- a/sorrelsill/fleet/rentals.py
+++ b/sorrelsill/fleet/rentals.py
@@ -60,7 +60,7 @@
     refused: dict[Offer, float],
     now: float,
     in_zone: dict[str, int],
-    hurried: bool = False,
+    optimise_latency: bool = False,
 ) -> dict[Offer, int]:
     """Machines to rent: first-fit into what is already on its way, then the cheapest offer per task; where time
     counts and not money, an ordinary one first, since a task lost with a spot machine makes its whole job late."""
@@ -81,7 +81,7 @@
                 break
             left -= _fill(need, b, left, zones)
         while left > 0:
-            offer = _best_offer(need, catalog, refused, now, zones, in_zone, wanted, hurried)
+            offer = _best_offer(need, catalog, refused, now, zones, in_zone, wanted, optimise_latency)
             if offer is None:
                 break
             kind = catalog.machine_types[offer[0]]
@@ -149,7 +149,7 @@
     zones: dict[str, int],
     in_zone: dict[str, int],
     wanted: dict[Offer, int],
-    hurried: bool,
+    optimise_latency: bool,
 ) -> Offer | None:
     best: tuple[tuple[bool, float, int, str], Offer] | None = None
     for kind in catalog.machine_types.values():
@@ -168,7 +168,7 @@
                 # Whole machines only pay off if they are filled, so a small need looks for a small machine.
                 cost = kind.cost(spot) / min(most, need.count)
                 have = in_zone.get(zone, 0) + sum(n for o, n in wanted.items() if o[1] == zone)
-                key = (hurried and spot, round(cost, 6), have, zone)
+                key = (optimise_latency and spot, round(cost, 6), have, zone)
                 if best is None or key < best[0]:
                     best = (key, offer)
     return best[1] if best is not None else None
--- a/sorrelsill/fleet/test_plan.py
+++ b/sorrelsill/fleet/test_plan.py
@@ -20,9 +20,9 @@
 
 def test_where_only_time_counts_ordinary_machines_are_rented_first() -> None:
     """A task lost with a spot machine makes its whole job late."""
-    for hurried in (True, False):
-        wanted = plan([need(16)], [], CATALOG, {}, 0.0, {}, hurried)
-        assert sum(wanted.values()) == 4 and {spot for _, _, spot in wanted} == {not hurried}
+    for optimise_latency in (True, False):
+        wanted = plan([need(16)], [], CATALOG, {}, 0.0, {}, optimise_latency)
+        assert sum(wanted.values()) == 4 and {spot for _, _, spot in wanted} == {not optimise_latency}
     refused = {("c8", zone, False): 9.0 for zone in "ab"}
     assert {spot for _, _, spot in plan([need(16)], [], CATALOG, refused, 0.0, {}, True)} == {True}
 
--- a/sorrelsill/leadership/__init__.py
+++ b/sorrelsill/leadership/__init__.py
@@ -1,5 +1,5 @@
 """Who leads: the leased key, pings, validity, yielding and taking over."""
 
-from sorrelsill.leadership.elector import Elector, Watchdog
+from sorrelsill.leadership.leader_elector import LeaderElector, Watchdog
 
-__all__ = ["Elector", "Watchdog"]
+__all__ = ["LeaderElector", "Watchdog"]
--- a/sorrelsill/leadership/elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -68,7 +68,7 @@
     return False
 
 
-class Elector:
+class LeaderElector:
     """The loop that keeps, loses and takes the key."""
 
     def __init__(
@@ -100,7 +100,7 @@
         self._lease: int | None = None
         self._good_ping = float("-inf")
         self.since = float("-inf")  # when we learnt of our term
-        self.bound_until = float("-inf")  # a promise to a peer: no acquiring and no acting before this
+        self.promised_until = float("-inf")  # a promise to a peer: no acquiring and no acting before this
         self.acquire_after = float("-inf")  # a fresh process waits out what it may have promised before
         self._hears_no_worker = hears_no_worker
         self._ended: set[int] = set()  # leases of earlier processes of ours that we tried to end, once each
@@ -116,7 +116,7 @@
         return (
             self.term is not None
             and now - self._good_ping < self._t.validity_s
-            and now >= self.bound_until
+            and now >= self.promised_until
             and not self._watchdog.out()
         )
 
@@ -230,7 +230,7 @@
         free = self._watch_cache.loaded and self._watch_cache.leader() is None
         if self._watch_cache.loaded and await self._end_former():
             return
-        wait = max(self.bound_until, self.acquire_after) - now
+        wait = max(self.promised_until, self.acquire_after) - now
         if not free or self._watchdog.out() or wait > 0:
             with trio.move_on_after(max(wait, 0.02) if free and wait > 0 else self._t.ping_s):
                 await changed.wait()
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -24,7 +24,7 @@
 from sorrelsill import constants
 from sorrelsill.http import Client, NoAnswerError, NotSentError
 from sorrelsill.jobs import Cancellations
-from sorrelsill.leadership import Elector
+from sorrelsill.leadership import LeaderElector
 from sorrelsill.settings import Member
 from sorrelsill.store import KeyValueStore
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         store: KeyValueStore,
-        elector: Elector,
+        elector: LeaderElector,
         members: list[Member],
         client: Callable[[str], Client],
         cancellations: Cancellations,
@@ -60,8 +60,8 @@
         """Whether leases may be renewed right now: every member, ourselves included, is bound."""
         now = trio.current_time()
         if not self._clients:
-            return self._elector.bound_until > now + constants.PROMISE_MARGIN_S
-        return self._elector.bound_until > now and all(
+            return self._elector.promised_until > now + constants.PROMISE_MARGIN_S
+        return self._elector.promised_until > now and all(
             self._held.get(i, float("-inf")) > now for i in range(len(self._clients))
         )
 
@@ -75,8 +75,8 @@
 
     def _bind(self) -> float:
         until = trio.current_time() + constants.PROMISE_S
-        self._elector.bound_until = max(self._elector.bound_until, until)
-        self.on_bound(self._elector.bound_until)
+        self._elector.promised_until = max(self._elector.promised_until, until)
+        self.on_bound(self._elector.promised_until)
         return until
 
     def answer(self, body: bytes) -> bytes:
--- a/sorrelsill/placement/__init__.py
+++ b/sorrelsill/placement/__init__.py
@@ -1,5 +1,5 @@
 """Which task goes to which machine, and what has to make room."""
 
-from sorrelsill.placement.engine import Placer
+from sorrelsill.placement.scheduler import Scheduler
 
-__all__ = ["Placer"]
+__all__ = ["Scheduler"]
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -10,8 +10,8 @@
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
-    from sorrelsill.placement.aims import Aims
-    from sorrelsill.placement.group_room import GroupRoom
+    from sorrelsill.placement.gang_headroom import GangHeadroom
+    from sorrelsill.placement.objectives import ServiceLevelObjectives
     from sorrelsill.placement.reservations import Reservations
     from sorrelsill.workers import ClusterState, Job, Machine, MachineSet, MachineUnion
 
@@ -97,19 +97,21 @@
 
     def __init__(
         self,
-        aims: Aims,
+        objectives: ServiceLevelObjectives,
         reservations: Reservations,
-        group_room: GroupRoom,
+        gang_headroom: GangHeadroom,
         rng: random.Random,
         sample: int,
-        hurried: bool,
+        optimise_latency: bool,
     ) -> None:
-        self._aims = aims
+        self._objectives = objectives
         self._reservations = reservations
-        self._group_room = group_room
+        self._gang_headroom = gang_headroom
         self._rng = rng
         self._sample = sample
-        self._hurried = hurried  # time counts, not money: work that may use spot machines runs there last
+        self._optimise_latency = (
+            optimise_latency  # time counts, not money: work that may use spot machines runs there last
+        )
 
     def choose(self, job: Job, pool: CandidatePool, now: float) -> Machine | None:
         """Best fit among a sample, first of the machines with the image; what no longer fits is sifted out. Further
@@ -139,12 +141,12 @@
         if not spec.may_add_in(machine.zone, job.zones):
             return False
         # Without the reservation small tasks take what is freed piece by piece, and more is stopped for nothing.
-        return self._reservations.open_to(job, machine, now) and self._group_room.leaves(job, machine, now)
+        return self._reservations.open_to(job, machine, now) and self._gang_headroom.leaves(job, machine, now)
 
     def _spreads(self, job: Job) -> bool:
         """Replicas that should start within seconds go to many machines: each then holds the image for the next ones,
         and one that fails takes few along. They fetch side by side, so it takes no longer than on one machine."""
-        return job.spec.is_service and self._aims.should_start_at_once(job.spec.job_class)
+        return job.spec.is_service and self._objectives.should_start_at_once(job.spec.job_class)
 
     def _score(self, job: Job, machine: Machine, replicas: dict[str, int] | None) -> float:
         """Lower is better: the image is there, the machine is left fuller, the zones stay even."""
@@ -158,6 +160,6 @@
             score += constants.SPREAD_WEIGHT * replicas.get(machine.name, 0)
         # Money asks for spot machines first, which leaves the ordinary ones to work that needs them. Where only time
         # counts, a task lost with its machine makes its whole job late, so what is paid for anyway is used first.
-        if spec.spot_allowed and machine.spot == self._hurried:
+        if spec.spot_allowed and machine.spot == self._optimise_latency:
             score += constants.ORDINARY_WEIGHT
         return score + constants.ZONE_WEIGHT * job.zones.get(machine.zone, 0) / spec.task_count
--- a/sorrelsill/placement/group_room.py
+++ b/sorrelsill/placement/gang_headroom.py
@@ -10,23 +10,23 @@
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
-    from sorrelsill.placement.aims import Aims
+    from sorrelsill.placement.objectives import ServiceLevelObjectives
     from sorrelsill.workers import ClusterState, Job, Machine
 
 
-class GroupRoom:
+class GangHeadroom:
     """CPUs kept free on ordinary machines of one zone."""
 
-    def __init__(self, aims: Aims, hurried: bool) -> None:
-        self._aims = aims
-        self._hurried = hurried  # time counts, not money
+    def __init__(self, objectives: ServiceLevelObjectives, optimise_latency: bool) -> None:
+        self._objectives = objectives
+        self._optimise_latency = optimise_latency  # time counts, not money
         self._kept_cpus = 0.0
         self._zone = ""
         self._free: dict[str, float] = {}  # CPUs free on ordinary machines, by zone
 
     def find(self, cluster: ClusterState) -> None:
         """Work out anew how much is kept, and in which zone."""
-        self._kept_cpus = 0.0 if self._hurried else cluster.group_spare(self._aims.start_within_s)
+        self._kept_cpus = 0.0 if self._optimise_latency else cluster.gang_headroom_cpus(self._objectives.start_within_s)
         self._free = cluster.index.free.ordinary_cpus() if self._kept_cpus else {}
         self._zone = max(sorted(self._free), key=lambda zone: self._free[zone], default="")
 
--- a/sorrelsill/placement/groups.py
+++ b/sorrelsill/placement/gang_placement.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Seat:
+class MachineShare:
     """A machine and how many tasks of the group it can take."""
 
     machine: Machine
@@ -27,13 +27,13 @@
 
 
 @dataclass(slots=True)
-class Seating:
+class GangPlacement:
     """Machines for a group in one zone, or anywhere if it may be spread; `short` is what finds no room."""
 
     zone: str | None
-    seats: list[Seat]
-    short: int
-    cold: bool  # an image has to be fetched
+    shares: list[MachineShare]
+    missing_tasks: int
+    needs_fetch: bool  # an image has to be fetched
 
 
 def capacity(machine: Machine, spec: JobSpec, gone: Iterable[Attempt] = ()) -> int:
@@ -50,39 +50,39 @@
     return max(0, math.floor(min(fits)))
 
 
-def seat(spec: JobSpec, machines: Iterable[Machine], zones: Iterable[str]) -> list[Seating]:
+def find_placements(spec: JobSpec, machines: Iterable[Machine], zones: Iterable[str]) -> list[GangPlacement]:
     """For each zone (one entry for all if the group may be spread) the machines it would go to, best first."""
-    pools: dict[str | None, list[Seat]] = {z: [] for z in zones} if spec.one_zone else {None: []}
+    pools: dict[str | None, list[MachineShare]] = {z: [] for z in zones} if spec.one_zone else {None: []}
     for machine in machines:
         count = capacity(machine, spec)
         if count > 0:
-            pools.setdefault(machine.zone if spec.one_zone else None, []).append(Seat(machine, count))
+            pools.setdefault(machine.zone if spec.one_zone else None, []).append(MachineShare(machine, count))
     out = []
-    for zone, seats in pools.items():
+    for zone, shares in pools.items():
         # Fetches side by side share a machine's rate; a type that most of the room is on makes for an even pace.
         kinds: dict[str, int] = {}
-        for s in seats:
+        for s in shares:
             kinds[s.machine.machine_type] = kinds.get(s.machine.machine_type, 0) + s.count
-        seats.sort(key=lambda s: _preference(s, spec, kinds))
-        taken: list[Seat] = []
+        shares.sort(key=lambda s: _preference(s, spec, kinds))
+        taken: list[MachineShare] = []
         in_zone: dict[str, int] = {}
         left = spec.task_count
-        for s in seats:
+        for s in shares:
             count = min(left, s.count)
             if spec.spread_zones:
                 count = min(count, spec.zone_limit - in_zone.get(s.machine.zone, 0))
             if count > 0:
-                taken.append(Seat(s.machine, count))
+                taken.append(MachineShare(s.machine, count))
                 in_zone[s.machine.zone] = in_zone.get(s.machine.zone, 0) + count
                 left -= count
             if not left:
                 break
-        out.append(Seating(zone, taken, left, any(spec.image not in s.machine.images for s in taken)))
-    out.sort(key=lambda o: (o.short, o.cold, len(o.seats), o.zone or ""))
+        out.append(GangPlacement(zone, taken, left, any(spec.image not in s.machine.images for s in taken)))
+    out.sort(key=lambda o: (o.missing_tasks, o.needs_fetch, len(o.shares), o.zone or ""))
     return out
 
 
-def _preference(s: Seat, spec: JobSpec, kinds: dict[str, int]) -> tuple[float, bool, int, int, float]:
+def _preference(s: MachineShare, spec: JobSpec, kinds: dict[str, int]) -> tuple[float, bool, int, int, float]:
     machine = s.machine
     fetch = 0.0 if spec.image in machine.images else 1.0 + len(machine.fetching - {spec.image})
     enough = kinds[machine.machine_type] >= spec.task_count
@@ -91,42 +91,46 @@
 
 
 def room_for(
-    spec: JobSpec, seatings: list[Seating], machines: Iterable[Machine], offer: Offer
-) -> tuple[Seating, list[Attempt]] | None:
+    spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine], offer: Offer
+) -> tuple[GangPlacement, list[Attempt]] | None:
     """The zone in which stopping the least lets the whole group in, and what to stop there; None if nothing does."""
     offers: dict[str | None, list[tuple[float, str, Machine]]] = {}
     for machine in machines:
         found = offer(machine, 1)
         if found is not None:
             offers.setdefault(machine.zone if spec.one_zone else None, []).append((found[0], machine.name, machine))
-    best: tuple[float, Seating, list[Attempt]] | None = None
-    for seating in seatings:
-        short, cost = seating.short, 0.0
+    best: tuple[float, GangPlacement, list[Attempt]] | None = None
+    for placement in placements:
+        missing_tasks, cost = placement.missing_tasks, 0.0
         chosen: list[Attempt] = []
-        seats = list(seating.seats)
+        shares = list(placement.shares)
         in_zone: dict[str, int] = {}
-        for s in seats:
+        for s in shares:
             in_zone[s.machine.zone] = in_zone.get(s.machine.zone, 0) + s.count
-        for _, _, machine in sorted(offers.get(seating.zone, ()), key=lambda o: o[:2]):
-            most = min(short, spec.zone_limit - in_zone.get(machine.zone, 0)) if spec.spread_zones else short
+        for _, _, machine in sorted(offers.get(placement.zone, ()), key=lambda o: o[:2]):
+            most = (
+                min(missing_tasks, spec.zone_limit - in_zone.get(machine.zone, 0))
+                if spec.spread_zones
+                else missing_tasks
+            )
             # As many as may go there at once: each further machine is one more that may be slow or fail.
             for count in range(most, 0, -1):
                 found = offer(machine, count)
                 if found is not None:
-                    short -= count
+                    missing_tasks -= count
                     cost += found[0]
                     chosen += found[1]
                     in_zone[machine.zone] = in_zone.get(machine.zone, 0) + count
-                    seats.append(Seat(machine, count))
+                    shares.append(MachineShare(machine, count))
                     break
-            if short <= 0:
+            if missing_tasks <= 0:
                 break
-        if short <= 0 and (best is None or cost < best[0]):
-            best = cost, Seating(seating.zone, seats, 0, seating.cold), chosen
+        if missing_tasks <= 0 and (best is None or cost < best[0]):
+            best = cost, GangPlacement(placement.zone, shares, 0, placement.needs_fetch), chosen
     return (best[1], best[2]) if best is not None else None
 
 
-def worth_holding(spec: JobSpec, seatings: list[Seating], machines: Iterable[Machine]) -> list[Machine]:
+def worth_holding(spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine]) -> list[Machine]:
     """Machines to keep filling up for a group that finds no room: in the zone that lacks least, those with most room
     that is not a service's, until all would fit. None are kept if even all of them would not do."""
     by_zone: dict[str | None, list[tuple[int, float, Machine]]] = {}
@@ -137,13 +141,13 @@
         if count > 0:
             ease = machine.capacity_cpus - machine.cpus - (len(tasks) - len(ending))
             by_zone.setdefault(machine.zone if spec.one_zone else None, []).append((count, ease, machine))
-    for seating in seatings:
+    for placement in placements:
         kept: list[Machine] = []
         left = spec.task_count
-        for count, _, machine in sorted(by_zone.get(seating.zone, ()), key=lambda i: (-i[1], i[2].name)):
+        for count, _, machine in sorted(by_zone.get(placement.zone, ()), key=lambda i: (-i[1], i[2].name)):
             kept.append(machine)
             left -= count
-            if left <= 0 or len(kept) == constants.GROUP_HOLD_HOSTS:
+            if left <= 0 or len(kept) == constants.GANG_HOLD_MACHINES:
                 break
         if left <= 0:
             return kept
--- a/sorrelsill/placement/job_queue.py
+++ b/sorrelsill/placement/job_queue.py
@@ -10,7 +10,7 @@
 from sortedcontainers import SortedList
 
 from sorrelsill import constants
-from sorrelsill.placement.aims import Aims
+from sorrelsill.placement.objectives import ServiceLevelObjectives
 from sorrelsill.placement.order import Precedence, precedence
 from sorrelsill.timers import Timers
 from sorrelsill.workers import ClusterState, Job
@@ -21,8 +21,8 @@
 class JobQueue:
     """Live jobs with tasks that wait."""
 
-    def __init__(self, aims: Aims, guaranteed: set[str]) -> None:
-        self._aims = aims
+    def __init__(self, objectives: ServiceLevelObjectives, guaranteed: set[str]) -> None:
+        self._objectives = objectives
         self._guaranteed = guaranteed
         self._sorted: SortedList[_Place] = SortedList()
         self._places: dict[str, _Place] = {}  # by job
@@ -48,7 +48,7 @@
         former = self._places.get(job_id)
         place: _Place | None = None
         if job is not None and job.waiting > 0:
-            place = precedence(job, self._aims, job_id in self._guaranteed, now), job.order, job_id
+            place = precedence(job, self._objectives, job_id in self._guaranteed, now), job.order, job_id
             self._set_timer(job, now)
         if place == former:
             return
@@ -60,7 +60,7 @@
             self._places[job_id] = place
 
     def _set_timer(self, job: Job, now: float) -> None:
-        moments = [job.submitted + mark_s - job.spec.expected_run_s for mark_s in self._aims.marks_s(job)]
+        moments = [job.submitted + mark_s - job.spec.expected_run_s for mark_s in self._objectives.marks_s(job)]
         if not job.bound:
             moments.append(job.served_at + constants.AGED_S)
         coming = [moment for moment in moments if moment >= now]
--- a/sorrelsill/placement/aims.py
+++ b/sorrelsill/placement/objectives.py
@@ -15,7 +15,7 @@
     at: float
 
 
-class Aims:
+class ServiceLevelObjectives:
     """The aims by class of jobs."""
 
     def __init__(self, objectives: list[Objective]) -> None:
--- a/sorrelsill/placement/order.py
+++ b/sorrelsill/placement/order.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from sorrelsill import constants
-from sorrelsill.placement.aims import Aims
+from sorrelsill.placement.objectives import ServiceLevelObjectives
 from sorrelsill.workers import Job
 
 
@@ -22,10 +22,10 @@
     next_mark: float
 
 
-def precedence(job: Job, aims: Aims, guaranteed: bool, now: float) -> Precedence:
+def precedence(job: Job, objectives: ServiceLevelObjectives, guaranteed: bool, now: float) -> Precedence:
     """Where a waiting job stands in the order."""
     spec = job.spec
-    mark = aims.next_mark(job, now)
+    mark = objectives.next_mark(job, now)
     # The least work first: by their marks alone, in a burst all jobs share what room there is and all miss.
     work = 0.0 if spec.is_service else (spec.task_count - job.done.count) * spec.cpus * spec.expected_run_s
     return Precedence(
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -11,15 +11,15 @@
 from sorrelsill import constants
 from sorrelsill.fleet import time_to_rent
 from sorrelsill.model import Priority
-from sorrelsill.placement import groups
-from sorrelsill.workers import Attempt, ClusterState, Job, Machine, group_loss
+from sorrelsill.placement import gang_placement
+from sorrelsill.workers import Attempt, ClusterState, Job, Machine, gang_loss
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
-    from sorrelsill.placement.aims import Aims
     from sorrelsill.placement.guests import Guests
+    from sorrelsill.placement.objectives import ServiceLevelObjectives
     from sorrelsill.placement.reservations import Reservations
-    from sorrelsill.placement.round import Round
+    from sorrelsill.placement.scheduling_cycle import SchedulingCycle
     from sorrelsill.placement.team_limits import TeamLimits
 
 log = logging.getLogger(__name__)
@@ -39,14 +39,14 @@
     def __init__(
         self,
         teams: TeamLimits,
-        aims: Aims,
+        objectives: ServiceLevelObjectives,
         reservations: Reservations,
         guaranteed: set[str],
         guests: Guests,
         rng: random.Random,
     ) -> None:
         self._teams = teams
-        self._aims = aims
+        self._objectives = objectives
         self._reservations = reservations
         self._guaranteed = guaranteed  # jobs within their team's guarantee
         self._guests = guests
@@ -74,7 +74,7 @@
     def _presses(self, cluster: ClusterState, job: Job, now: float) -> bool:
         """Whether the next moment that matters to the job's user would pass before a rented machine could help. Until
         then guests keep their room: guards against stopping work for a job that can be in time without."""
-        mark = self._aims.next_mark(job, now)
+        mark = self._objectives.next_mark(job, now)
         return mark.at > now and not time_to_rent(job.spec, cluster.catalog, mark.at - now)
 
     def _yields(self, victim: JobSpec, claimant: JobSpec) -> bool:
@@ -85,13 +85,13 @@
     # --- single tasks ---
 
     def make_room(
-        self, placing: Round, job: Job, machines: Sequence[Machine], patience_s: float = constants.CLAIM_S
+        self, cycle: SchedulingCycle, job: Job, machines: Sequence[Machine], patience_s: float = constants.CLAIM_S
     ) -> int:
         """Stop the least work that lets waiting tasks in; their room is awaited before more is stopped."""
-        cluster, now, spec = placing.cluster, placing.now, job.spec
+        cluster, now, spec = cycle.cluster, cycle.now, job.spec
         if not self._may_preempt(job) and not (self._guests.other_than(spec.team) and self._presses(cluster, job, now)):
             return 0
-        wanted = min(job.waiting - self._reservations.claimed(spec.job_id, now), constants.PREEMPT_PER_ROUND)
+        wanted = min(job.waiting - self._reservations.claimed(spec.job_id, now), constants.PREEMPT_PER_CYCLE)
         kind = self._kind(job)
         if wanted <= 0 or self._reservations.searched_in_vain(kind, now):
             return 0
@@ -100,7 +100,7 @@
         if not offers and len(machines) > len(looked_at):
             self._reservations.found_no_room(kind, now)
         # Found on a measured day: a service that came in a busy minute stopped group after group, each whole.
-        offers.sort(key=lambda offer: (any(a.job_id in cluster.groups for a in offer.attempts), offer.cost))
+        offers.sort(key=lambda offer: (any(a.job_id in cluster.gangs for a in offer.attempts), offer.cost))
         return self._take(cluster, job, offers, wanted, patience_s, now)
 
     def _kind(self, job: Job) -> Hashable:
@@ -171,9 +171,7 @@
             spec.memory_gb * count - (machine.capacity_memory_gb - machine.memory_gb) - constants.AMOUNT_TOLERANCE
         )
         can = [a for a in machine.attempts.values() if not a.stop and self._may_stop(job, a)]
-        can.sort(
-            key=lambda a: (-(a.spec.priority if a.spec else 0), a.job_id in cluster.groups, _loss(cluster, a, now))
-        )
+        can.sort(key=lambda a: (-(a.spec.priority if a.spec else 0), a.job_id in cluster.gangs, _loss(cluster, a, now)))
         cost, chosen = 0.0, []
         for attempt in can:
             if lack_cpus <= 0 and lack_gpus <= 0 and lack_memory <= 0:
@@ -191,16 +189,18 @@
 
     # --- groups ---
 
-    def make_room_for_group(self, placing: Round, job: Job, seatings: list[groups.Seating]) -> bool:
+    def make_room_for_gang(
+        self, cycle: SchedulingCycle, job: Job, placements: list[gang_placement.GangPlacement]
+    ) -> bool:
         """Stop lesser work if that lets the whole group in; the machines are reserved until it is gone."""
-        cluster, now, machines, spec = placing.cluster, placing.now, placing.machines, job.spec
+        cluster, now, machines, spec = cycle.cluster, cycle.now, cycle.machines, job.spec
         if not any(machine.bound_count for machine in machines):
             return False
         guaranteed = spec.job_id in self._guaranteed
         kind = ("group", spec.priority, spec.team, guaranteed, spec.cpus, spec.task_count, spec.spot_allowed)
         if self._reservations.searched_in_vain(kind, now):
             return False
-        sample = self._rng.sample(machines, min(len(machines), constants.PREEMPT_SAMPLE * constants.GROUP_SAMPLES))
+        sample = self._rng.sample(machines, min(len(machines), constants.PREEMPT_SAMPLE * constants.GANG_SAMPLES))
         may = [
             m
             for m in sample
@@ -208,18 +208,18 @@
         ]
 
         def offer(machine: Machine, more: int) -> tuple[float, list[Attempt]] | None:
-            found = self._victims(cluster, job, machine, now, groups.capacity(machine, spec) + more)
+            found = self._victims(cluster, job, machine, now, gang_placement.capacity(machine, spec) + more)
             return (found.cost, found.attempts) if found is not None else None
 
-        found = groups.room_for(spec, seatings, may, offer)
+        found = gang_placement.room_for(spec, placements, may, offer)
         if found is None:
             self._reservations.found_no_room(kind, now)
             return False
-        seating, victims = found
+        placement, victims = found
         until = now + self._stop(cluster, spec, victims, constants.CLAIM_S)
         self._reservations.claim(spec.job_id, until, spec.task_count)
-        for seat in seating.seats:
-            self._reservations.reserve(seat.machine, spec.job_id, until)
+        for share in placement.shares:
+            self._reservations.reserve(share.machine, spec.job_id, until)
         return True
 
 
@@ -229,8 +229,8 @@
 
 def _loss(cluster: ClusterState, attempt: Attempt, now: float) -> float:
     """Seconds of work thrown away; of a group, by all of its tasks."""
-    group = cluster.groups.get(attempt.job_id)
-    return group_loss(group, now) if group is not None else _lost_work(attempt, now)
+    gang = cluster.gangs.get(attempt.job_id)
+    return gang_loss(gang, now) if gang is not None else _lost_work(attempt, now)
 
 
 def _lost_work(attempt: Attempt, now: float) -> float:
--- a/sorrelsill/placement/engine.py
+++ b/sorrelsill/placement/scheduler.py
@@ -12,17 +12,17 @@
 
 from sorrelsill import constants
 from sorrelsill.model import Priority
-from sorrelsill.placement import groups
-from sorrelsill.placement.aims import Aims
+from sorrelsill.placement import gang_placement
 from sorrelsill.placement.candidates import CandidatePool, MachineChooser
-from sorrelsill.placement.group_room import GroupRoom
+from sorrelsill.placement.gang_headroom import GangHeadroom
 from sorrelsill.placement.guarantees import Guarantees
 from sorrelsill.placement.guests import Guests
 from sorrelsill.placement.job_queue import JobQueue
+from sorrelsill.placement.objectives import ServiceLevelObjectives
 from sorrelsill.placement.order import aged_out
 from sorrelsill.placement.preemption import Preemption
 from sorrelsill.placement.reservations import Reservations
-from sorrelsill.placement.round import Round, kind_of_room
+from sorrelsill.placement.scheduling_cycle import SchedulingCycle, kind_of_room
 from sorrelsill.placement.team_limits import TeamLimits
 from sorrelsill.settings import Objective, Team
 from sorrelsill.workers import ClusterState, Job, Machine, UnschedulableDemand
@@ -40,27 +40,34 @@
     OUT_OF_TIME = enum.auto()
 
 
-class Placer:
+class Scheduler:
     """Binds waiting tasks to machines, round by round."""
 
     def __init__(
-        self, teams: list[Team], objectives: list[Objective], rng: random.Random, sample: int, hurried: bool = False
+        self,
+        teams: list[Team],
+        objectives: list[Objective],
+        rng: random.Random,
+        sample: int,
+        optimise_latency: bool = False,
     ) -> None:
-        self._aims = Aims(objectives)
+        self._objectives = ServiceLevelObjectives(objectives)
         self._teams = TeamLimits(teams)
         self._reservations = Reservations()
-        self._group_room = GroupRoom(self._aims, hurried)
-        self._chooser = MachineChooser(self._aims, self._reservations, self._group_room, rng, sample, hurried)
+        self._gang_headroom = GangHeadroom(self._objectives, optimise_latency)
+        self._chooser = MachineChooser(
+            self._objectives, self._reservations, self._gang_headroom, rng, sample, optimise_latency
+        )
         self._guarantees = Guarantees(self._teams)
-        self._queue = JobQueue(self._aims, self._guarantees.inside)
+        self._queue = JobQueue(self._objectives, self._guarantees.inside)
         self._guests = Guests(self._teams)
         self._preemption = Preemption(
-            self._teams, self._aims, self._reservations, self._guarantees.inside, self._guests, rng
+            self._teams, self._objectives, self._reservations, self._guarantees.inside, self._guests, rng
         )
         self._cluster: ClusterState | None = None  # the one that the queue follows
         self._left: deque[str] = deque()  # jobs that the last round did not get to
         self._warm_until: dict[str, float] = {}  # job -> until when room on machines with its image is awaited
-        self.unplaced: dict[str, UnschedulableDemand] = {}
+        self.unschedulable: dict[str, UnschedulableDemand] = {}
 
     def reset(self) -> None:
         """A new term begins."""
@@ -71,24 +78,24 @@
         self._guests.reset()
         self._warm_until.clear()
         self._reservations.reset()
-        self.unplaced.clear()
+        self.unschedulable.clear()
 
     # --- a round ---
 
-    def round(self, cluster: ClusterState, now: float, clock: Callable[[], float], budget: float) -> bool:
+    def run_cycle(self, cluster: ClusterState, now: float, clock: Callable[[], float], budget: float) -> bool:
         """Place what fits. False if the budget ran out before all jobs were seen."""
         begun = clock()
         if not self._left:
             self._begin(cluster, now)
-        self._group_room.find(cluster)
-        placing = Round(cluster, now, lambda: clock() - begun > budget, cluster.index.ready)
+        self._gang_headroom.find(cluster)
+        cycle = SchedulingCycle(cluster, now, lambda: clock() - begun > budget, cluster.index.ready)
         while self._left:
             job = cluster.jobs.get(self._left[0])
             if job is not None and job.waiting > 0:
-                if not self._place_job(placing, job):
+                if not self._place_job(cycle, job):
                     return False
             elif job is not None:
-                self.unplaced.pop(job.spec.job_id, None)
+                self.unschedulable.pop(job.spec.job_id, None)
             self._left.popleft()
         return True
 
@@ -104,76 +111,76 @@
         self._left.extend(self._queue.in_order())
         for job_id in changed:
             if job_id not in cluster.jobs:
-                self.unplaced.pop(job_id, None)
+                self.unschedulable.pop(job_id, None)
                 self._warm_until.pop(job_id, None)
         self._reservations.expire(cluster, now)
 
-    def _place_job(self, placing: Round, job: Job) -> bool:
+    def _place_job(self, cycle: SchedulingCycle, job: Job) -> bool:
         """False if the round's time is used up before the job was seen whole."""
-        self.unplaced.pop(job.spec.job_id, None)
-        if not placing.cluster.failover.settled(job) or job.failures.next_trial_at > placing.now:
+        self.unschedulable.pop(job.spec.job_id, None)
+        if not cycle.cluster.failover.settled(job) or job.failures.next_trial_at > cycle.now:
             return True
         if job.spec.is_gang:
-            self._place_group(placing, job)
-            return not placing.late()
-        end = self._start_tasks(placing, job)
+            self._place_gang(cycle, job)
+            return not cycle.late()
+        end = self._start_tasks(cycle, job)
         if end is _End.OUT_OF_TIME:
             return False
         if end is not _End.TRIAL_RUNS and job.waiting > 0:
-            self._wait(placing, job, limited=end is _End.LIMITED)
+            self._wait(cycle, job, limited=end is _End.LIMITED)
         return True
 
     # --- single tasks ---
 
-    def _start_tasks(self, placing: Round, job: Job) -> _End:
+    def _start_tasks(self, cycle: SchedulingCycle, job: Job) -> _End:
         """Bind tasks of a job, one after the other, until something stands in the way."""
         spec = job.spec
         kind = kind_of_room(spec)
         plain = not (spec.spread_zones or spec.one_zone or job.avoid)
         pool: CandidatePool | None = None
         while (index := job.next_task()) is not None:
-            if placing.late():
+            if cycle.late():
                 return _End.OUT_OF_TIME
             if job.trials_left() <= 0:
                 return _End.TRIAL_RUNS
-            if not self._teams.allows(placing.cluster, spec):
+            if not self._teams.allows(cycle.cluster, spec):
                 job.note(f"waiting: the limit of {spec.team} is reached")
                 return _End.LIMITED
             machine = None
-            if not (plain and kind in placing.full):
-                pool = pool or CandidatePool(placing.cluster, spec)
-                machine = self._chooser.choose(job, pool, placing.now)
+            if not (plain and kind in cycle.full):
+                pool = pool or CandidatePool(cycle.cluster, spec)
+                machine = self._chooser.choose(job, pool, cycle.now)
             if machine is None:
                 if plain:
-                    placing.full.add(kind)
+                    cycle.full.add(kind)
                 return _End.NO_ROOM
-            if self._slow_start(placing.cluster, job, machine) and self._await_warm(placing, job):
+            if self._slow_start(cycle.cluster, job, machine) and self._await_warm(cycle, job):
                 return _End.NO_ROOM
-            placing.cluster.bind(job, index, machine, placing.now)
-            self._group_room.use(spec, machine)
+            cycle.cluster.bind(job, index, machine, cycle.now)
+            self._gang_headroom.use(spec, machine)
             self._reservations.task_placed(spec.job_id, machine)
         return _End.ALL_BOUND
 
-    def _wait(self, placing: Round, job: Job, limited: bool) -> None:
+    def _wait(self, cycle: SchedulingCycle, job: Job, limited: bool) -> None:
         """Tasks of a job found no room: the fleet learns of it, and room is made where that is allowed."""
         if job.failures.suspect(len(job.bound)):
             return  # it fails wherever it is tried: nothing is rented or stopped for it
-        count = max(0, job.waiting - self._reservations.claimed(job.spec.job_id, placing.now))
-        self.unplaced[job.spec.job_id] = UnschedulableDemand(job, count, limited)
+        count = max(0, job.waiting - self._reservations.claimed(job.spec.job_id, cycle.now))
+        self.unschedulable[job.spec.job_id] = UnschedulableDemand(job, count, limited)
         if limited:
             return
         job.note("waiting: no room on the machines it may use")
-        self._preemption.make_room(placing, job, placing.machines)
-        if aged_out(job, placing.now):
-            self._hold(placing, job)
+        self._preemption.make_room(cycle, job, cycle.machines)
+        if aged_out(job, cycle.now):
+            self._hold(cycle, job)
 
-    def _hold(self, placing: Round, job: Job) -> None:
+    def _hold(self, cycle: SchedulingCycle, job: Job) -> None:
         """Keep one machine for a job that has waited too long, until enough of it is free: small tasks of others
         would take its pieces for ever. For one job at a time."""
-        jobs, now = placing.cluster.jobs, placing.now
+        jobs, now = cycle.cluster.jobs, cycle.now
         if any(job_id in jobs and aged_out(jobs[job_id], now) for job_id in self._reservations.holders(now)):
             return
-        fitting = [machine for machine in placing.machines if self._worth_holding(job, machine, now)]
+        fitting = [machine for machine in cycle.machines if self._worth_holding(job, machine, now)]
         if fitting:
             held = max(fitting, key=_room_without_arrays)
             self._reservations.reserve(held, job.spec.job_id, now + constants.AGED_HOLD_S)
@@ -192,7 +199,7 @@
     def _slow_start(self, cluster: ClusterState, job: Job, machine: Machine) -> bool:
         """Whether fetching the image on this machine alone makes the start too late for its class's aim."""
         spec = job.spec
-        within_s = self._aims.start_within_s.get(spec.job_class)
+        within_s = self._objectives.start_within_s.get(spec.job_class)
         machine_type = cluster.catalog.machine_types.get(machine.machine_type)
         if (
             within_s is None
@@ -203,92 +210,96 @@
             return False
         return spec.image_gb / machine_type.fetch_gb_per_s > within_s
 
-    def _await_warm(self, placing: Round, job: Job) -> bool:
+    def _await_warm(self, cycle: SchedulingCycle, job: Job) -> bool:
         """Make room on machines that hold the image already; True while that room is awaited. Only for that:
         found on a measured day, room that had been freed elsewhere was refused again and again."""
-        job_id, now = job.spec.job_id, placing.now
+        job_id, now = job.spec.job_id, cycle.now
         if job_id not in self._warm_until:
-            warm = placing.cluster.index.holders(job.spec.image)
-            made = self._preemption.make_room(placing, job, warm, constants.WARM_CLAIM_S) if warm else 0
+            warm = cycle.cluster.index.holders(job.spec.image)
+            made = self._preemption.make_room(cycle, job, warm, constants.WARM_CLAIM_S) if warm else 0
             self._warm_until[job_id] = now + constants.WARM_CLAIM_S if made else now
         return now < self._warm_until[job_id]
 
     # --- groups ---
 
-    def _place_group(self, placing: Round, job: Job) -> None:
+    def _place_gang(self, cycle: SchedulingCycle, job: Job) -> None:
         """All tasks at once, under one attempt number, or none: nothing is bound before all have their place."""
-        cluster, now, spec = placing.cluster, placing.now, job.spec
+        cluster, now, spec = cycle.cluster, cycle.now, job.spec
         if job.bound or cluster.attempts.alive(spec.job_id):
             return  # what is left of the last start is ending; its places and its zone are not free before
         if not self._teams.allows(cluster, spec, job.waiting):
-            self.unplaced[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
+            self.unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
             job.note(f"waiting: the limit of {spec.team} is reached")
             return
         kind = ("group", kind_of_room(spec), spec.task_count)
         reservations = self._reservations
         kept = reservations.has_reservation(spec.job_id) or reservations.fills_up_for(spec.job_id)
-        if kind in placing.full and not kept:
-            self.unplaced[spec.job_id] = UnschedulableDemand(job, job.waiting, False, spec.zone)
+        if kind in cycle.full and not kept:
+            self.unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, False, spec.zone)
             return
         room = [m for m in cluster.index.with_room(spec) if self._chooser.may_take(job, m, now)]
         zones = [zone for zone in cluster.catalog.zones if spec.zone in (None, zone)]
-        seatings = groups.seat(spec, room, zones)
-        if seatings and not seatings[0].short:
-            self._bind_group(placing, job, seatings[0])
+        placements = gang_placement.find_placements(spec, room, zones)
+        if placements and not placements[0].missing_tasks:
+            self._bind_gang(cycle, job, placements[0])
             return
-        placing.full.add(kind)
+        cycle.full.add(kind)
         job.note("waiting: the whole group does not fit at once")
-        self._wait_for_group_room(placing, job, seatings)
+        self._wait_for_gang_room(cycle, job, placements)
 
-    def _bind_group(self, placing: Round, job: Job, seating: groups.Seating) -> None:
-        cluster, spec = placing.cluster, job.spec
+    def _bind_gang(self, cycle: SchedulingCycle, job: Job, placement: gang_placement.GangPlacement) -> None:
+        cluster, spec = cycle.cluster, job.spec
         attempt_number = cluster.next_attempt_number()
-        places = [seat.machine for seat in seating.seats for _ in range(seat.count)]
+        places = [share.machine for share in placement.shares for _ in range(share.count)]
         for index, machine in enumerate(places):
-            cluster.bind(job, index, machine, placing.now, attempt_number)
-            self._group_room.use(spec, machine)
+            cluster.bind(job, index, machine, cycle.now, attempt_number)
+            self._gang_headroom.use(spec, machine)
         log.debug(
             "group %s: %d tasks on %d machines in %s, %.2f s after submission, image %s",
             spec.job_id,
             spec.task_count,
-            len(seating.seats),
-            seating.zone,
-            placing.now - job.submitted,
-            "cold" if seating.cold else "held",
+            len(placement.shares),
+            placement.zone,
+            cycle.now - job.submitted,
+            "cold" if placement.needs_fetch else "held",
         )
         self._reservations.release(spec.job_id)
 
-    def _wait_for_group_room(self, placing: Round, job: Job, seatings: list[groups.Seating]) -> None:
+    def _wait_for_gang_room(
+        self, cycle: SchedulingCycle, job: Job, placements: list[gang_placement.GangPlacement]
+    ) -> None:
         """Make room for the whole group, or keep machines filling up for it, or let the fleet know what it lacks."""
-        spec, now = job.spec, placing.now
+        spec, now = job.spec, cycle.now
         if self._reservations.claimed(spec.job_id, now):
             return  # room is being made
-        if seatings and not self._preemption.make_room_for_group(placing, job, seatings):
-            self._fill_up_for_group(placing, job, seatings)
+        if placements and not self._preemption.make_room_for_gang(cycle, job, placements):
+            self._fill_up_for_gang(cycle, job, placements)
         if self._reservations.claimed(spec.job_id, now):
             return
-        best = seatings[0] if seatings else None
-        count = best.short if best is not None else job.waiting
-        self.unplaced[spec.job_id] = UnschedulableDemand(
+        best = placements[0] if placements else None
+        count = best.missing_tasks if best is not None else job.waiting
+        self.unschedulable[spec.job_id] = UnschedulableDemand(
             job, count, False, best.zone if best is not None else spec.zone
         )
 
-    def _fill_up_for_group(self, placing: Round, job: Job, seatings: list[groups.Seating]) -> None:
+    def _fill_up_for_gang(
+        self, cycle: SchedulingCycle, job: Job, placements: list[gang_placement.GangPlacement]
+    ) -> None:
         """Keep machines filling up for a group, or small tasks would take each gap for ever: for one that should start
         within seconds at once, for others once they waited too long; few at a time, so that arrays go on too."""
-        spec, now, reservations = job.spec, placing.now, self._reservations
-        urgent = self._aims.should_start_at_once(spec.job_class) or aged_out(job, now)
+        spec, now, reservations = job.spec, cycle.now, self._reservations
+        urgent = self._objectives.should_start_at_once(spec.job_class) or aged_out(job, now)
         if reservations.fills_up_for(spec.job_id) or not urgent:
             return
-        if reservations.filling_count() >= constants.GROUP_HOLD_SHARE * len(placing.machines):
+        if reservations.filling_count() >= constants.GANG_HOLD_SHARE * len(cycle.machines):
             return
         may = [
             machine
-            for machine in placing.machines
+            for machine in cycle.machines
             if machine.allows(spec) and reservations.open_to(job, machine, now) and not reservations.filling(machine)
         ]
-        for machine in groups.worth_holding(spec, seatings, may):
-            reservations.fill_up_for(machine, job, now + constants.GROUP_HOLD_S)
+        for machine in gang_placement.worth_holding(spec, placements, may):
+            reservations.fill_up_for(machine, job, now + constants.GANG_HOLD_S)
 
 
 def _room_without_arrays(machine: Machine) -> float:
--- a/sorrelsill/placement/round.py
+++ b/sorrelsill/placement/scheduling_cycle.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Round:
+class SchedulingCycle:
     """One round of placing: the state it works on, its time, and what it has found to be full."""
 
     cluster: ClusterState
--- a/sorrelsill/placement/test_job_queue.py
+++ b/sorrelsill/placement/test_job_queue.py
@@ -5,9 +5,9 @@
 from sorrelsill import constants
 from sorrelsill.jobs import parse_spec
 from sorrelsill.model import Catalog, MachineType, TaskSet
-from sorrelsill.placement.aims import Aims
 from sorrelsill.placement.guarantees import Guarantees
 from sorrelsill.placement.job_queue import JobQueue
+from sorrelsill.placement.objectives import ServiceLevelObjectives
 from sorrelsill.placement.order import precedence
 from sorrelsill.placement.team_limits import TeamLimits
 from sorrelsill.settings import Objective, Team
@@ -15,7 +15,9 @@
 from tests.simulation import count_calls, job
 
 TEAMS = TeamLimits([Team("red", cpus=30.0), Team("blue", cpus=12.5, gpus=2.0), Team("guests")])
-AIMS = Aims([Objective("finished", "w", 20.0), Objective("finished", "w", 40.0), Objective("deadline", "batch")])
+AIMS = ServiceLevelObjectives(
+    [Objective("finished", "w", 20.0), Objective("finished", "w", 40.0), Objective("deadline", "batch")]
+)
 KIND = MachineType("c8", 1000.0, 100.0, 4000.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
 
 
--- a/sorrelsill/placement/test_engine.py
+++ b/sorrelsill/placement/test_scheduler.py
@@ -6,7 +6,7 @@
 
 from sorrelsill.jobs import parse_spec
 from sorrelsill.model import Catalog, MachineType, TaskSet
-from sorrelsill.placement import Placer
+from sorrelsill.placement import Scheduler
 from sorrelsill.settings import Objective, Team
 from sorrelsill.workers import ClusterState, Job, Machine
 from tests.simulation import count_calls, job
@@ -28,10 +28,10 @@
     return cluster.add_job(spec, TaskSet(spec.task_count), 2, False, submitted, [])
 
 
-def place(cluster: ClusterState, now: float = 1.0, hurried: bool = False, budget: float = 1.0) -> Placer:
-    placer = Placer([Team("red")], AIMS, random.Random(1), 24, hurried)
-    placer.round(cluster, now, lambda: now, budget)
-    return placer
+def place(cluster: ClusterState, now: float = 1.0, optimise_latency: bool = False, budget: float = 1.0) -> Scheduler:
+    scheduler = Scheduler([Team("red")], AIMS, random.Random(1), 24, optimise_latency)
+    scheduler.run_cycle(cluster, now, lambda: now, budget)
+    return scheduler
 
 
 def at(job: Job) -> list[Machine]:
@@ -39,11 +39,11 @@
 
 
 def test_where_time_counts_spot_machines_are_used_last_and_where_money_counts_first() -> None:
-    for hurried in (True, False):
+    for optimise_latency in (True, False):
         cluster = cluster_with(("m1", "a", True), ("m2", "a", False))
         low = add(cluster, "run-1", shards=2, reclaimable=True)
-        place(cluster, hurried=hurried)
-        assert {h.spot for h in at(low)} == {not hurried}
+        place(cluster, optimise_latency=optimise_latency)
+        assert {h.spot for h in at(low)} == {not optimise_latency}
 
 
 def test_the_least_work_goes_first_so_that_a_burst_does_not_make_all_late() -> None:
@@ -70,8 +70,8 @@
     cluster = cluster_with(("m1", "a", False))
     cluster.machines["m1"].reachable = False
     waiting = add(cluster, "run-a")
-    placer = place(cluster)
-    assert not waiting.bound and placer.unplaced["run-a"].count == 2
+    scheduler = place(cluster)
+    assert not waiting.bound and scheduler.unschedulable["run-a"].count == 2
 
 
 def test_the_indices_agree_with_what_is_on_the_machines() -> None:
@@ -149,8 +149,8 @@
         cluster = cluster_with(*((f"m{n}", "ab"[n % 2], False) for n in range(machines)))
         for number in range(work):
             add(cluster, f"run-{number}")
-        placer = Placer([Team("red")], AIMS, random.Random(1), 24, False)
-        return count_calls(lambda: placer.round(cluster, 1.0, lambda: 1.0, 1.0))
+        scheduler = Scheduler([Team("red")], AIMS, random.Random(1), 24, False)
+        return count_calls(lambda: scheduler.run_cycle(cluster, 1.0, lambda: 1.0, 1.0))
 
     for work in (0, 1, 5):
         assert calls(930, work) <= 1.1 * calls(310, work) + 5
--- a/sorrelsill/serve.py
+++ b/sorrelsill/serve.py
@@ -16,7 +16,7 @@
 from sorrelsill.controller import Controller
 from sorrelsill.http import Server
 from sorrelsill.membership import MembershipSettings, load_membership
-from sorrelsill.settings import Operator, Settings, SettingsError, load, load_operator, split_addr
+from sorrelsill.settings import OperatorOverrides, Settings, SettingsError, load, load_operator, split_addr
 from sorrelsill.workers import CallLimits
 
 log = logging.getLogger("sorrelsill")
@@ -37,7 +37,7 @@
     return trio.SocketListener(sock)
 
 
-async def run(settings: Settings, operator: Operator, membership: MembershipSettings | None = None) -> None:
+async def run(settings: Settings, operator: OperatorOverrides, membership: MembershipSettings | None = None) -> None:
     """Listen and serve until cancelled."""
     node = Controller(settings, operator, random.Random(), membership=membership)
     sockets = settings.facts.quota.sockets
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -105,7 +105,7 @@
     list_lag_s: float = 0.0
 
 
-class Quota(msgspec.Struct, frozen=True):
+class ControllerResources(msgspec.Struct, frozen=True):
     """What a controller may use of its machine."""
 
     cpu: float = 1.0
@@ -113,7 +113,7 @@
     sockets: int = 1024
 
 
-class Facts(msgspec.Struct, frozen=True):
+class PlatformSettings(msgspec.Struct, frozen=True):
     """What the platform tells of the deployment."""
 
     workers: Workers
@@ -124,7 +124,7 @@
     time_bound_ms: float = 0.0
     teams: list[Team] = []
     objectives: list[Objective] = []
-    quota: Quota = Quota()
+    quota: ControllerResources = ControllerResources()
 
 
 class Settings(msgspec.Struct, frozen=True):
@@ -133,13 +133,13 @@
     label: str
     listen: str
     services: Services
-    facts: Facts
+    facts: PlatformSettings
     area: str = ""
     peer_listen: str = ""
     members: list[Member] = []
 
     @property
-    def hurried(self) -> bool:
+    def optimise_latency(self) -> bool:
         """Whether an aim counts seconds since submission for work that ends: then a machine's boot time
         comes too late and idle machines are worth keeping. Deadlines leave time to boot, and where a class has them,
         seconds that are named besides are only an outer bound; the aims on money are not told to controllers, so
@@ -164,7 +164,7 @@
     renew_s: float  # how old the certainty of knowing all cancellations may be when a worker's lease is renewed
 
     @classmethod
-    def derive(cls, workers: Workers, operator: Operator) -> Timings:
+    def derive(cls, workers: Workers, operator: OperatorOverrides) -> Timings:
         """All timings out of the workers' and what operators override."""
         lease = operator.lease_s or min(
             constants.LEASE_MAX_S, max(constants.LEASE_MIN_S, workers.lease_s * constants.LEASE_OF_WORKER_LEASE)
@@ -186,7 +186,7 @@
         )
 
 
-class Operator(msgspec.Struct, frozen=True):
+class OperatorOverrides(msgspec.Struct, frozen=True):
     """Operators' own settings; 0 stands for the derived or built-in value."""
 
     lease_s: float = 0.0
@@ -295,11 +295,11 @@
     return found
 
 
-def load_operator(path: str | None) -> Operator:
+def load_operator(path: str | None) -> OperatorOverrides:
     """Read the operators' own settings; without a file, nothing is overridden."""
     if not path:
-        return Operator()
-    operator = load_hcl(path, Operator)
+        return OperatorOverrides()
+    operator = load_hcl(path, OperatorOverrides)
     for field in ("lease_s", "stall_limit_s", "self_release_s", "sample", "tick_s"):
         _positive(path, field, getattr(operator, field), zero=True)
     return operator
--- a/sorrelsill/test_settings.py
+++ b/sorrelsill/test_settings.py
@@ -93,15 +93,15 @@
 def test_seconds_named_beside_a_deadline_do_not_make_machines_be_kept(tmp_path: Path) -> None:
     """Found on measured days: an outer bound added to a class with deadlines kept every idle machine."""
 
-    def hurried(*aims: str) -> bool:
+    def optimise_latency(*aims: str) -> bool:
         path = tmp_path / "s.toml"
         path.write_text(GOOD + "".join(f"[[facts.objectives]]\n{aim}\n" for aim in aims))
-        return load(str(path)).hurried
+        return load(str(path)).optimise_latency
 
     deadline = 'kind = "deadline"\nclass = "array"\ntimes = 1.0'
     finished = 'kind = "finished"\nclass = "array"\nwithin_s = 250.0'
-    assert not hurried(deadline) and not hurried(deadline, finished)
-    assert hurried(finished) and hurried(deadline, finished, 'kind = "guarantee"\nwithin_s = 10.0')
+    assert not optimise_latency(deadline) and not optimise_latency(deadline, finished)
+    assert optimise_latency(finished) and optimise_latency(deadline, finished, 'kind = "guarantee"\nwithin_s = 10.0')
 
 
 def test_limits_to_come_are_read_and_checked(tmp_path: Path) -> None:
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -2,8 +2,8 @@
 
 from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.cluster_state import ClusterState
-from sorrelsill.workers.groups import enforce_gang_completeness
-from sorrelsill.workers.groups import lost_work as group_loss
+from sorrelsill.workers.gangs import enforce_gang_completeness
+from sorrelsill.workers.gangs import lost_work as gang_loss
 from sorrelsill.workers.heartbeats import FencedError
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Machine
@@ -29,7 +29,7 @@
     "WorkerHeartbeat",
     "FencedError",
     "TeamUse",
-    "group_loss",
+    "gang_loss",
     "stop_command",
     "parse_heartbeat",
     "enforce_gang_completeness",
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -54,8 +54,8 @@
         self.validity_s = validity_s
         self.overdue_s = overdue_s
         self.peer_s = peer_s  # within this the tasks of a group notice that one is gone, and have to be told to save
-        self.groups: dict[str, Job] = {}  # the live jobs whose tasks run together
-        self.largest_group: dict[str, JobSpec] = {}  # class -> its largest group of this term
+        self.gangs: dict[str, Job] = {}  # the live jobs whose tasks run together
+        self.largest_gang: dict[str, JobSpec] = {}  # class -> its largest group of this term
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
         self.bound_usage = BoundUsage()
@@ -126,14 +126,14 @@
         job.order = self._jobs_added
         self.jobs[spec.job_id] = job
         if spec.is_gang:
-            self.groups[spec.job_id] = job
+            self.gangs[spec.job_id] = job
             if done.count:
                 # Its tasks complete together; the version before this one recorded them one by one.
                 for index in range(spec.task_count):
                     done.add(index)
-            largest = self.largest_group.get(spec.job_class)
+            largest = self.largest_gang.get(spec.job_class)
             if largest is None or largest.cpus * largest.task_count < spec.cpus * spec.task_count:
-                self.largest_group[spec.job_class] = spec
+                self.largest_gang[spec.job_class] = spec
         self.job_changed(spec.job_id)
         if done.count == spec.task_count and not spec.is_service:
             self.pending_writes.records.add(spec.job_id)
@@ -146,7 +146,7 @@
     def end_job(self, job_id: str) -> None:
         """The job is over, as committed: none of its tasks may start, all have to go."""
         job = self.jobs.pop(job_id, None)
-        self.groups.pop(job_id, None)
+        self.gangs.pop(job_id, None)
         self.pending_writes.records.discard(job_id)
         if job is None:
             return
@@ -260,10 +260,10 @@
             machine.fetching.clear()
         self.wake_placing = True
 
-    def group_spare(self, classes: Iterable[str]) -> float:
+    def gang_headroom_cpus(self, classes: Iterable[str]) -> float:
         """CPUs for one more group of each of these classes, as large as the largest seen."""
-        largest = (self.largest_group.get(name) for name in classes)
-        return constants.GROUP_SPARE * sum(s.cpus * s.task_count for s in largest if s is not None)
+        largest = (self.largest_gang.get(name) for name in classes)
+        return constants.GANG_HEADROOM * sum(s.cpus * s.task_count for s in largest if s is not None)
 
     def release_all(self, machine: Machine, now: float, reason: str) -> None:
         """All that was on the machine is proved gone."""
--- a/sorrelsill/workers/groups.py
+++ b/sorrelsill/workers/gangs.py
@@ -21,7 +21,7 @@
 
 def enforce_gang_completeness(cluster: ClusterState) -> None:
     """Groups that are not whole any more, or that somebody began to stop, and what has to be done about the rest."""
-    for job in cluster.groups.values():
+    for job in cluster.gangs.values():
         if job.bound and job.done.count < job.spec.task_count:
             _enforce(cluster, job)
 
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from sorrelsill import constants
-from sorrelsill.workers import groups
+from sorrelsill.workers import gangs
 
 if TYPE_CHECKING:
     from sorrelsill.workers.cluster_state import ClusterState
@@ -123,8 +123,8 @@
             if spec is None or attempt.stop or attempt.exited:
                 continue
             left = machine.spot_reclaim_at - now
-            if spec.is_gang and attempt.job_id in cluster.groups:
-                if groups.must_leave(cluster, cluster.groups[attempt.job_id], left):
+            if spec.is_gang and attempt.job_id in cluster.gangs:
+                if gangs.must_leave(cluster, cluster.gangs[attempt.job_id], left):
                     cluster.stop(attempt, "machine is taken back")
                 continue
             if attempt.running_since is None:
--- a/sorrelsill/workers/stopping.py
+++ b/sorrelsill/workers/stopping.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from sorrelsill.workers import groups
+from sorrelsill.workers import gangs
 from sorrelsill.workers.attempt_events import log_attempt
 
 if TYPE_CHECKING:
@@ -20,9 +20,9 @@
     are stopped together."""
     if attempt.stop or attempt.exited:
         return
-    group = cluster.groups.get(attempt.job_id)
-    if group is not None and group.bound.get(attempt.index) is attempt:
-        groups.stop(cluster, group, reason, hurry)
+    gang = cluster.gangs.get(attempt.job_id)
+    if gang is not None and gang.bound.get(attempt.index) is attempt:
+        gangs.stop(cluster, gang, reason, hurry)
         return
     halt(cluster, attempt, reason, hurry)
 
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -86,7 +86,7 @@
             cloud,
             self.leader.cluster,
             lambda: True,
-            lambda: list(self.leader.placer.unplaced.values()),
+            lambda: list(self.leader.scheduler.unschedulable.values()),
             True,
             12.0,
             {"service"},
@@ -109,7 +109,7 @@
         self.leader.all_send_heartbeats()
         for _ in range(int(SERVICES * self._scale)):
             self._add("service", shape="standing", rank="prod", shards=7, vcpus=4.0, memoryGb=13.0, expectedRunS=0.0)
-        self.leader.round()
+        self.leader.run_cycle()
         self.leader.all_send_heartbeats()
 
     def _jobs_come(self) -> None:
@@ -187,8 +187,8 @@
             cluster.drain(leader.now)
             enforce_gang_completeness(cluster)
         with self.parts["rounds"]:
-            leader.placer.round(cluster, leader.now, time.process_time, constants.ROUND_BUDGET_S)
-        self.waiting_most = max(self.waiting_most, len(leader.placer.unplaced))
+            leader.scheduler.run_cycle(cluster, leader.now, time.process_time, constants.CYCLE_BUDGET_S)
+        self.waiting_most = max(self.waiting_most, len(leader.scheduler.unschedulable))
         if leader.now % constants.PLAN_EVERY_S < STEP_S:
             with self.parts["fleet"]:
                 self._fleet._choose_returns(leader.now)
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -57,7 +57,7 @@
     healthy = leader.names[50:]
     leader.all_send_heartbeats(healthy)
     leader.add(array_job("run-n", shards=350, owner="blue"))
-    leader.round()
+    leader.run_cycle()
     bound = leader.cluster.jobs["run-n"].bound
     assert len(bound) == 350 and not {a.machine.name for a in bound.values()} & set(leader.names[:50])
     leader.all_send_heartbeats(leader.names[:50])
@@ -77,7 +77,7 @@
     leader.all_send_heartbeats(heard)
     leader.all_send_heartbeats(heard)
     leader.add(array_job("run-new", shards=700, owner="red"))
-    leader.round()
+    leader.run_cycle()
     jobs = leader.cluster.jobs
     assert not jobs["run-old"].bound, "its tasks may be running there"
     assert len(jobs["run-ordinary"].bound) == 40, "a spot machine can't hold them"
--- a/tests/scenarios/test_frozen.py
+++ b/tests/scenarios/test_frozen.py
@@ -7,7 +7,7 @@
 import trio.testing
 
 from sorrelsill.http import Request
-from sorrelsill.leadership.elector import Watchdog
+from sorrelsill.leadership.leader_elector import Watchdog
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 from tests.simulation.users import LABELS
 
--- a/tests/scenarios/test_groups.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -232,7 +232,7 @@
         assert node.cluster is not None
         other = machines[-1]
         simulation.net.hold_request = lambda src, dst, request: dst == other and src == leader
-        attempt = next(iter(node.cluster.groups["run-g"].bound.values()))
+        attempt = next(iter(node.cluster.gangs["run-g"].bound.values()))
         node.cluster.stop(attempt, "for the story")
         await trio.sleep(1.2)
         simulation.kill(leader)
@@ -277,7 +277,7 @@
         leader = simulation.nodes[await simulation.until_leader()]
         await trio.sleep(2)
         assert leader.cluster is not None
-        held = leader.cluster.groups["run-g"]
+        held = leader.cluster.gangs["run-g"]
         assert (
             not held.avoid
             and not held.failures.failures
@@ -341,7 +341,7 @@
     """Found on a measured day: arrays filled every gap, and groups that should start within seconds waited for 20."""
     from sorrelsill.jobs import parse_spec
     from sorrelsill.model import Catalog, MachineType, TaskSet
-    from sorrelsill.placement import Placer
+    from sorrelsill.placement import Scheduler
     from sorrelsill.settings import Objective
     from sorrelsill.workers import ClusterState
 
@@ -351,22 +351,22 @@
         machine = cluster.machine(f"m-{number}", "c8", "ab"[number % 2], False, 0.0)
         machine.token_acknowledged = machine.reachable = machine.registered = True
     aims = [Objective("wait", "ceremony", 8.0), Objective("deadline", "w", times=1.0)]
-    placer = Placer([Team("red")], aims, random.Random(1), constants.SAMPLE)
+    scheduler = Scheduler([Team("red")], aims, random.Random(1), constants.SAMPLE)
     first = cluster.add_job(parse_spec(group("run-g", workload="ceremony", shards=4)), TaskSet(4), 2, False, 0.0, [])
-    placer.round(cluster, 0.0, lambda: 0.0, 1.0)
+    scheduler.run_cycle(cluster, 0.0, lambda: 0.0, 1.0)
     assert len(first.bound) == 4 and len({a.machine.zone for a in first.bound.values()}) == 1
     array = cluster.add_job(parse_spec(job("run-a", shards=40)), TaskSet(40), 3, False, 0.0, [])
-    placer.round(cluster, 1.0, lambda: 0.0, 1.0)
+    scheduler.run_cycle(cluster, 1.0, lambda: 0.0, 1.0)
     assert len(array.bound) == 8, "24 CPUs were free; 8 are kept in one zone"
     second = cluster.add_job(parse_spec(group("run-h", workload="ceremony", shards=4)), TaskSet(4), 4, False, 1.0, [])
-    placer.round(cluster, 2.0, lambda: 0.0, 1.0)
+    scheduler.run_cycle(cluster, 2.0, lambda: 0.0, 1.0)
     assert len(second.bound) == 4
     for attempt in list(second.bound.values()):
         cluster.attempts.leave(attempt)
         cluster.unbind(attempt, 3.0)
     cluster.end_job("run-h")
     late = cluster.add_job(parse_spec(job("run-b", shards=4)), TaskSet(4), 5, False, 3.0, [])
-    placer.round(cluster, 4.0, lambda: 0.0, 1.0)
+    scheduler.run_cycle(cluster, 4.0, lambda: 0.0, 1.0)
     assert not late.bound
-    placer.round(cluster, 5.0 + constants.AGED_S, lambda: 0.0, 1.0)
+    scheduler.run_cycle(cluster, 5.0 + constants.AGED_S, lambda: 0.0, 1.0)
     assert late.bound, "what waited too long may take it"
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -33,10 +33,10 @@
         leader.add(
             array_job(f"run-{number}", shards=tasks, owner="blue", bundle=f"img-{number % 14}", memoryGb=memory_gb)
         )
-    leader.round()
+    leader.run_cycle()
     leader.all_send_heartbeats()
     leader.all_send_heartbeats()
-    leader.round()
+    leader.run_cycle()
     return leader
 
 
@@ -63,7 +63,7 @@
 
     def start(leader: LeaderInMemory) -> int:
         leader.add(array_job("run-new", shards=1, owner="blue", bundle="img-3", memoryGb=0.0))
-        return count_calls(leader.round)
+        return count_calls(leader.run_cycle)
 
     def end(leader: LeaderInMemory) -> int:
         attempt = leader.cluster.jobs["run-new"].bound[0]
@@ -71,7 +71,7 @@
         leader.tasks[attempt.machine.name][attempt.key] = "exited"
         cost = count_calls(lambda: leader.send_heartbeat(attempt.machine.name))
         leader.cluster.end_job("run-new")
-        return cost + count_calls(leader.round)
+        return cost + count_calls(leader.run_cycle)
 
     assert same_cost(report, leaders) < 80
     assert same_cost(start, leaders) < 400
@@ -79,7 +79,7 @@
 
 
 def test_a_round_in_which_nothing_happened_asks_nobody(leaders: dict[int, LeaderInMemory]) -> None:
-    assert same_cost(lambda leader: count_calls(leader.round), leaders) < 60
+    assert same_cost(lambda leader: count_calls(leader.run_cycle), leaders) < 60
 
 
 def test_a_job_that_finds_no_room_costs_a_round_the_same(leaders: dict[int, LeaderInMemory]) -> None:
@@ -87,10 +87,10 @@
 
     def wait(leader: LeaderInMemory) -> int:
         leader.add(array_job("run-large", shards=1, vcpus=16.0, owner="blue", rank="best_effort"))
-        cost = count_calls(leader.round)
-        assert leader.placer.unplaced["run-large"].count == 1
+        cost = count_calls(leader.run_cycle)
+        assert leader.scheduler.unschedulable["run-large"].count == 1
         leader.cluster.end_job("run-large")
-        leader.round()
+        leader.run_cycle()
         return cost
 
     assert same_cost(wait, leaders) < 200
@@ -120,7 +120,7 @@
     assert len(stretches) <= lost_tasks / constants.EXPIRE_TASKS + 2
     waiting = sum(job.waiting for job in leader.cluster.jobs.values())
     assert waiting == lost_tasks
-    leader.round()
+    leader.run_cycle()
     assert sum(job.waiting for job in leader.cluster.jobs.values()) == 0, "the other zone had room for all"
 
 
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -135,7 +135,7 @@
         await simulation.until_leader()
         until = trio.current_time() + 4
         for node in simulation.nodes.values():
-            node.elector.bound_until = until
+            node.elector.promised_until = until
             node.degraded_mode.on_bound(until)
         await simulation.submit(job("run-1"))
         await simulation.until_phase("run-1", "done")
@@ -253,7 +253,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await simulation.until_leader()
         node = simulation.nodes[old]
-        node.placer.round = None  # type: ignore[assignment, method-assign]
+        node.scheduler.run_cycle = None  # type: ignore[assignment, method-assign]
 
         async def stuck() -> None:
             await trio.sleep_forever()
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -38,8 +38,8 @@
     report_without_answer(leader)
     leader.add(array_job("run-blue", shards=16, owner="blue", region="a"))
     leader.add(array_job("run-red", shards=30, owner="red", region="b"))
-    leader.round()
-    leader.round()
+    leader.run_cycle()
+    leader.run_cycle()
     assert 10 + len(leader.cluster.jobs["run-red"].bound) <= LIMIT
 
 
@@ -61,12 +61,12 @@
     assert leader.cluster.team_use("red").total == (10.0, 0.0)
     leader.add(array_job("run-blue", shards=16, owner="blue", region="a"))
     leader.add(array_job("run-red", shards=30, owner="red", region="b"))
-    leader.round()
+    leader.run_cycle()
     assert len(leader.cluster.jobs["run-blue"].bound) == 6, "beside the ten that are not gone yet"
     assert len(leader.cluster.jobs["run-red"].bound) == 10
     leader.all_send_heartbeats()
     leader.all_send_heartbeats()
-    leader.round()
+    leader.run_cycle()
     assert len(leader.cluster.jobs["run-blue"].bound) == 16
     assert len(leader.cluster.jobs["run-red"].bound) == 16, "as many as the machine holds"
 
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -7,7 +7,7 @@
 from sorrelsill import constants
 from sorrelsill.jobs import parse_spec
 from sorrelsill.model import Catalog, JobSpec, MachineType, TaskSet
-from sorrelsill.placement import Placer
+from sorrelsill.placement import Scheduler
 from sorrelsill.settings import Objective, Team
 from sorrelsill.workers import ClusterState, WorkerHeartbeat
 from sorrelsill.workers.messages import TaskStatus
@@ -35,7 +35,7 @@
         self.sequence_number = dict.fromkeys(self.names, 0)
         self.tasks: dict[str, dict[tuple[str, int], str]] = {name: {} for name in self.names}
         objectives = [Objective("finished", "w", 60.0)]
-        self.placer = Placer(teams or TEAMS, objectives, random.Random(1), constants.SAMPLE, True)
+        self.scheduler = Scheduler(teams or TEAMS, objectives, random.Random(1), constants.SAMPLE, True)
         if registered:
             self.cluster.failover.expect_machines([(name, self._registry_entry(name)) for name in self.names])
 
@@ -103,10 +103,10 @@
         """A job is accepted."""
         self.cluster.add_job(spec, TaskSet(spec.task_count), 1, old, self.now, [])
 
-    def round(self) -> None:
+    def run_cycle(self) -> None:
         """Look for losses and place until all jobs were seen."""
         self.cluster.expire_leases(self.now)
-        while not self.placer.round(self.cluster, self.now, lambda: self.now, 1.0):
+        while not self.scheduler.run_cycle(self.cluster, self.now, lambda: self.now, 1.0):
             pass
 
     def fill(self, tasks_each: int) -> None:
@@ -116,6 +116,6 @@
         total = tasks_each * len(self.names)
         for number in range(100 if total else 0):
             self.add(array_job(f"run-{number}", shards=total // 100, owner="blue", bundle=f"img-{number % 14}"))
-        self.round()
+        self.run_cycle()
         self.all_send_heartbeats()
         self.all_send_heartbeats()
--- a/tests/simulation/simulated_cluster.py
+++ b/tests/simulation/simulated_cluster.py
@@ -14,10 +14,10 @@
 from sorrelsill.membership import MembershipSettings
 from sorrelsill.settings import (
     CloudLimits,
-    Facts,
     Member,
     NextLimits,
-    Operator,
+    OperatorOverrides,
+    PlatformSettings,
     Services,
     Settings,
     StateLimits,
@@ -74,7 +74,7 @@
     def start(self, label: str, old: bool = False) -> Controller:
         """`old`: the version in production, out of this repository's history."""
         members = [Member(o, f"{o}:peer") for o in LABELS if o != label]
-        facts = Facts(
+        facts = PlatformSettings(
             workers=Workers(REPORT_S, LEASE_S, CANCEL_S, GANG_WAIT_S, GANG_PEER_S),
             state=StateLimits(500.0, 200.0, self.value_kb, self.txn_ops, self.coming),
             cloud=CloudLimits(5.0, 2.0),
@@ -87,7 +87,7 @@
             node: Controller = production.make_node(settings, rng, self.net, label, trio.current_time)
         else:
             client = self.net.client(label)
-            node = Controller(settings, Operator(), rng, client, trio.current_time, self._membership)
+            node = Controller(settings, OperatorOverrides(), rng, client, trio.current_time, self._membership)
 
         gate = self._gates[label] = Gate()
         self._processors[label] = trio.Lock()
