--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -56,19 +56,21 @@
 TOMBSTONES_KEPT: Final = 4096  # machines that are gone; so many are remembered for longer than that
 TRY_BITS: Final = 24  # bits; attempt number = term shifted by this, plus a counter: grows across terms
 
-PUSH_TIMEOUT_S: Final = 2.0  # s; for a worker's answer to orders sent straight to it
+COMMAND_TIMEOUT_S: Final = 2.0  # s; for a worker's answer to orders sent straight to it
 FIRST_PROBE_TIMEOUT_S: Final = 0.5  # s; the same for the first question to a machine after a takeover: most answer in
 #                                   milliseconds, and what hangs is asked again with more time
-PUSH_BACKOFF_S: Final = 2.0  # s; a machine that was not reached is left to its reports this long, twice as long ...
-PUSH_BACKOFF_MAX_S: Final = 16.0  # s; ... each time up to this: silence that lasts should cost ever less
-PUSH_AT_ONCE: Final = 96  # calls to workers in flight: dozens of machines that hang at once must not take all of them,
+COMMAND_BACKOFF_S: Final = 2.0  # s; a machine that was not reached is left to its reports this long, twice as long ...
+COMMAND_BACKOFF_MAX_S: Final = 16.0  # s; ... each time up to this: silence that lasts should cost ever less
+COMMANDS_AT_ONCE: Final = (
+    96  # calls to workers in flight: dozens of machines that hang at once must not take all of them,
+)
 #                           and hundreds that answer at once would keep users waiting
 PROBES_AT_ONCE: Final = 24  # probes in flight, at the least ...
 PROBES_OF_SOCKETS: Final = 0.0125  # ratio; ... and this part of the quota of sockets, which grows with the fleet
 REPEATED_PROBES: Final = 0.5  # ratio; of the probes, for machines that did not answer before
 OVERDUE_OF_REPORT: Final = 1.25  # ratio; the longest interval between reports, of the usual one ...
 OVERDUE_EXTRA_S: Final = 1.0  # s; ... and this on top: a machine silent for longer gets no new work and no calls
-PUSH_SOCKETS: Final = 0.25  # ratio; of the quota of sockets, for connections kept to workers
+COMMAND_SOCKETS: Final = 0.25  # ratio; of the quota of sockets, for connections kept to workers
 
 # --- state service ----------------------------------------------------------------------------------
 STORE_TIMEOUT_S: Final = 1.5  # s; an answer normally takes 10 ms, now and then a few hundred
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -29,7 +29,7 @@
 from sorrelsill.settings import OperatorOverrides, Settings, Timings
 from sorrelsill.store import CATALOG, JOB_PREFIX, LEADER, Compare, KeyValueStore, Put, UnavailableError, WatchCache
 from sorrelsill.store import AmbiguousError as StoreAmbiguous
-from sorrelsill.workers import CallLimits, ClusterState, Pusher, enforce_gang_completeness
+from sorrelsill.workers import CallLimits, ClusterState, CommandSender, enforce_gang_completeness
 
 log = logging.getLogger(__name__)
 
@@ -101,7 +101,7 @@
         )
         self.cloud = Cloud(make_client(settings.services.cloud), facts.cloud)
         limits = CallLimits.derive(facts.quota.sockets)
-        self.pusher = Pusher(make_client, self.elector.valid, self._fresh, limits, self._news)
+        self.command_sender = CommandSender(make_client, self.elector.valid, self._fresh, limits, self._news)
         self._user_routes = UserRoutes(self.admission, self.watch_cache, self._count)
         self._heartbeat_routes = HeartbeatRoutes(
             self.watch_cache,
@@ -240,7 +240,7 @@
         return trio.current_time() - self.watch_cache.fresh_at < constants.WATCH_CACHE_STALE_S
 
     def _news(self) -> None:
-        if self.cluster is not None and self.cluster.wake_placing:
+        if self.cluster is not None and self.cluster.wake_scheduler:
             self._wake.set()
 
     def _on_catalog(self, raw: dict[str, Any], catalog: Catalog) -> None:
@@ -349,13 +349,13 @@
             log.info("%s is silent past its lease: its work is lost", machine.name)
         cluster.drain(now)
         enforce_gang_completeness(cluster)
-        cluster.wake_placing = False
+        cluster.wake_scheduler = False
         if not self.scheduler.run_cycle(cluster, now, trio.current_time, constants.CYCLE_BUDGET_S) or lost:
             self._wake.set()
         if self.membership is not None and cluster.first_bound_at is not None:
             self.membership.started(cluster.first_bound_at)
-        self.pusher.start_due(cluster, self._nursery)
-        self.pusher.probe_unconfirmed(cluster, self._nursery)
+        self.command_sender.start_due(cluster, self._nursery)
+        self.command_sender.probe_unconfirmed(cluster, self._nursery)
         # A round's work is charged: leave as much time to answering as it took.
         await trio.sleep(max(0.0, trio.current_time() - now))
 
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -93,10 +93,10 @@
         job = cluster.add_job(spec, done, rev, rev <= cluster.term, now - age, why, accepted)
         # What the record says already need not be written again: after a takeover that would be one write a job.
         running = value.get("r")
-        job.shown_running = running if isinstance(running, int) else 0
-        job.split |= bool(self._watch_cache.chunk_keys(job_id))
-        if job.split and value.get("d"):
+        job.recorded_running = running if isinstance(running, int) else 0
+        job.chunked |= bool(self._watch_cache.chunk_keys(job_id))
+        if job.chunked and value.get("d"):
             # Written by the version before this one, which knows of no parts beside the record of a smaller job: what
             # it adds stands only there, and has to go into the parts before the record leaves it out.
-            job.dirty_parts.update(range(-(-spec.task_count // constants.PART_SHARDS)))
+            job.unrecorded_parts.update(range(-(-spec.task_count // constants.PART_SHARDS)))
         return True
--- a/sorrelsill/controller/operator_state.py
+++ b/sorrelsill/controller/operator_state.py
@@ -49,8 +49,8 @@
     return {
         "bound_cpus": use.bound.cpus,
         "bound_gpus": use.bound.gpus,
-        "unaccounted_cpus": use.unaccounted.cpus,
-        "unaccounted_gpus": use.unaccounted.gpus,
+        "unaccounted_cpus": use.unobserved.cpus,
+        "unaccounted_gpus": use.unobserved.gpus,
         "limit_cpus": team.cpus_max,
         "limit_gpus": team.gpus_max,
         "highest_bound_cpus": highest.cpus,
--- a/sorrelsill/controller/test_followed_jobs.py
+++ b/sorrelsill/controller/test_followed_jobs.py
@@ -48,7 +48,7 @@
 
 
 def test_a_live_job_counts_on_a_machine_that_was_not_heard() -> None:
-    assert load(lambda fake, watch_cache, cancellations: None).unaccounted("red") == (6.0, 0.0)
+    assert load(lambda fake, watch_cache, cancellations: None).unobserved("red") == (6.0, 0.0)
 
 
 def test_a_job_known_to_be_over_counts_though_its_record_is_still_live_in_the_view() -> None:
@@ -59,12 +59,12 @@
     ):
         cluster = load(learn)
         assert "run-1" not in cluster.jobs
-        assert cluster.unaccounted("red") == (6.0, 0.0)
+        assert cluster.unobserved("red") == (6.0, 0.0)
 
 
 def test_a_job_whose_removal_was_followed_counts() -> None:
     def cancel(fake: FakeStore, watch_cache: WatchCache, cancellations: Cancellations) -> None:
         fake._multi({"if": [], "writes": [{"remove": job_key("run-1")}]})
 
-    assert load(cancel).unaccounted("red") == (6.0, 0.0)
-    assert load(cancel, followed_s=5.0).unaccounted("red") == (16.0, 0.0), "others may have ended before: all of it"
+    assert load(cancel).unobserved("red") == (6.0, 0.0)
+    assert load(cancel, followed_s=5.0).unobserved("red") == (16.0, 0.0), "others may have ended before: all of it"
--- a/sorrelsill/fleet/consolidate.py
+++ b/sorrelsill/fleet/consolidate.py
@@ -144,7 +144,7 @@
         if machine.spot or not tasks or any(not a.exited for a in machine.attempts.values() if a.spec is None):
             continue
         if any(
-            a.stop
+            a.stop_requested
             or a.spec is None
             or not a.spec.is_service
             or a.running_since is None
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -286,7 +286,7 @@
             log.info("draining %s: its services fit elsewhere", machine.name)
             machine.draining = True
             for attempt in list(machine.attempts.values()):
-                cluster.stop(attempt, "moved to a fuller machine", hurry=True)
+                cluster.stop(attempt, "moved to a fuller machine", immediately=True)
         if machines:
             self._on_drain()
 
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -204,7 +204,7 @@
             cluster.pending_writes.registrations.pop(machine.name, None)
             if machine.token_acknowledged and machine.incarnation == incarnation:
                 machine.registered = True
-                cluster.wake_placing = True
+                cluster.wake_scheduler = True
             elif machine.token_acknowledged:
                 cluster.pending_writes.registrations[machine.name] = machine
 
@@ -225,7 +225,7 @@
         for job in (cluster.jobs[job_id] for job_id in cluster.pending_writes.records):
             if job.done.count == job.spec.task_count and not job.spec.is_service:
                 over.append(job)
-            elif bool(job.shown_running) != any(a.phase == "running" for a in job.bound.values()):
+            elif bool(job.recorded_running) != any(a.phase == "running" for a in job.bound.values()):
                 turned.append(job)
             elif now - job.recorded_at >= pace:
                 progress.append(job)
@@ -262,12 +262,12 @@
             batch.after.append(finished)
             return True
         running = job.running()
-        value = record_value(spec, job.done, running, [], job.accepted, not job.split)
+        value = record_value(spec, job.done, running, [], job.accepted, not job.chunked)
         size = json_size(value)
-        if size > store.value_bytes and not job.split:
+        if size > store.value_bytes and not job.chunked:
             # From now on its finished tasks stand beside the record, those written before included.
-            job.split = True
-            job.dirty_parts.update(
+            job.chunked = True
+            job.unrecorded_parts.update(
                 n for n in range(-(-spec.task_count // constants.PART_SHARDS)) if self._any_done(job, n)
             )
             value = record_value(spec, job.done, running, [], job.accepted, False)
@@ -278,10 +278,10 @@
         if fits:
             value = with_notes(value, job.why, max(size, store.small_bytes))
             size = json_size(value) + 300
-        puts, numbers = self._parts(job, max(1, batch.ops - 1)) if job.split else ([], set(job.dirty_parts))
+        puts, numbers = self._parts(job, max(1, batch.ops - 1)) if job.chunked else ([], set(job.unrecorded_parts))
         size += sum(json_size(p.value) + 200 for p in puts)
         # The record goes last, with or after all its parts, as it may leave out what it held itself before.
-        last = fits and numbers >= job.dirty_parts
+        last = fits and numbers >= job.unrecorded_parts
         if not puts and not last:
             cluster.pending_writes.records.discard(job_id)  # nothing of it can be written
             return True
@@ -291,17 +291,17 @@
         batch.writes += [Put(job_key(job_id), value), *puts] if last else puts
         batch.size += size
         batch.units.append(job_id)
-        whole = numbers >= job.dirty_parts
+        whole = numbers >= job.unrecorded_parts
         if whole:
             cluster.pending_writes.records.discard(job_id)
             job.recorded_at = trio.current_time()
-        job.dirty_parts.difference_update(numbers)
+        job.unrecorded_parts.difference_update(numbers)
 
         def written(rev: int) -> None:
             for put in puts:
                 self._watch_cache.apply_change(put.key, put.value, rev, True)
             if last:
-                job.shown_running = running
+                job.recorded_running = running
                 job.rev = max(job.rev, rev)
                 self._watch_cache.apply_change(job_key(job_id), value, rev, True)
             if whole:
@@ -309,7 +309,7 @@
 
         def undone() -> None:
             cluster.pending_writes.records.add(job_id)
-            job.dirty_parts.update(numbers)
+            job.unrecorded_parts.update(numbers)
 
         batch.after.append(written)
         batch.undo.append(undone)
@@ -326,7 +326,7 @@
         job_id, done = job.spec.job_id, job.done
         puts: list[Put] = []
         numbers: set[int] = set()
-        for number in sorted(job.dirty_parts):
+        for number in sorted(job.unrecorded_parts):
             if number in numbers:
                 continue
             if len(puts) == most:
@@ -336,7 +336,7 @@
             if json_size(text) <= self._store.value_bytes:
                 puts.append(Put(chunk_key(job_id, chunk), text))
                 first = chunk * _PARTS_OF_CHUNK
-                numbers.update(job.dirty_parts & set(range(first, first + _PARTS_OF_CHUNK)))
+                numbers.update(job.unrecorded_parts & set(range(first, first + _PARTS_OF_CHUNK)))
             else:
                 puts.append(Put(small_chunk_key(job_id, number), chunk_value(done, number, constants.PART_SHARDS)))
                 numbers.add(number)
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -155,22 +155,22 @@
         log.debug("room for %s: %s", spec.job_id, names)
         wait_s = patience_s
         for attempt in attempts:
-            cluster.stop(attempt, _reason(spec), hurry=spec.priority is Priority.PRODUCTION)
-            wait_s = max(wait_s, patience_s + attempt.wind_down)
+            cluster.stop(attempt, _reason(spec), immediately=spec.priority is Priority.PRODUCTION)
+            wait_s = max(wait_s, patience_s + attempt.grace_period_s)
         return wait_s
 
     def _victims(self, cluster: ClusterState, job: Job, machine: Machine, now: float, count: int = 1) -> Victims | None:
         """The least to stop so that `count` tasks of the job fit; None if nothing is or need be stopped there."""
         spec = job.spec
         mine = _reason(spec)
-        if any(a.stop and a.spec is not None and a.stop_reason == mine for a in machine.attempts.values()):
+        if any(a.stop_requested and a.spec is not None and a.stop_reason == mine for a in machine.attempts.values()):
             return None  # room is being made here for this job already
         lack_cpus = spec.cpus * count - (machine.capacity_cpus - machine.cpus) - constants.AMOUNT_TOLERANCE
         lack_gpus = spec.gpus * count - (machine.capacity_gpus - machine.gpus) - constants.AMOUNT_TOLERANCE
         lack_memory = (
             spec.memory_gb * count - (machine.capacity_memory_gb - machine.memory_gb) - constants.AMOUNT_TOLERANCE
         )
-        can = [a for a in machine.attempts.values() if not a.stop and self._may_stop(job, a)]
+        can = [a for a in machine.attempts.values() if not a.stop_requested and self._may_stop(job, a)]
         can.sort(key=lambda a: (-(a.spec.priority if a.spec else 0), a.job_id in cluster.gangs, _loss(cluster, a, now)))
         cost, chosen = 0.0, []
         for attempt in can:
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -118,7 +118,7 @@
     def _place_job(self, cycle: SchedulingCycle, job: Job) -> bool:
         """False if the round's time is used up before the job was seen whole."""
         self.unschedulable.pop(job.spec.job_id, None)
-        if not cycle.cluster.failover.settled(job) or job.failures.next_trial_at > cycle.now:
+        if not cycle.cluster.failover.reconciled(job) or job.failures.next_trial_at > cycle.now:
             return True
         if job.spec.is_gang:
             self._place_gang(cycle, job)
--- a/sorrelsill/placement/team_limits.py
+++ b/sorrelsill/placement/team_limits.py
@@ -32,8 +32,8 @@
             return True
         use = cluster.team_use(spec.team)
         # Asked thousands of times a second while teams are at their limits: plain sums, no amounts made on the way.
-        cpus = use.bound.cpus + use.unaccounted.cpus + spec.cpus * tasks
-        gpus = use.bound.gpus + use.unaccounted.gpus + spec.gpus * tasks
+        cpus = use.bound.cpus + use.unobserved.cpus + spec.cpus * tasks
+        gpus = use.bound.gpus + use.unobserved.gpus + spec.gpus * tasks
         allowed = (not team.cpus_max or cpus <= team.cpus_max + constants.AMOUNT_TOLERANCE) and (
             not team.gpus_max or gpus <= team.gpus_max + constants.AMOUNT_TOLERANCE
         )
@@ -58,11 +58,11 @@
         team=spec.team,
         asked_cpus=spec.cpus * tasks,
         bound_cpus=use.bound.cpus,
-        unaccounted_cpus=use.unaccounted.cpus,
+        unaccounted_cpus=use.unobserved.cpus,
         limit_cpus=team.cpus_max,
         asked_gpus=spec.gpus * tasks,
         bound_gpus=use.bound.gpus,
-        unaccounted_gpus=use.unaccounted.gpus,
+        unaccounted_gpus=use.unobserved.gpus,
         limit_gpus=team.gpus_max,
         unconfirmed=len(cluster.failover.unconfirmed),
     )
--- a/sorrelsill/placement/test_scheduler.py
+++ b/sorrelsill/placement/test_scheduler.py
@@ -83,10 +83,10 @@
     assert (
         set(cluster.attempts.by_job["run-a"]) == set(work.bound.values())
         and machine.bound_count == 4
-        and cluster.unaccounted("red") == (0.0, 0.0)
+        and cluster.unobserved("red") == (0.0, 0.0)
     )
     cluster.end_job("run-a")
-    assert cluster.bound_usage.of("red").cpus == 8.0 and all(a.stop for a in machine.attempts.values())
+    assert cluster.bound_usage.of("red").cpus == 8.0 and all(a.stop_requested for a in machine.attempts.values())
     cluster.gone_for_certain(machine.name, 2.0, "returned")
     assert (
         cluster.bound_usage.of("red").cpus == 0.0
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -2,6 +2,7 @@
 
 from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.cluster_state import ClusterState
+from sorrelsill.workers.command_sender import CallLimits, CommandSender
 from sorrelsill.workers.gangs import enforce_gang_completeness
 from sorrelsill.workers.gangs import lost_work as gang_loss
 from sorrelsill.workers.heartbeats import FencedError
@@ -10,7 +11,6 @@
 from sorrelsill.workers.machine_index import MachineIndex
 from sorrelsill.workers.machine_sets import MachineSet, MachineUnion
 from sorrelsill.workers.messages import InvalidHeartbeatError, WorkerHeartbeat, parse_heartbeat, stop_command
-from sorrelsill.workers.push import CallLimits, Pusher
 from sorrelsill.workers.team_usage import TeamUse
 from sorrelsill.workers.unschedulable import UnschedulableDemand
 
@@ -25,7 +25,7 @@
     "MachineUnion",
     "Job",
     "ClusterState",
-    "Pusher",
+    "CommandSender",
     "WorkerHeartbeat",
     "FencedError",
     "TeamUse",
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -31,7 +31,7 @@
     # Guards against work that fills the machine and hides what these tasks use: their size is not known, so the room
     # that is left counts toward every team's limit, and must not be given away before they are gone.
     attempt.machine.holds_tasks_of_unknown_size = True
-    cluster.order_stop(attempt, "its job is over or not known")
+    cluster.request_stop(attempt, "its job is over or not known")
 
 
 def adopt(cluster: ClusterState, attempt: Attempt, job: Job) -> None:
@@ -48,10 +48,10 @@
         )
         if keep:
             job.zones[known.machine.zone] = job.zones.get(known.machine.zone, 1) - 1
-            cluster.order_stop(known, "a later attempt was found")
-    attempt.stop = False
+            cluster.request_stop(known, "a later attempt was found")
+    attempt.stop_requested = False
     if not keep:
-        cluster.order_stop(attempt, "one too many")
+        cluster.request_stop(attempt, "one too many")
         return
     job.bound[attempt.index] = attempt
     job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
@@ -65,7 +65,7 @@
     _take_room(cluster, attempt, ended)
     ended.found(attempt.index)
     cluster.failover.recount()
-    cluster.order_stop(attempt, "its job is over")
+    cluster.request_stop(attempt, "its job is over")
 
 
 def _take_room(cluster: ClusterState, attempt: Attempt, job: Job | EndedJob) -> None:
--- a/sorrelsill/workers/attempt.py
+++ b/sorrelsill/workers/attempt.py
@@ -23,8 +23,8 @@
     phase: str = "sent"  # until the worker has reported it
     confirmed: bool = False
     located: bool = False  # on its machine for certain, and not a phantom out of a late copy of a report
-    stop: bool = False
-    wind_down: float = 0.0
+    stop_requested: bool = False
+    grace_period_s: float = 0.0
     told_stop_at: float = float("-inf")
     running_since: float | None = None
     stop_reason: str = ""
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -73,7 +73,7 @@
         self.expired_at = float("-inf")
         self.renewed_by_others = float("-inf")  # leases may have been renewed by any node up to then
         self.heard_at: float | None = None  # receipt of the last report of any worker in this term
-        self.wake_placing = True
+        self.wake_scheduler = True
         self.starts_refused = 0  # for a team's limit, in this term
         self.first_bound_at: float | None = None  # when the first task of this term was bound
         self._attempts_made = 0
@@ -108,19 +108,26 @@
 
     def team_use(self, team: str) -> TeamUse:
         """All that may be running for a team. The one count that its limit is held against."""
-        return TeamUse(self.bound_usage.of(team), self.unaccounted(team))
+        return TeamUse(self.bound_usage.of(team), self.unobserved(team))
 
-    def unaccounted(self, team: str) -> Resources:
+    def unobserved(self, team: str) -> Resources:
         """What tasks of a team may be using that are not bound here."""
-        return self.failover.unaccounted(team, self.jobs, self.catalog, self.attempts.machines_with_unknown.values())
+        return self.failover.unobserved(team, self.jobs, self.catalog, self.attempts.machines_with_unknown.values())
 
     # --- jobs ---
 
     def add_job(
-        self, spec: JobSpec, done: TaskSet, rev: int, old: bool, submitted: float, why: list[str], accepted: float = 0.0
+        self,
+        spec: JobSpec,
+        done: TaskSet,
+        rev: int,
+        from_earlier_term: bool,
+        submitted: float,
+        why: list[str],
+        accepted: float = 0.0,
     ) -> Job:
         """A live job; tasks of it that are on machines already are adopted."""
-        job = Job(spec, done, rev, old, submitted, why)
+        job = Job(spec, done, rev, from_earlier_term, submitted, why)
         job.accepted = accepted
         self._jobs_added += 1
         job.order = self._jobs_added
@@ -140,7 +147,7 @@
         for attempt in self.attempts.of_job(spec.job_id):
             if attempt.spec is None and not attempt.exited:
                 adoption.adopt(self, attempt, job)
-        self.wake_placing = True
+        self.wake_scheduler = True
         return job
 
     def end_job(self, job_id: str) -> None:
@@ -151,7 +158,7 @@
         if job is None:
             return
         self.job_changed(job_id)
-        if not self.failover.settled(job):
+        if not self.failover.reconciled(job):
             ended = self.failover.add_ended_job(job.spec, job.done.copy())
             for index in job.bound:
                 ended.found(index)
@@ -159,9 +166,9 @@
             if attempt.exited:
                 attempt.clearable = True
             else:
-                attempt.wind_down = 0.0
-                self.order_stop(attempt, "over")
-        self.wake_placing = True
+                attempt.grace_period_s = 0.0
+                self.request_stop(attempt, "over")
+        self.wake_scheduler = True
 
     def add_ended_job(self, spec: JobSpec, done: TaskSet) -> None:
         """A job that was over before this term; its tasks on machines are stopped, and count until they are gone."""
@@ -205,7 +212,7 @@
             attempt,
             waited_s=now - job.submitted,
             image_there=job.spec.image in machine.images,
-            old=job.old,
+            from_earlier_term=job.from_earlier_term,
         )
         return attempt
 
@@ -258,7 +265,7 @@
         if machine.bound_count == 0:
             machine.idle_since = now
             machine.fetching.clear()
-        self.wake_placing = True
+        self.wake_scheduler = True
 
     def gang_headroom_cpus(self, classes: Iterable[str]) -> float:
         """CPUs for one more group of each of these classes, as large as the largest seen."""
@@ -284,7 +291,7 @@
         for machine in self.machines.values():
             self._size(machine)
         self.failover.recount()
-        self.wake_placing = True
+        self.wake_scheduler = True
 
     def _size(self, machine: Machine) -> None:
         kind: MachineType | None = self.catalog.machine_types.get(machine.machine_type)
@@ -333,7 +340,7 @@
         self.tombstones.bury_for_good(name, now)
         self.confirm(name, reason, now)
         self.pending_writes.deregistrations.add(name)
-        self.wake_placing = True
+        self.wake_scheduler = True
 
     def drop(self, machine: Machine, now: float) -> None:
         """Forget a machine that is lost and listed no more; should it be alive after all, a later incarnation tells."""
@@ -363,14 +370,14 @@
 
     # --- stopping: a module of its own ---
 
-    def stop(self, attempt: Attempt, reason: str, hurry: bool = False) -> None:
+    def stop(self, attempt: Attempt, reason: str, immediately: bool = False) -> None:
         """Stop a task to make room or to drain; the tasks of a group are stopped together."""
-        stopping.stop(self, attempt, reason, hurry)
+        stopping.stop(self, attempt, reason, immediately)
 
-    def halt(self, attempt: Attempt, reason: str, hurry: bool, wait_s: float = 0.0) -> None:
+    def stop_one(self, attempt: Attempt, reason: str, immediately: bool, wait_s: float = 0.0) -> None:
         """One task, whatever becomes of the others; `wait_s` is what it may need on top of its saving."""
-        stopping.halt(self, attempt, reason, hurry, wait_s)
+        stopping.stop_one(self, attempt, reason, immediately, wait_s)
 
-    def order_stop(self, attempt: Attempt, reason: str) -> None:
+    def request_stop(self, attempt: Attempt, reason: str) -> None:
         """The attempt has to go; its machine is told with the next commands."""
-        stopping.order_stop(self, attempt, reason)
+        stopping.request_stop(self, attempt, reason)
--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -46,13 +46,13 @@
     def derive(cls, sockets: int) -> CallLimits:
         """Out of a controller's quota of sockets."""
         return cls(
-            connections=max(8, int(sockets * constants.PUSH_SOCKETS)),
-            commands=constants.PUSH_AT_ONCE,
+            connections=max(8, int(sockets * constants.COMMAND_SOCKETS)),
+            commands=constants.COMMANDS_AT_ONCE,
             probes=max(constants.PROBES_AT_ONCE, int(sockets * constants.PROBES_OF_SOCKETS)),
         )
 
 
-class Pusher:
+class CommandSender:
     """One call in flight per machine, a bounded number in all; a machine that fails is left alone a while."""
 
     def __init__(
@@ -61,7 +61,7 @@
         valid: Callable[[], bool],
         fresh: Callable[[], bool],
         limits: CallLimits,
-        on_news: Callable[[], None] = lambda: None,
+        on_response: Callable[[], None] = lambda: None,
     ) -> None:
         """`on_news` is told after each answer that was taken in."""
         self._make = client
@@ -77,7 +77,7 @@
         self._probed: ClusterState | None = None  # whose machines are probed
         self._not_probed: deque[str] = deque()
         self._probe_again: Timers[str] = Timers()  # when machines that did not answer are probed next
-        self._on_news = on_news
+        self._on_news = on_response
 
     def _client(self, addr: str) -> Client:
         client = self._clients.get(addr)
@@ -155,7 +155,7 @@
             body = _encode({"epoch": cluster.term, "tenure": machine.incarnation, "orders": commands})
             try:
                 status, raw = await self._client(machine.addr).request(
-                    "POST", "/commands", body, constants.PUSH_TIMEOUT_S, may_send=self._valid_for(attempts)
+                    "POST", "/commands", body, constants.COMMAND_TIMEOUT_S, may_send=self._valid_for(attempts)
                 )
             except NotSentError as error:
                 direct_commands_answered(attempts)
@@ -184,14 +184,14 @@
     async def _probe(self, cluster: ClusterState, name: str, addr: str, repeated: bool) -> None:
         try:
             # Guards against machines that hang: thousands of them would keep the probes from those that answer.
-            timeout_s = constants.PUSH_TIMEOUT_S if repeated else constants.FIRST_PROBE_TIMEOUT_S
+            timeout_s = constants.COMMAND_TIMEOUT_S if repeated else constants.FIRST_PROBE_TIMEOUT_S
             status, raw = await self._client(addr).request("GET", "/status", b"", timeout_s)
             if status != 200 or not self._valid():
                 return
             incarnation = parse_heartbeat(raw).incarnation
             body = _encode({"epoch": cluster.term, "tenure": incarnation, "orders": []})
             status, raw = await self._client(addr).request(
-                "POST", "/commands", body, constants.PUSH_TIMEOUT_S, may_send=self._valid
+                "POST", "/commands", body, constants.COMMAND_TIMEOUT_S, may_send=self._valid
             )
             if status in (200, 409):
                 self._take(cluster, raw)
@@ -222,11 +222,11 @@
     def _later(self, name: str, why: str) -> None:
         log.debug("%s not reached: %s", name, why)
         now = trio.current_time()
-        _, pause = self._failed.get(name, (now, constants.PUSH_BACKOFF_S / 2))
-        self._failed[name] = now, min(constants.PUSH_BACKOFF_MAX_S, 2 * pause)
-        if now >= self._swept_at + constants.PUSH_BACKOFF_MAX_S:
+        _, pause = self._failed.get(name, (now, constants.COMMAND_BACKOFF_S / 2))
+        self._failed[name] = now, min(constants.COMMAND_BACKOFF_MAX_S, 2 * pause)
+        if now >= self._swept_at + constants.COMMAND_BACKOFF_MAX_S:
             self._swept_at = now
-            kept_since = now - 2 * constants.PUSH_BACKOFF_MAX_S
+            kept_since = now - 2 * constants.COMMAND_BACKOFF_MAX_S
             self._failed = {n: (t, p) for n, (t, p) in self._failed.items() if t > kept_since}
 
     def _next_try(self, name: str) -> float:
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -26,14 +26,14 @@
                 and now >= attempt.clear_after
             ):
                 out.append(messages.clear_command(attempt.task_id, attempt.attempt_number))
-        elif attempt.stop:
+        elif attempt.stop_requested:
             if attempt.unanswered_starts and not attempt.confirmed and machine.token_acknowledged:
                 # Get it onto the worker first: a late direct start then finds the attempt ended
                 # there, and has no effect.
                 out.append(messages.start_command(attempt.task_id, attempt.attempt_number))
                 out.append(messages.stop_command(attempt.task_id, attempt.attempt_number, 0.0))
-            elif attempt.confirmed and (attempt.phase != "saving" or attempt.wind_down == 0):
-                out.append(messages.stop_command(attempt.task_id, attempt.attempt_number, attempt.wind_down))
+            elif attempt.confirmed and (attempt.phase != "saving" or attempt.grace_period_s == 0):
+                out.append(messages.stop_command(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
         elif (
             fresh
             and not attempt.confirmed
@@ -53,7 +53,7 @@
 def _direct(cluster: ClusterState, attempt: Attempt, fresh: bool) -> bool:
     if attempt.exited:
         return False
-    if attempt.stop:
+    if attempt.stop_requested:
         return attempt.confirmed and not attempt.stop_sent and attempt.phase != "saving"
     return (
         fresh
@@ -73,9 +73,9 @@
     for attempt in machine.attempts.values():
         if not _direct(cluster, attempt, fresh):
             continue
-        if attempt.stop:
+        if attempt.stop_requested:
             attempt.stop_sent = True
-            taken.append(messages.stop_command(attempt.task_id, attempt.attempt_number, attempt.wind_down))
+            taken.append(messages.stop_command(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
         else:
             attempt.start_sent = True
             attempt.unanswered_starts += 1
--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Unaccounted:
+class _Unobserved:
     """What may be in use on machines that are not heard."""
 
     by_team: dict[str, Resources]  # by tasks of each team
@@ -54,11 +54,11 @@
         self._unconfirmed_kinds: dict[MachineKind, int] = {}
         self.ended: dict[str, EndedJob] = {}  # jobs that are over, of which such machines may hold tasks
         self._all_ended_known = False  # no other job can have left tasks there
-        self._unaccounted: _Unaccounted | None = None
+        self._unobserved: _Unobserved | None = None
 
     def recount(self) -> None:
         """What the counts rest on has changed: work them out anew when they are next asked for."""
-        self._unaccounted = None
+        self._unobserved = None
 
     def expect_machines(self, registered: Iterable[tuple[str, Any]]) -> None:
         """Machines that an earlier leader may have given work: they have to be heard, or time out."""
@@ -73,18 +73,18 @@
             self.unconfirmed[name] = kind
             self._unconfirmed_kinds[kind] = self._unconfirmed_kinds.get(kind, 0) + 1
             self.unconfirmed_addresses[name] = entry.addr
-        self._unaccounted = None
+        self._unobserved = None
 
     def add_ended_job(self, spec: JobSpec, accounted: TaskSet) -> EndedJob:
         """A job is over; all but the tasks accounted for may still run on machines that are not heard."""
         ended = self.ended[spec.job_id] = EndedJob(spec, accounted)
-        self._unaccounted = None
+        self._unobserved = None
         return ended
 
     def set_all_ended_known(self, known: bool) -> None:
         """Whether the jobs added are all that were over before this term and may have left tasks."""
         self._all_ended_known = known
-        self._unaccounted = None
+        self._unobserved = None
 
     def forget_ended_jobs(self) -> None:
         """Once all machines are heard, tasks of these are bound where they are. Not in the middle of a report: the last
@@ -101,19 +101,19 @@
         self._unconfirmed_kinds[kind] -= 1
         if not self._unconfirmed_kinds[kind]:
             del self._unconfirmed_kinds[kind]
-        self._unaccounted = None
+        self._unobserved = None
         return True
 
-    def settled(self, job: Job) -> bool:
+    def reconciled(self, job: Job) -> bool:
         """Whether everything an earlier leader may have started of a job is accounted for. A machine that is not heard
         yet can hold tasks only of jobs that allow its type, zone and kind."""
-        return not job.old or not self._may_be_unheard(job.spec)
+        return not job.from_earlier_term or not self._may_be_unheard(job.spec)
 
     def _may_be_unheard(self, spec: JobSpec) -> bool:
         """Whether a machine that is not heard may hold tasks of the job."""
         return any(kind.may_hold(spec) for kind in self._unconfirmed_kinds)
 
-    def unaccounted(self, team: str, jobs: dict[str, Job], catalog: Catalog, unknown: Iterable[Machine]) -> Resources:
+    def unobserved(self, team: str, jobs: dict[str, Job], catalog: Catalog, unknown: Iterable[Machine]) -> Resources:
         """What tasks of a team may be using unseen, which count toward its limit.
 
         On machines not heard yet: what is neither done nor on a heard machine of its jobs, live ones and those lately
@@ -123,27 +123,27 @@
         On machines heard, everything is bound with its own size, tasks of jobs lately over as well. Found in an
         incident: these were counted by the room left on their machine, which other work took. Of tasks of jobs that are
         not known the size can't be told, so that room counts, and the machine takes no work until they are gone."""
-        if self._unaccounted is None:
-            self._unaccounted = self._count_unaccounted(jobs, catalog)
-        unseen = self._unaccounted.of(team)
+        if self._unobserved is None:
+            self._unobserved = self._count_unobserved(jobs, catalog)
+        unseen = self._unobserved.of(team)
         for machine in unknown:
             unseen = unseen.plus(_room_left(machine, catalog))
         return unseen
 
-    def _count_unaccounted(self, jobs: dict[str, Job], catalog: Catalog) -> _Unaccounted:
+    def _count_unobserved(self, jobs: dict[str, Job], catalog: Catalog) -> _Unobserved:
         size = NOTHING
         for kind, count in self._unconfirmed_kinds.items():
             size = size.plus(_size_of(kind.machine_type, count, catalog))
         if not self._all_ended_known or not self.unconfirmed:
-            return _Unaccounted({}, size)
+            return _Unobserved({}, size)
         by_team: dict[str, Resources] = {}
         for ended in self.ended.values():
             if self._may_be_unheard(ended.spec):
                 _add(by_team, ended.spec, ended.unseen)
         for job in jobs.values():
-            if not self.settled(job):
+            if not self.reconciled(job):
                 _add(by_team, job.spec, job.unknown)
-        return _Unaccounted({team: amount.at_most(size) for team, amount in by_team.items()}, NOTHING)
+        return _Unobserved({team: amount.at_most(size) for team, amount in by_team.items()}, NOTHING)
 
 
 def _size_of(machine_type: str, count: int, catalog: Catalog) -> Resources:
--- a/sorrelsill/workers/gangs.py
+++ b/sorrelsill/workers/gangs.py
@@ -28,7 +28,7 @@
 
 def _enforce(cluster: ClusterState, job: Job) -> None:
     tasks = list(job.bound.values())
-    if all(a.stop for a in tasks):
+    if all(a.stop_requested for a in tasks):
         return
     if any(a.phase == "saving" for a in tasks):
         # A leader before us began to stop it in order and did not get to tell all: told in time they save together,
@@ -36,15 +36,15 @@
         log.info("%s: an earlier leader began to stop it, the rest are told", job.spec.job_id)
         stop(cluster, job, "stopped by an earlier leader", False)
         return
-    if not cluster.failover.settled(job):
+    if not cluster.failover.reconciled(job):
         return  # what is missing may be on a machine that was not heard yet
     whole = len(tasks) == job.spec.task_count and len({a.attempt_number for a in tasks}) == 1
-    if whole and not any(a.stop for a in tasks):
+    if whole and not any(a.stop_requested for a in tasks):
         return
     # Halting at once is quicker than waiting until the others notice, and loses no more: a group that lost a task falls
     # back to its last checkpoint anyway.
     for attempt in tasks:
-        cluster.halt(attempt, "its group is not whole", True)
+        cluster.stop_one(attempt, "its group is not whole", True)
 
 
 def reachable(job: Job) -> bool:
@@ -63,17 +63,17 @@
     return (
         job.spec.checkpoint_interval_s > 0
         and len(job.bound) == job.spec.task_count
-        and all(a.phase == "running" and not a.stop for a in job.bound.values())
+        and all(a.phase == "running" and not a.stop_requested for a in job.bound.values())
         and reachable(job)
     )
 
 
-def stop(cluster: ClusterState, job: Job, reason: str, hurry: bool) -> None:
+def stop(cluster: ClusterState, job: Job, reason: str, immediately: bool) -> None:
     """Stop a group: in order, so that its progress is kept, if all can be told; else at once."""
     saving = any(a.phase == "saving" for a in job.bound.values())
-    orderly = not hurry and (may_save(job) or saving and job.spec.checkpoint_interval_s > 0)
+    orderly = not immediately and (may_save(job) or saving and job.spec.checkpoint_interval_s > 0)
     for attempt in list(job.bound.values()):
-        cluster.halt(attempt, reason, not orderly, cluster.peer_s if orderly else 0.0)
+        cluster.stop_one(attempt, reason, not orderly, cluster.peer_s if orderly else 0.0)
 
 
 def must_leave(cluster: ClusterState, job: Job, left: float) -> bool:
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -165,7 +165,7 @@
     cluster.machines_with_pending_commands[machine.name] = machine
     if not machine.registered:
         cluster.pending_writes.registrations[machine.name] = machine
-    cluster.wake_placing = True
+    cluster.wake_scheduler = True
 
 
 def _reconcile(
@@ -216,7 +216,7 @@
     machine = attempt.machine
     if not attempt.confirmed:
         attempt.confirmed = True
-        if attempt.stop:
+        if attempt.stop_requested:
             cluster.machines_with_pending_commands[machine.name] = machine
     if attempt.exited:
         return
@@ -242,7 +242,7 @@
     for attempt in [a for key, a in machine.attempts.items() if key not in names]:
         if attempt.unanswered_starts and not attempt.confirmed:
             continue  # its direct start may still be executed, so its absence proves nothing
-        if attempt.confirmed or (proper and (attempt.exited or attempt.stop)):
+        if attempt.confirmed or (proper and (attempt.exited or attempt.stop_requested)):
             # Cleared, vanished, or never started and no longer wanted: this newer report proves it.
             cluster.attempts.leave(attempt)
             cluster.unbind(attempt, now)
@@ -260,7 +260,7 @@
             # The tasks of a group complete together, also those whose machines die before they tell.
             for index in range(job.spec.task_count) if job.spec.is_gang else (attempt.index,):
                 if job.done.add(index):
-                    job.dirty_parts.add(index // constants.PART_SHARDS)
+                    job.unrecorded_parts.add(index // constants.PART_SHARDS)
                     cluster.pending_writes.records.add(attempt.job_id)
                     cluster.job_changed(attempt.job_id)
             _accuse(cluster, job, job.failures.success(machine.name))
@@ -269,7 +269,7 @@
         # Another attempt of the same task would be wasted: the result is there.
         other = job.bound.get(attempt.index) if job is not None else None
         if other is not None and other is not attempt:
-            cluster.order_stop(other, "the result is there")
+            cluster.request_stop(other, "the result is there")
         cluster.unbind(attempt, now, requeue=job is not None and job.spec.is_service)
         return
     attempt.clearable = True
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -19,27 +19,29 @@
         "bound",
         "cursor",
         "done",
-        "dirty_parts",
+        "unrecorded_parts",
         "failures",
-        "old",
+        "from_earlier_term",
         "order",
         "recorded_at",
         "requeued",
         "rev",
         "served_at",
-        "shown_running",
+        "recorded_running",
         "spec",
-        "split",
+        "chunked",
         "submitted",
         "why",
         "zones",
     )
 
-    def __init__(self, spec: JobSpec, done: TaskSet, rev: int, old: bool, now: float, why: list[str]) -> None:
+    def __init__(
+        self, spec: JobSpec, done: TaskSet, rev: int, from_earlier_term: bool, now: float, why: list[str]
+    ) -> None:
         self.spec = spec
         self.done = done
         self.rev = rev
-        self.old = old  # an earlier leader may have started tasks of it
+        self.from_earlier_term = from_earlier_term  # an earlier leader may have started tasks of it
         self.submitted = now
         self.served_at = now  # when a task of it was last bound or ended
         self.accepted = 0.0  # time of day of the submission, as recorded
@@ -50,9 +52,11 @@
         self.requeued: list[int] = []
         self.failures = FailureHistory(succeeded=done.count > 0)
         self.avoid: dict[str, float] = {}
-        self.dirty_parts: set[int] = set()  # of its finished tasks, `PART_SHARDS` to a part, what is not recorded yet
-        self.split = spec.task_count > constants.CHUNK_SHARDS  # its finished tasks are kept beside its record
-        self.shown_running = 0  # tasks that run, as the record says
+        self.unrecorded_parts: set[int] = (
+            set()
+        )  # of its finished tasks, `PART_SHARDS` to a part, what is not recorded yet
+        self.chunked = spec.task_count > constants.CHUNK_SHARDS  # its finished tasks are kept beside its record
+        self.recorded_running = 0  # tasks that run, as the record says
         self.recorded_at = now
         self.order = 0
 
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -97,7 +97,7 @@
         if machine is None or machine.lease_renewed_at is None:
             cluster.confirm(name, "nobody can have renewed its lease", now)
             cluster.pending_writes.deregistrations.add(name)
-    cluster.wake_placing = True
+    cluster.wake_scheduler = True
 
 
 def hears_no_worker(cluster: ClusterState, now: float, limit: float) -> bool:
@@ -120,7 +120,7 @@
             continue
         for attempt in machine.attempts.values():
             spec = attempt.spec
-            if spec is None or attempt.stop or attempt.exited:
+            if spec is None or attempt.stop_requested or attempt.exited:
                 continue
             left = machine.spot_reclaim_at - now
             if spec.is_gang and attempt.job_id in cluster.gangs:
--- a/sorrelsill/workers/team_usage.py
+++ b/sorrelsill/workers/team_usage.py
@@ -11,12 +11,12 @@
     """What a team may be using at a moment, each task counted once."""
 
     bound: Resources  # by attempts bound to machines
-    unaccounted: Resources  # at the most, by tasks that an earlier leader started and that are not bound here
+    unobserved: Resources  # at the most, by tasks that an earlier leader started and that are not bound here
 
     @property
     def total(self) -> Resources:
         """All that may be in use."""
-        return self.bound.plus(self.unaccounted)
+        return self.bound.plus(self.unobserved)
 
 
 class BoundUsage:
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -9,7 +9,7 @@
 from sorrelsill import constants
 from sorrelsill.http import Client, MaySend, NoAnswerError, always
 from sorrelsill.model import TaskSet
-from sorrelsill.workers import CallLimits, Pusher
+from sorrelsill.workers import CallLimits, CommandSender
 from tests.simulation import LOSS_S, OVERDUE_S, VALIDITY_S, LeaderInMemory, array_job, count_calls
 
 MACHINES = 930  # the largest fleet of the site files and half as many again
@@ -83,19 +83,19 @@
     assert len(jobs["run-ordinary"].bound) == 40, "a spot machine can't hold them"
     assert len(jobs["run-new"].bound) == 600 - 40 - 40 - 20, "all that may be running counts toward the limit"
     leader.cluster.failover.set_all_ended_known(False)
-    assert leader.cluster.unaccounted("red") == (50 * 16.0, 0.0), "and the whole machines if that can't be told"
+    assert leader.cluster.unobserved("red") == (50 * 16.0, 0.0), "and the whole machines if that can't be told"
 
 
 def test_a_job_that_ends_unseen_still_counts_toward_its_teams_limit() -> None:
     leader = LeaderInMemory(60, registered=True)
     leader.add(array_job("run-old", shards=200, owner="red"), old=True)
     leader.cluster.failover.set_all_ended_known(True)
-    assert leader.cluster.unaccounted("red") == (200.0, 0.0)
+    assert leader.cluster.unobserved("red") == (200.0, 0.0)
     leader.cluster.end_job("run-old")
-    assert leader.cluster.unaccounted("red") == (200.0, 0.0) and leader.cluster.unaccounted("blue") == (0.0, 0.0)
+    assert leader.cluster.unobserved("red") == (200.0, 0.0) and leader.cluster.unobserved("blue") == (0.0, 0.0)
     leader.now = LOSS_S + VALIDITY_S + 1
     leader.cluster.expire_leases(leader.now)
-    assert not leader.cluster.failover.unconfirmed and leader.cluster.unaccounted("red") == (0.0, 0.0)
+    assert not leader.cluster.failover.unconfirmed and leader.cluster.unobserved("red") == (0.0, 0.0)
 
 
 def test_a_damaged_or_older_roster_entry_holds_back_whatever_may_run_there() -> None:
@@ -106,9 +106,9 @@
             array_job(f"run-{number}", shards=10, owner="red", flavours=["std"], region="a", reclaimable=False), True
         )
         assert not leader.cluster.failover.settled(leader.cluster.jobs[f"run-{number}"])
-    assert leader.cluster.unaccounted("red")[0] > 1000, "of a type that is not known the size is not known either"
+    assert leader.cluster.unobserved("red")[0] > 1000, "of a type that is not known the size is not known either"
     leader.cluster.failover.set_all_ended_known(True)
-    assert leader.cluster.unaccounted("red") == (30.0, 0.0)
+    assert leader.cluster.unobserved("red") == (30.0, 0.0)
 
 
 class _Silent(Client):
@@ -135,17 +135,17 @@
     async def main() -> None:
         leader = LeaderInMemory(300, registered=True)
         limits = CallLimits.derive(1600)
-        pusher = Pusher(client, lambda: True, lambda: True, limits)
+        command_sender = CommandSender(client, lambda: True, lambda: True, limits)
         async with trio.open_nursery() as nursery:
             for _ in range(600):
-                pusher.probe_unconfirmed(leader.cluster, nursery)
-                assert len(pusher._busy) <= limits.probes == 24 < limits.commands
+                command_sender.probe_unconfirmed(leader.cluster, nursery)
+                assert len(command_sender._busy) <= limits.probes == 24 < limits.commands
                 await trio.sleep(0.1)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
     early, late = (sum(1 for t in asked if a <= t < a + 15) for a in (0, 45))
-    assert early >= 100 and late <= 24 * 15 / constants.PUSH_TIMEOUT_S
+    assert early >= 100 and late <= 24 * 15 / constants.COMMAND_TIMEOUT_S
     assert len(asked) <= 300 * 5
 
 
--- a/tests/scenarios/test_grown.py
+++ b/tests/scenarios/test_grown.py
@@ -201,7 +201,7 @@
         now = trio.current_time()
         attempt = cluster.bind(cluster.jobs["run-0"], 0, machine, now, 1 << 60)
         commands(cluster, machine, True, now)
-        attempt.stop = True
+        attempt.stop_requested = True
         cluster.on_command_response(msgspec.convert(worker.heartbeat_message(), WorkerHeartbeat), now)
         assert attempt.key in machine.attempts
         cluster.on_heartbeat(msgspec.convert(worker.heartbeat_message(), WorkerHeartbeat), now)
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -14,7 +14,7 @@
 from sorrelsill.model import TaskSet
 from sorrelsill.settings import StateLimits, Team
 from sorrelsill.store import KeyValueStore, WatchCache
-from sorrelsill.workers import CallLimits, Pusher
+from sorrelsill.workers import CallLimits, CommandSender
 from tests.simulation import LOSS_S, OVERDUE_S, FakeNet, FakeStore, LeaderInMemory, array_job, count_calls
 
 SMALL, LARGE = 1000, 4000  # machines
@@ -169,12 +169,12 @@
     async def main() -> None:
         leader = LeaderInMemory(machines, registered=True)
         limits = CallLimits.derive(3 * machines)
-        pusher = Pusher(client, lambda: True, lambda: True, limits)
+        command_sender = CommandSender(client, lambda: True, lambda: True, limits)
         heard_after = None
         async with trio.open_nursery() as nursery:
             while trio.current_time() < 30.0:
-                pusher.probe_unconfirmed(leader.cluster, nursery)
-                assert len(pusher._busy) <= limits.probes
+                command_sender.probe_unconfirmed(leader.cluster, nursery)
+                assert len(command_sender._busy) <= limits.probes
                 if heard_after is None and len(leader.cluster.failover.unconfirmed) == machines // 2:
                     heard_after = trio.current_time()
                 await trio.sleep(0.05)
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -56,7 +56,7 @@
     leader = leader_after_takeover()
     in_zone_a, _ = leader.names
     run_by_earlier_leader(leader, in_zone_a, "run-over", 10)
-    assert leader.cluster.unaccounted("red") == (10.0, 0.0), "they may run on any machine"
+    assert leader.cluster.unobserved("red") == (10.0, 0.0), "they may run on any machine"
     report_without_answer(leader)
     assert leader.cluster.team_use("red").total == (10.0, 0.0)
     leader.add(array_job("run-blue", shards=16, owner="blue", region="a"))
