--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -16,11 +16,13 @@
 from sorrelsill.store import WatchCache
 from sorrelsill.workers import (
     ClusterState,
+    Command,
     FencedError,
+    HeartbeatResponse,
     InvalidHeartbeatError,
+    StopCommand,
     WorkerHeartbeat,
     parse_heartbeat,
-    stop_command,
 )
 
 log = logging.getLogger(__name__)
@@ -75,23 +77,22 @@
             # What was cancelled meanwhile is not certain to be known here: the next controller may know.
             self._count("not_renewed")
             return Reply(503)
-        commands: list[dict[str, Any]] | None = []
+        commands: list[Command] = []
         if cluster is not None:
             try:
-                commands = cluster.on_heartbeat(heartbeat, now, acting, self._fresh())
+                answer = cluster.on_heartbeat(heartbeat, now, acting, self._fresh())
             except FencedError as error:
                 self._elector.fenced(error.fencing_token)
                 return Reply(421, _encode({}))
-            if commands is None:
+            if answer is None:
                 return Reply(503)
+            commands = answer
             self._news()
         if cluster is None or not acting:
             # Nobody leads and nobody can: the worker's own fencing token; its lease goes on and nothing else does.
-            return Reply(
-                200, _encode({"epoch": heartbeat.fencing_token, "orders": self._stop_commands(heartbeat, now)})
-            )
+            return Reply(200, _encode(HeartbeatResponse(heartbeat.fencing_token, self._stop_commands(heartbeat, now))))
         # Only a report that is newer than all before makes the connection the machine's own: not a late copy.
-        return Reply(200, _encode({"epoch": cluster.term, "orders": commands}), owner=heartbeat.machine)
+        return Reply(200, _encode(HeartbeatResponse(cluster.term, commands)), owner=heartbeat.machine)
 
     def _redirect(self) -> Reply:
         # Guards against a process that stood still: its view may name a leader that has ended since.
@@ -103,15 +104,15 @@
         self._cancellations.followed(self._watch_cache.followed_since, self._watch_cache.fresh_at)
         return self._cancellations.may_renew(now)
 
-    def _stop_commands(self, heartbeat: WorkerHeartbeat, now: float) -> list[dict[str, Any]]:
+    def _stop_commands(self, heartbeat: WorkerHeartbeat, now: float) -> list[Command]:
         """In degraded mode: tasks of jobs known to be cancelled still have to go. Stopping them is always right,
         whoever leads next, and a worker takes it from any controller that names its fencing token. A view that was
         read anew not long ago lacks what was cancelled before, so what is not live in it is stopped as well."""
         unknown = self._watch_cache.fresh_at > float("-inf") and self._cancellations.suspect_unknown(now)
-        out = []
+        out: list[Command] = []
         for item in heartbeat.tasks:
             job_id = item.task_id.rpartition("/")[0]
             over = self._cancellations.known(job_id) or is_cancelled(self._watch_cache.final(job_id))
             if item.phase != "exited" and (over or unknown and self._watch_cache.job(job_id) is None):
-                out.append(stop_command(item.task_id, item.attempt_number, 0.0))
+                out.append(StopCommand(item.task_id, item.attempt_number, 0.0))
         return out
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -10,7 +10,14 @@
 from sorrelsill.workers.machine import Machine
 from sorrelsill.workers.machine_index import MachineIndex
 from sorrelsill.workers.machine_sets import MachineSet, MachineUnion
-from sorrelsill.workers.messages import InvalidHeartbeatError, WorkerHeartbeat, parse_heartbeat, stop_command
+from sorrelsill.workers.messages import (
+    Command,
+    HeartbeatResponse,
+    InvalidHeartbeatError,
+    StopCommand,
+    WorkerHeartbeat,
+    parse_heartbeat,
+)
 from sorrelsill.workers.team_usage import TeamUse
 from sorrelsill.workers.unschedulable import UnschedulableDemand
 
@@ -30,7 +37,9 @@
     "FencedError",
     "TeamUse",
     "gang_loss",
-    "stop_command",
+    "Command",
+    "HeartbeatResponse",
+    "StopCommand",
     "parse_heartbeat",
     "enforce_gang_completeness",
 ]
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -12,7 +12,6 @@
 import heapq
 import logging
 from collections.abc import Iterable
-from typing import Any
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
@@ -83,7 +82,7 @@
 
     def on_heartbeat(
         self, heartbeat: messages.WorkerHeartbeat, now: float, acting: bool = True, fresh: bool = True
-    ) -> list[dict[str, Any]] | None:
+    ) -> list[messages.Command] | None:
         """Take a report in; the commands for the answer, or None if it must not be answered with 200."""
         commands = heartbeats.on_heartbeat(self, heartbeat, now, acting, fresh)
         self._watch_if_new(heartbeat.machine)
--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -20,7 +20,7 @@
 from sorrelsill.settings import split_addr
 from sorrelsill.timers import Timers
 from sorrelsill.workers.commands import direct_commands_answered, has_direct_commands, take_direct_commands
-from sorrelsill.workers.messages import InvalidHeartbeatError, parse_heartbeat
+from sorrelsill.workers.messages import DirectCommands, InvalidHeartbeatError, parse_heartbeat
 
 if TYPE_CHECKING:
     from sorrelsill.workers.attempt import Attempt
@@ -152,7 +152,7 @@
             commands, attempts = take_direct_commands(cluster, machine, self._fresh())
             if not commands:
                 return
-            body = _encode({"epoch": cluster.term, "tenure": machine.incarnation, "orders": commands})
+            body = _encode(DirectCommands(cluster.term, machine.incarnation, commands))
             try:
                 status, raw = await self._client(machine.addr).request(
                     "POST", "/commands", body, constants.COMMAND_TIMEOUT_S, may_send=self._valid_for(attempts)
@@ -189,7 +189,7 @@
             if status != 200 or not self._valid():
                 return
             incarnation = parse_heartbeat(raw).incarnation
-            body = _encode({"epoch": cluster.term, "tenure": incarnation, "orders": []})
+            body = _encode(DirectCommands(cluster.term, incarnation, []))
             status, raw = await self._client(addr).request(
                 "POST", "/commands", body, constants.COMMAND_TIMEOUT_S, may_send=self._valid
             )
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from sorrelsill.workers import messages
 
@@ -12,9 +12,9 @@
     from sorrelsill.workers.machine import Machine
 
 
-def commands(cluster: ClusterState, machine: Machine, fresh: bool, now: float) -> list[dict[str, Any]]:
+def commands(cluster: ClusterState, machine: Machine, fresh: bool, now: float) -> list[messages.Command]:
     """The difference between what is wanted on a machine and what its worker reported."""
-    out = []
+    out: list[messages.Command] = []
     for attempt in machine.attempts.values():
         if attempt.exited:
             # Only once no older leader can order a start any more: a repeated start after
@@ -25,15 +25,15 @@
                 and not attempt.unanswered_starts
                 and now >= attempt.clear_after
             ):
-                out.append(messages.clear_command(attempt.task_id, attempt.attempt_number))
+                out.append(messages.ClearCommand(attempt.task_id, attempt.attempt_number))
         elif attempt.stop_requested:
             if attempt.unanswered_starts and not attempt.confirmed and machine.token_acknowledged:
                 # Get it onto the worker first: a late direct start then finds the attempt ended
                 # there, and has no effect.
-                out.append(messages.start_command(attempt.task_id, attempt.attempt_number))
-                out.append(messages.stop_command(attempt.task_id, attempt.attempt_number, 0.0))
+                out.append(messages.StartCommand(attempt.task_id, attempt.attempt_number))
+                out.append(messages.StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
             elif attempt.confirmed and (attempt.phase != "saving" or attempt.grace_period_s == 0):
-                out.append(messages.stop_command(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
+                out.append(messages.StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
         elif (
             fresh
             and not attempt.confirmed
@@ -41,7 +41,7 @@
             and machine.token_acknowledged
             and attempt.job_id in cluster.jobs
         ):
-            out.append(messages.start_command(attempt.task_id, attempt.attempt_number))
+            out.append(messages.StartCommand(attempt.task_id, attempt.attempt_number))
     return out
 
 
@@ -66,21 +66,22 @@
 
 def take_direct_commands(
     cluster: ClusterState, machine: Machine, fresh: bool
-) -> tuple[list[dict[str, Any]], list[Attempt]]:
+) -> tuple[list[messages.Command], list[Attempt]]:
     """Commands not sent yet, for one direct call, and the attempts that it starts: until it is answered these may start
     at any time."""
-    taken, started = [], []
+    taken: list[messages.Command] = []
+    started: list[Attempt] = []
     for attempt in machine.attempts.values():
         if not _direct(cluster, attempt, fresh):
             continue
         if attempt.stop_requested:
             attempt.stop_sent = True
-            taken.append(messages.stop_command(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
+            taken.append(messages.StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
         else:
             attempt.start_sent = True
             attempt.unanswered_starts += 1
             started.append(attempt)
-            taken.append(messages.start_command(attempt.task_id, attempt.attempt_number))
+            taken.append(messages.StartCommand(attempt.task_id, attempt.attempt_number))
     return taken, started
 
 
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from sorrelsill import constants
 from sorrelsill.workers import messages
@@ -33,7 +33,7 @@
 
 def on_heartbeat(
     cluster: ClusterState, heartbeat: messages.WorkerHeartbeat, now: float, acting: bool = True, fresh: bool = True
-) -> list[dict[str, Any]] | None:
+) -> list[messages.Command] | None:
     """Take a report in; the orders for the answer, or None if it must not be answered with 200.
     Without `acting` (standstill) there are no orders; without a `fresh` view of the jobs, no starts."""
     if heartbeat.fencing_token > cluster.term:
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -1,9 +1,7 @@
-"""Workers' reports as they come over the wire."""
+"""Messages between controllers and workers. The names on the wire appear here and nowhere else."""
 
 from __future__ import annotations
 
-from typing import Any
-
 import msgspec
 
 PEERS, ALONE = "peers", "alone"  # why a group's task exited: another one is gone, or the group was never complete
@@ -57,16 +55,42 @@
         raise InvalidHeartbeatError(str(error)) from None
 
 
-def start_command(task_id: str, attempt_number: int) -> dict[str, Any]:
+class StartCommand(msgspec.Struct, frozen=True, tag_field="verb", tag="start"):
     """Start a task; without effect while the worker holds this attempt in any state."""
-    return {"verb": "start", "shard": task_id, "tryNo": attempt_number}
 
+    task_id: str = msgspec.field(name="shard")
+    attempt_number: int = msgspec.field(name="tryNo")
+
+
+class StopCommand(msgspec.Struct, frozen=True, tag_field="verb", tag="halt"):
+    """Stop a task; it saves a checkpoint first if the grace period (seconds) allows."""
+
+    task_id: str = msgspec.field(name="shard")
+    attempt_number: int = msgspec.field(name="tryNo")
+    grace_period_s: float = msgspec.field(name="windDownS")
 
-def stop_command(task_id: str, attempt_number: int, wind_down_s: float) -> dict[str, Any]:
-    """Stop a task; it saves if the wind-down time allows."""
-    return {"verb": "halt", "shard": task_id, "tryNo": attempt_number, "windDownS": wind_down_s}
 
+class ClearCommand(msgspec.Struct, frozen=True, tag_field="verb", tag="clear"):
+    """Remove an exited task from the worker's heartbeats."""
 
-def clear_command(task_id: str, attempt_number: int) -> dict[str, Any]:
-    """Remove an exited task from the reports."""
-    return {"verb": "clear", "shard": task_id, "tryNo": attempt_number}
+    task_id: str = msgspec.field(name="shard")
+    attempt_number: int = msgspec.field(name="tryNo")
+
+
+Command = StartCommand | StopCommand | ClearCommand
+
+
+class HeartbeatResponse(msgspec.Struct, frozen=True):
+    """The answer to a heartbeat; it renews the worker's lease if the fencing token is not below the highest it has
+    seen."""
+
+    fencing_token: int = msgspec.field(name="epoch")
+    commands: list[Command] = msgspec.field(name="orders")
+
+
+class DirectCommands(msgspec.Struct, frozen=True):
+    """Commands sent straight to a worker; executed only in this incarnation, and they renew no lease."""
+
+    fencing_token: int = msgspec.field(name="epoch")
+    incarnation: int = msgspec.field(name="tenure")
+    commands: list[Command] = msgspec.field(name="orders")
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -29,7 +29,7 @@
 from sorrelsill.model import JobSpec
 from sorrelsill.settings import CloudLimits, StateLimits, Team
 from sorrelsill.store import KeyValueStore, WatchCache
-from sorrelsill.workers import enforce_gang_completeness, parse_heartbeat
+from sorrelsill.workers import HeartbeatResponse, enforce_gang_completeness, parse_heartbeat
 from tests.simulation.leader_in_memory import LeaderInMemory, array_job
 
 STEP_S = 0.05  # s; simulated time between two looks at what is due, about a round of placing
@@ -137,7 +137,7 @@
         body = _encode(leader.next_heartbeat(name))
         with self.parts["reports"]:
             commands = leader.cluster.on_heartbeat(parse_heartbeat(body), leader.now) or []
-            _encode({"epoch": leader.cluster.term, "orders": commands})
+            _encode(HeartbeatResponse(leader.cluster.term, commands))
         before = set(leader.tasks[name])
         leader.obey(name, commands)
         self.reports += 1
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -105,7 +105,7 @@
         leader.add(
             array_job(f"run-{number}", shards=10, owner="red", flavours=["std"], region="a", reclaimable=False), True
         )
-        assert not leader.cluster.failover.settled(leader.cluster.jobs[f"run-{number}"])
+        assert not leader.cluster.failover.reconciled(leader.cluster.jobs[f"run-{number}"])
     assert leader.cluster.unobserved("red")[0] > 1000, "of a type that is not known the size is not known either"
     leader.cluster.failover.set_all_ended_known(True)
     assert leader.cluster.unobserved("red") == (30.0, 0.0)
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from collections.abc import Sequence
 
 from sorrelsill import constants
 from sorrelsill.jobs import parse_spec
@@ -10,7 +11,7 @@
 from sorrelsill.placement import Scheduler
 from sorrelsill.settings import Objective, Team
 from sorrelsill.workers import ClusterState, WorkerHeartbeat
-from sorrelsill.workers.messages import TaskStatus
+from sorrelsill.workers.messages import Command, StartCommand, StopCommand, TaskStatus
 from tests.simulation.users import job
 
 MACHINE_TYPE = MachineType("std", 16.0, 0.0, 64.0, 40.0, 0.3, 1.0, 0.4, 30.0, ("a", "b"))
@@ -71,16 +72,17 @@
             tasks=tasks,
         )
 
-    def obey(self, name: str, commands: list[dict[str, object]]) -> None:
+    def obey(self, name: str, commands: Sequence[Command]) -> None:
         """The worker carries the commands out at once."""
         tasks = self.tasks[name]
         for command in commands:
-            key = str(command["shard"]), int(str(command["tryNo"]))
-            if command["verb"] == "start":
+            key = command.task_id, command.attempt_number
+            if isinstance(command, StartCommand):
                 tasks.setdefault(key, "running")
-            elif command["verb"] == "halt" and tasks.get(key) == "running":
-                del tasks[key]
-            elif command["verb"] == "clear":
+            elif isinstance(command, StopCommand):
+                if tasks.get(key) == "running":
+                    del tasks[key]
+            else:
                 tasks.pop(key, None)
 
     def send_heartbeat(self, name: str, fencing_token: int = TERM) -> None:
