--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -1,13 +1,11 @@
 """Workers: reports, incarnations, commands and losses, and the leader's view of what may be running where."""
 
-from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.cluster_state import ClusterState
 from sorrelsill.workers.command_sender import CallLimits, CommandSender
-from sorrelsill.workers.gangs import enforce_gang_completeness
-from sorrelsill.workers.gangs import lost_work as gang_loss
+from sorrelsill.workers.gangs import enforce_gang_completeness, gang_loss
 from sorrelsill.workers.heartbeats import FencedError
 from sorrelsill.workers.job import Job
-from sorrelsill.workers.machine import Machine
+from sorrelsill.workers.machine import Attempt, Machine
 from sorrelsill.workers.machine_index import MachineIndex
 from sorrelsill.workers.machine_sets import MachineSet, MachineUnion
 from sorrelsill.workers.messages import (
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -3,21 +3,22 @@
 from __future__ import annotations
 
 import logging
+from collections.abc import Iterator
 from typing import TYPE_CHECKING
 
 from sorrelsill import constants
 from sorrelsill.workers.attempt_events import log_attempt
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.attempt import Attempt
-    from sorrelsill.workers.cluster_state import ClusterState
+    from sorrelsill.workers.cluster_records import ClusterRecords
     from sorrelsill.workers.ended_jobs import EndedJob
     from sorrelsill.workers.job import Job
+    from sorrelsill.workers.machine import Attempt
 
 log = logging.getLogger(__name__)
 
 
-def adopt_found(cluster: ClusterState, attempt: Attempt) -> None:
+def adopt_found(cluster: ClusterRecords, attempt: Attempt) -> None:
     """Take over an attempt that was found running: for its job, or to be stopped if that is over or not known."""
     job = cluster.jobs.get(attempt.job_id)
     if job is not None:
@@ -34,7 +35,25 @@
     cluster.request_stop(attempt, "its job is over or not known")
 
 
-def adopt(cluster: ClusterState, attempt: Attempt, job: Job) -> None:
+def adopt_tasks_of(cluster: ClusterRecords, job: Job) -> None:
+    """Adopt the tasks of a job that were found before the job was known."""
+    for attempt in _unknown_attempts(cluster, job.spec.job_id):
+        adopt(cluster, attempt, job)
+
+
+def adopt_tasks_of_ended(cluster: ClusterRecords, ended: EndedJob) -> None:
+    """Adopt the tasks of a job that is over and that were found before the job was known."""
+    for attempt in _unknown_attempts(cluster, ended.spec.job_id):
+        adopt_ended(cluster, attempt, ended)
+
+
+def _unknown_attempts(cluster: ClusterRecords, job_id: str) -> Iterator[Attempt]:
+    """Attempts of a job that run and whose size is not known. Lazy: adopting one may change what is true of the
+    next."""
+    return (a for a in cluster.attempts.of_job(job_id) if a.spec is None and not a.exited)
+
+
+def adopt(cluster: ClusterRecords, attempt: Attempt, job: Job) -> None:
     """A task of a live job. If it is one too many, it is stopped."""
     machine = attempt.machine
     _take_room(cluster, attempt, job)
@@ -56,10 +75,10 @@
     job.bound[attempt.index] = attempt
     job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
     cluster.job_changed(attempt.job_id)
-    cluster.pending_writes.records.add(attempt.job_id)
+    cluster.pending_writes.record_due(attempt.job_id)
 
 
-def adopt_ended(cluster: ClusterState, attempt: Attempt, ended: EndedJob) -> None:
+def adopt_ended(cluster: ClusterRecords, attempt: Attempt, ended: EndedJob) -> None:
     """A task of a job that is over. It takes room and counts toward its team's limit like any other, until it is proved
     gone."""
     _take_room(cluster, attempt, ended)
@@ -68,7 +87,7 @@
     cluster.request_stop(attempt, "its job is over")
 
 
-def _take_room(cluster: ClusterState, attempt: Attempt, job: Job | EndedJob) -> None:
+def _take_room(cluster: ClusterRecords, attempt: Attempt, job: Job | EndedJob) -> None:
     """From now on its size is known."""
     cluster.attempts.count_unknown(attempt, -1)
     attempt.spec = job.spec
--- a/sorrelsill/workers/attempt_events.py
+++ b/sorrelsill/workers/attempt_events.py
@@ -8,7 +8,7 @@
 from sorrelsill.events import log_event
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.attempt import Attempt
+    from sorrelsill.workers.machine import Attempt
 
 
 def log_attempt(log: logging.Logger, event: str, attempt: Attempt, /, **fields: object) -> None:
--- a/sorrelsill/workers/attempt_index.py
+++ b/sorrelsill/workers/attempt_index.py
@@ -5,8 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.attempt import Attempt
-    from sorrelsill.workers.machine import Machine
+    from sorrelsill.workers.machine import Attempt, Machine
 
 
 class AttemptIndex:
--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -23,9 +23,8 @@
 from sorrelsill.workers.messages import DirectCommands, InvalidHeartbeatError, parse_heartbeat
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.attempt import Attempt
     from sorrelsill.workers.cluster_state import ClusterState
-    from sorrelsill.workers.machine import Machine
+    from sorrelsill.workers.machine import Attempt, Machine
 
 log = logging.getLogger(__name__)
 
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -7,12 +7,11 @@
 from sorrelsill.workers import messages
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.attempt import Attempt
-    from sorrelsill.workers.cluster_state import ClusterState
-    from sorrelsill.workers.machine import Machine
+    from sorrelsill.workers.cluster_records import ClusterRecords
+    from sorrelsill.workers.machine import Attempt, Machine
 
 
-def commands(cluster: ClusterState, machine: Machine, fresh: bool, now: float) -> list[messages.Command]:
+def commands(cluster: ClusterRecords, machine: Machine, fresh: bool, now: float) -> list[messages.Command]:
     """The difference between what is wanted on a machine and what its worker reported."""
     out: list[messages.Command] = []
     for attempt in machine.attempts.values():
@@ -45,12 +44,12 @@
     return out
 
 
-def has_direct_commands(cluster: ClusterState, machine: Machine, fresh: bool) -> bool:
+def has_direct_commands(cluster: ClusterRecords, machine: Machine, fresh: bool) -> bool:
     """Whether a machine is due commands that were not sent yet."""
     return any(_direct(cluster, a, fresh) for a in machine.attempts.values())
 
 
-def _direct(cluster: ClusterState, attempt: Attempt, fresh: bool) -> bool:
+def _direct(cluster: ClusterRecords, attempt: Attempt, fresh: bool) -> bool:
     if attempt.exited:
         return False
     if attempt.stop_requested:
@@ -65,7 +64,7 @@
 
 
 def take_direct_commands(
-    cluster: ClusterState, machine: Machine, fresh: bool
+    cluster: ClusterRecords, machine: Machine, fresh: bool
 ) -> tuple[list[messages.Command], list[Attempt]]:
     """Commands not sent yet, for one direct call, and the attempts that it starts: until it is answered these may start
     at any time."""
--- a/sorrelsill/workers/gangs.py
+++ b/sorrelsill/workers/gangs.py
@@ -13,20 +13,20 @@
 from sorrelsill import constants
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.cluster_state import ClusterState
+    from sorrelsill.workers.cluster_records import ClusterRecords
     from sorrelsill.workers.job import Job
 
 log = logging.getLogger(__name__)
 
 
-def enforce_gang_completeness(cluster: ClusterState) -> None:
+def enforce_gang_completeness(cluster: ClusterRecords) -> None:
     """Groups that are not whole any more, or that somebody began to stop, and what has to be done about the rest."""
     for job in cluster.gangs.values():
         if job.bound and job.done.count < job.spec.task_count:
             _enforce(cluster, job)
 
 
-def _enforce(cluster: ClusterState, job: Job) -> None:
+def _enforce(cluster: ClusterRecords, job: Job) -> None:
     tasks = list(job.bound.values())
     if all(a.stop_requested for a in tasks):
         return
@@ -34,7 +34,7 @@
         # A leader before us began to stop it in order and did not get to tell all: told in time they save together,
         # and the group has made no progress since the first was told.
         log.info("%s: an earlier leader began to stop it, the rest are told", job.spec.job_id)
-        stop(cluster, job, "stopped by an earlier leader", False)
+        stop_gang(cluster, job, "stopped by an earlier leader", False)
         return
     if not cluster.failover.reconciled(job):
         return  # what is missing may be on a machine that was not heard yet
@@ -47,7 +47,7 @@
         cluster.stop_one(attempt, "its group is not whole", True)
 
 
-def reachable(job: Job) -> bool:
+def all_machines_reachable(job: Job) -> bool:
     """Whether all machines of the group will most likely get an order at once."""
     return all(
         a.machine.token_acknowledged
@@ -58,36 +58,36 @@
     )
 
 
-def may_save(job: Job) -> bool:
+def can_checkpoint(job: Job) -> bool:
     """An orderly stop needs all tasks running and all of them told within a moment of each other."""
     return (
         job.spec.checkpoint_interval_s > 0
         and len(job.bound) == job.spec.task_count
         and all(a.phase == "running" and not a.stop_requested for a in job.bound.values())
-        and reachable(job)
+        and all_machines_reachable(job)
     )
 
 
-def stop(cluster: ClusterState, job: Job, reason: str, immediately: bool) -> None:
+def stop_gang(cluster: ClusterRecords, job: Job, reason: str, immediately: bool) -> None:
     """Stop a group: in order, so that its progress is kept, if all can be told; else at once."""
     saving = any(a.phase == "saving" for a in job.bound.values())
-    orderly = not immediately and (may_save(job) or saving and job.spec.checkpoint_interval_s > 0)
+    orderly = not immediately and (can_checkpoint(job) or saving and job.spec.checkpoint_interval_s > 0)
     for attempt in list(job.bound.values()):
         cluster.stop_one(attempt, reason, not orderly, cluster.peer_s if orderly else 0.0)
 
 
-def must_leave(cluster: ClusterState, job: Job, left: float) -> bool:
+def gang_must_leave(cluster: ClusterRecords, job: Job, left: float) -> bool:
     """Whether a group has to leave a machine that is taken back in `left` seconds. One that does not run yet goes at
     once, one that can save as late as is safe; if one of its machines can't be told, saving is not begun before the
     last moment, as it would only cost the progress until then."""
     if not any(a.running_since is not None for a in job.bound.values()):
         return True
-    if may_save(job):
+    if can_checkpoint(job):
         return left <= job.spec.checkpoint_cost_s + constants.DRAIN_AHEAD_S
     return left <= constants.DRAIN_AHEAD_S
 
 
-def lost_work(job: Job, now: float) -> float:
+def gang_loss(job: Job, now: float) -> float:
     """Seconds of work, of all its tasks together, that stopping one of them throws away."""
     return sum(now - a.running_since for a in job.bound.values() if a.running_since is not None) + (
         constants.PREEMPT_BASE_S * len(job.bound)
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -11,12 +11,12 @@
 from sorrelsill import constants
 from sorrelsill.workers import messages
 from sorrelsill.workers.adoption import adopt_found
-from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.attempt_events import log_attempt
 from sorrelsill.workers.commands import commands
+from sorrelsill.workers.machine import Attempt
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.cluster_state import ClusterState
+    from sorrelsill.workers.cluster_records import ClusterRecords
     from sorrelsill.workers.job import Job
     from sorrelsill.workers.machine import Machine
 
@@ -32,7 +32,7 @@
 
 
 def on_heartbeat(
-    cluster: ClusterState, heartbeat: messages.WorkerHeartbeat, now: float, acting: bool = True, fresh: bool = True
+    cluster: ClusterRecords, heartbeat: messages.WorkerHeartbeat, now: float, acting: bool = True, fresh: bool = True
 ) -> list[messages.Command] | None:
     """Take a report in; the orders for the answer, or None if it must not be answered with 200.
     Without `acting` (standstill) there are no orders; without a `fresh` view of the jobs, no starts."""
@@ -72,17 +72,17 @@
         machine.relearn |= not known and heartbeat.fencing_token == cluster.term
         _sync(cluster, machine, heartbeat, follows or not machine.relearn, now)
     else:
-        # One that does not follow is no proof of the contrary: reports cross with direct answers, and a worker
-        # that was led here comes from elsewhere. Found on a measured day: a sixth of the machines, and after a
-        # takeover half, stood aside for a report interval each time.
-        machine.reachable = follows or (machine.reachable and now - machine.proved_at <= cluster.unreachable_after_s)
+        # One that does not follow is no proof of the contrary: heartbeats cross with answers to direct calls, and a
+        # worker that was led here comes from elsewhere. Guards against many machines standing aside at once.
+        proof_is_recent = now - machine.proved_at <= cluster.leases.unreachable_after_s
+        machine.reachable = follows or (machine.reachable and proof_is_recent)
     if follows:
         machine.proved_at = now
     cluster.heard_at = now
     if (
         not machine.token_acknowledged
         and machine.first_at is not None
-        and now - machine.first_at > cluster.unreachable_after_s
+        and now - machine.first_at > cluster.leases.unreachable_after_s
     ):
         # Its reports arrive, our answers do not. Unanswered, its lease can run out, which is a proof.
         _reconcile(cluster, machine, heartbeat, now, True)
@@ -92,7 +92,7 @@
     return commands(cluster, machine, fresh, now) if acting else []
 
 
-def on_command_response(cluster: ClusterState, heartbeat: messages.WorkerHeartbeat, now: float) -> None:
+def on_command_response(cluster: ClusterRecords, heartbeat: messages.WorkerHeartbeat, now: float) -> None:
     """A worker's state in its answer to a direct call. It renews no lease, and since it may be older than the
     answer to a report in flight, what it lacks may yet be started: absence proves less than in a report."""
     if heartbeat.fencing_token > cluster.term or cluster.tombstones.covers(
@@ -120,7 +120,7 @@
     _reconcile(cluster, machine, heartbeat, now, False)
 
 
-def _newer(cluster: ClusterState, machine: Machine, heartbeat: messages.WorkerHeartbeat, now: float) -> None:
+def _newer(cluster: ClusterRecords, machine: Machine, heartbeat: messages.WorkerHeartbeat, now: float) -> None:
     """Incarnation, serial and notice of a message that is newer than all before."""
     machine.addr = heartbeat.addr or machine.addr
     if heartbeat.incarnation > machine.incarnation:
@@ -144,7 +144,7 @@
 
 
 def _sync(
-    cluster: ClusterState,
+    cluster: ClusterRecords,
     machine: Machine,
     heartbeat: messages.WorkerHeartbeat,
     reachable: bool,
@@ -164,12 +164,12 @@
     cluster.confirm(machine.name, "direct answer" if direct else "report", now)
     cluster.machines_with_pending_commands[machine.name] = machine
     if not machine.registered:
-        cluster.pending_writes.registrations[machine.name] = machine
+        cluster.pending_writes.registration_due(machine)
     cluster.wake_scheduler = True
 
 
 def _reconcile(
-    cluster: ClusterState, machine: Machine, heartbeat: messages.WorkerHeartbeat, now: float, proper: bool
+    cluster: ClusterRecords, machine: Machine, heartbeat: messages.WorkerHeartbeat, now: float, proper: bool
 ) -> None:
     """Take over what the worker says of its tasks; `proper`: in a report, not in a direct answer."""
     attempts = machine.attempts
@@ -194,7 +194,7 @@
             attempt.located = True
 
 
-def _found(cluster: ClusterState, machine: Machine, item: messages.TaskStatus, now: float) -> Attempt | None:
+def _found(cluster: ClusterRecords, machine: Machine, item: messages.TaskStatus, now: float) -> Attempt | None:
     """An attempt that an earlier leader started: it is adopted, or stopped if its job is over or not known."""
     try:
         job_id, index = item.split()
@@ -212,7 +212,7 @@
     return attempt
 
 
-def _take_phase(cluster: ClusterState, attempt: Attempt, item: messages.TaskStatus, now: float) -> None:
+def _take_phase(cluster: ClusterRecords, attempt: Attempt, item: messages.TaskStatus, now: float) -> None:
     machine = attempt.machine
     if not attempt.confirmed:
         attempt.confirmed = True
@@ -231,11 +231,11 @@
         log_attempt(log, "runs", attempt, after_bind_s=now - attempt.created)
         if attempt.spec is not None:
             cluster.index.hold_image(machine, attempt.spec)
-            cluster.pending_writes.records.add(attempt.job_id)
+            cluster.pending_writes.record_due(attempt.job_id)
 
 
 def _drop_absent(
-    cluster: ClusterState, machine: Machine, heartbeat: messages.WorkerHeartbeat, now: float, proper: bool
+    cluster: ClusterRecords, machine: Machine, heartbeat: messages.WorkerHeartbeat, now: float, proper: bool
 ) -> None:
     """Attempts that a message doesn't name: gone, if their absence proves it."""
     names = {(item.task_id, item.attempt_number) for item in heartbeat.tasks}
@@ -248,7 +248,7 @@
             cluster.unbind(attempt, now)
 
 
-def _exited(cluster: ClusterState, attempt: Attempt, item: messages.TaskStatus, now: float) -> None:
+def _exited(cluster: ClusterRecords, attempt: Attempt, item: messages.TaskStatus, now: float) -> None:
     cluster.attempts.count_unknown(attempt, -1)
     attempt.exited = True
     attempt.phase = "exited"
@@ -261,7 +261,7 @@
             for index in range(job.spec.task_count) if job.spec.is_gang else (attempt.index,):
                 if job.done.add(index):
                     job.unrecorded_parts.add(index // constants.PART_SHARDS)
-                    cluster.pending_writes.records.add(attempt.job_id)
+                    cluster.pending_writes.record_due(attempt.job_id)
                     cluster.job_changed(attempt.job_id)
             _accuse(cluster, job, job.failures.success(machine.name))
         else:
@@ -294,7 +294,7 @@
         _failed(cluster, job, machine, now)
 
 
-def _failed(cluster: ClusterState, job: Job, machine: Machine, now: float) -> None:
+def _failed(cluster: ClusterRecords, job: Job, machine: Machine, now: float) -> None:
     """Guards against jobs that fail wherever they run: their failures must not cost machines their good name."""
     failures = job.failures
     if job.spec.is_service:
@@ -310,7 +310,7 @@
         job.note(f"failed on all {len(failures.machines)} machines tried; next try in {wait_s:.0f} s")
 
 
-def _accuse(cluster: ClusterState, job: Job, names: set[str]) -> None:
+def _accuse(cluster: ClusterRecords, job: Job, names: set[str]) -> None:
     """The job failed on these machines and succeeded on another. A machine that several jobs blame is quarantined."""
     for name in names:
         machine = cluster.machines.get(name)
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -6,8 +6,8 @@
 
 from sorrelsill import constants
 from sorrelsill.model import JobSpec, TaskSet
-from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.failures import FailureHistory
+from sorrelsill.workers.machine import Attempt
 
 
 class Job:
--- /dev/null
+++ b/sorrelsill/workers/largest_gangs.py
@@ -0,0 +1,37 @@
+"""The largest gang of each job class in this term: how much room is kept free for the next one is derived from it."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
+
+from sorrelsill import constants
+
+if TYPE_CHECKING:
+    from sorrelsill.model import JobSpec
+
+
+class LargestGangs:
+    """By job class, the gang with the most CPUs in all."""
+
+    def __init__(self) -> None:
+        self._by_class: dict[str, JobSpec] = {}
+
+    def add(self, spec: JobSpec) -> None:
+        """A gang was submitted."""
+        largest = self._by_class.get(spec.job_class)
+        if largest is None or _total_cpus(largest) < _total_cpus(spec):
+            self._by_class[spec.job_class] = spec
+
+    def get(self, job_class: str) -> JobSpec | None:
+        """The largest gang of a class, or None if there was none."""
+        return self._by_class.get(job_class)
+
+    def headroom_cpus(self, classes: Iterable[str]) -> float:
+        """CPUs for one more gang of each of these classes, as large as the largest seen."""
+        largest = (self._by_class.get(name) for name in classes)
+        return constants.GANG_HEADROOM * sum(_total_cpus(spec) for spec in largest if spec is not None)
+
+
+def _total_cpus(spec: JobSpec) -> float:
+    return spec.cpus * spec.task_count
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -1,13 +1,16 @@
-"""A machine as the leader knows it: its incarnation, what is bound to it, and whether it may be given work."""
+"""A machine as the leader knows it, and the attempts that are bound to it: the two refer to each other.
+
+A machine has its incarnation, what is bound to it, and whether it may be given work; an attempt is followed from the
+binding to the proof that it is gone."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, Generic, TypeVar, overload
 
 from sorrelsill.constants import AMOUNT_TOLERANCE
-from sorrelsill.workers.attempt import Attempt
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
@@ -46,6 +49,40 @@
     """For machines that stand in no index."""
 
 
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One try of one task on one machine."""
+
+    job_id: str
+    index: int
+    attempt_number: int
+    machine: Machine
+    spec: JobSpec | None  # None: a task of a job that is over or unknown; it is only to be stopped
+    created: float
+    phase: str = "sent"  # until the worker has reported it
+    confirmed: bool = False
+    located: bool = False  # on its machine for certain, and not a phantom out of a late copy of a report
+    stop_requested: bool = False
+    grace_period_s: float = 0.0
+    running_since: float | None = None
+    stop_reason: str = ""
+    exited: bool = False
+    unanswered_starts: int = 0  # direct starts of it that are unanswered: they may still be executed
+    start_sent: bool = False
+    stop_sent: bool = False
+    clearable: bool = False
+    clear_after: float = float("-inf")  # a repeat of its direct start would run it again once it is cleared
+    task_id: str = ""
+
+    def __post_init__(self) -> None:
+        self.task_id = f"{self.job_id}/{self.index}"
+
+    @property
+    def key(self) -> tuple[str, int]:
+        """Its task and attempt number, which no other attempt shares."""
+        return self.task_id, self.attempt_number
+
+
 class Machine:
     """A machine and what is bound to it."""
 
