--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -2,8 +2,8 @@
 
 from sorrelsill.workers.cluster_state import ClusterState
 from sorrelsill.workers.command_sender import CallLimits, CommandSender
+from sorrelsill.workers.errors import FencedError, InvalidHeartbeatError, WorkersError
 from sorrelsill.workers.gangs import enforce_gang_completeness, gang_loss
-from sorrelsill.workers.heartbeats import FencedError
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Attempt, Machine
 from sorrelsill.workers.machine_index import MachineIndex
@@ -11,7 +11,6 @@
 from sorrelsill.workers.messages import (
     Command,
     HeartbeatResponse,
-    InvalidHeartbeatError,
     StopCommand,
     WorkerHeartbeat,
     parse_heartbeat,
@@ -33,6 +32,7 @@
     "CommandSender",
     "WorkerHeartbeat",
     "FencedError",
+    "WorkersError",
     "TeamUse",
     "gang_loss",
     "Command",
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -82,7 +82,7 @@
     """A task of a job that is over. It takes room and counts toward its team's limit like any other, until it is proved
     gone."""
     _take_room(cluster, attempt, ended)
-    ended.found(attempt.index)
+    ended.mark_observed(attempt.index)
     cluster.failover.recount()
     cluster.request_stop(attempt, "its job is over")
 
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -129,7 +129,7 @@
         if not self.failover.reconciled(job):
             ended = self.failover.add_ended_job(job.spec, job.done.copy())
             for index in job.bound:
-                ended.found(index)
+                ended.mark_observed(index)
         for attempt in self.attempts.of_job(job_id):
             if attempt.exited:
                 attempt.clearable = True
@@ -158,7 +158,7 @@
     def bind(self, job: Job, index: int, machine: Machine, now: float, attempt_number: int | None = None) -> Attempt:
         """Bind a task to a machine; a group's tasks are given the attempt number by which they find each other."""
         attempt = Attempt(job.spec.job_id, index, attempt_number or self.next_attempt_number(), machine, job.spec, now)
-        attempt.located = True
+        attempt.verified = True
         self._attach(attempt, job)
         self.machines_with_pending_commands[machine.name] = machine
         if self.first_bound_at is None:
@@ -212,8 +212,8 @@
         self.bound_usage.give_back(spec)
         self.index.room_changed(machine)
         ended = self.failover.ended.get(spec.job_id)
-        if ended is not None and not attempt.located:
-            ended.lost_sight(attempt.index)
+        if ended is not None and not attempt.verified:
+            ended.mark_unobserved(attempt.index)
         job = self.jobs.get(spec.job_id)
         if job is not None and job.bound.get(attempt.index) is attempt:
             del job.bound[attempt.index]
@@ -290,7 +290,7 @@
             self.release_all(machine, now, reason)
             self.index.forget(machine)
         self._forget(name)
-        self.tombstones.bury_for_good(name, now)
+        self.tombstones.record_forever(name, now)
         self.confirm(name, reason, now)
         self.pending_writes.deregistration_due(name)
         self.wake_scheduler = True
@@ -300,7 +300,7 @@
         del self.machines[machine.name]
         self.index.forget(machine)
         self._forget(machine.name)
-        self.tombstones.bury(machine.name, machine.incarnation, machine.sequence_number, now)
+        self.tombstones.record(machine.name, machine.incarnation, machine.sequence_number, now)
 
     def _forget(self, name: str) -> None:
         for index in (
--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -16,11 +16,13 @@
 import trio
 
 from sorrelsill import constants
+from sorrelsill.events import log_event
 from sorrelsill.http import Client, NoAnswerError, NotSentError
 from sorrelsill.settings import split_addr
 from sorrelsill.timers import Timers
 from sorrelsill.workers.commands import direct_commands_answered, has_direct_commands, take_direct_commands
-from sorrelsill.workers.messages import DirectCommands, InvalidHeartbeatError, parse_heartbeat
+from sorrelsill.workers.errors import InvalidHeartbeatError
+from sorrelsill.workers.messages import DirectCommands, parse_heartbeat
 
 if TYPE_CHECKING:
     from sorrelsill.workers.cluster_state import ClusterState
@@ -158,19 +160,19 @@
                 )
             except NotSentError as error:
                 direct_commands_answered(attempts)
-                self._later(machine.name, str(error))
+                self._pause_calls(machine.name, str(error))
                 return
             except NoAnswerError as error:
                 # The attempts stay loose, and the machine gets no more work before it has shown that it hears.
                 machine.reachable = False
-                self._later(machine.name, str(error))
+                self._pause_calls(machine.name, str(error))
                 return
             if status in (200, 400, 409):
                 self._failed.pop(machine.name, None)
                 direct_commands_answered(attempts)
                 self._take(cluster, raw)
             else:
-                self._later(machine.name, f"status {status}")
+                self._pause_calls(machine.name, f"status {status}")
         finally:
             self._busy.discard(machine.name)
             if has_direct_commands(cluster, machine, True):
@@ -195,7 +197,7 @@
             if status in (200, 409):
                 self._take(cluster, raw)
         except (NotSentError, NoAnswerError, InvalidHeartbeatError) as error:
-            self._later(name, str(error))
+            self._pause_calls(name, str(error))
         finally:
             self._busy.discard(name)
             self._probing -= 1
@@ -207,7 +209,7 @@
         try:
             heartbeat = parse_heartbeat(raw)
         except InvalidHeartbeatError as error:
-            log.info("a worker's answer: %s", error)
+            log_event(log, logging.INFO, "invalid_command_response", error=error)
             return
         if self._valid():
             cluster.on_command_response(heartbeat, trio.current_time())
@@ -218,8 +220,8 @@
         failed = self._failed.get(name)
         return failed is not None and now < failed[0] + failed[1] and seen_at <= failed[0]
 
-    def _later(self, name: str, why: str) -> None:
-        log.debug("%s not reached: %s", name, why)
+    def _pause_calls(self, name: str, reason: str) -> None:
+        log_event(log, logging.DEBUG, "machine_not_reached", machine=name, error=reason)
         now = trio.current_time()
         _, pause = self._failed.get(name, (now, constants.COMMAND_BACKOFF_S / 2))
         self._failed[name] = now, min(constants.COMMAND_BACKOFF_MAX_S, 2 * pause)
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -4,16 +4,16 @@
 
 from typing import TYPE_CHECKING
 
-from sorrelsill.workers import messages
+from sorrelsill.workers.messages import ClearCommand, Command, StartCommand, StopCommand, TaskPhase
 
 if TYPE_CHECKING:
     from sorrelsill.workers.cluster_records import ClusterRecords
     from sorrelsill.workers.machine import Attempt, Machine
 
 
-def commands(cluster: ClusterRecords, machine: Machine, fresh: bool, now: float) -> list[messages.Command]:
+def commands(cluster: ClusterRecords, machine: Machine, fresh: bool, now: float) -> list[Command]:
     """The difference between what is wanted on a machine and what its worker reported."""
-    out: list[messages.Command] = []
+    out: list[Command] = []
     for attempt in machine.attempts.values():
         if attempt.exited:
             # Only once no older leader can order a start any more: a repeated start after
@@ -24,15 +24,15 @@
                 and not attempt.unanswered_starts
                 and now >= attempt.clear_after
             ):
-                out.append(messages.ClearCommand(attempt.task_id, attempt.attempt_number))
+                out.append(ClearCommand(attempt.task_id, attempt.attempt_number))
         elif attempt.stop_requested:
             if attempt.unanswered_starts and not attempt.confirmed and machine.token_acknowledged:
                 # Get it onto the worker first: a late direct start then finds the attempt ended
                 # there, and has no effect.
-                out.append(messages.StartCommand(attempt.task_id, attempt.attempt_number))
-                out.append(messages.StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
-            elif attempt.confirmed and (attempt.phase != "saving" or attempt.grace_period_s == 0):
-                out.append(messages.StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
+                out.append(StartCommand(attempt.task_id, attempt.attempt_number))
+                out.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
+            elif attempt.confirmed and (attempt.phase != TaskPhase.CHECKPOINTING or attempt.grace_period_s == 0):
+                out.append(StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
         elif (
             fresh
             and not attempt.confirmed
@@ -40,7 +40,7 @@
             and machine.token_acknowledged
             and attempt.job_id in cluster.jobs
         ):
-            out.append(messages.StartCommand(attempt.task_id, attempt.attempt_number))
+            out.append(StartCommand(attempt.task_id, attempt.attempt_number))
     return out
 
 
@@ -53,7 +53,7 @@
     if attempt.exited:
         return False
     if attempt.stop_requested:
-        return attempt.confirmed and not attempt.stop_sent and attempt.phase != "saving"
+        return attempt.confirmed and not attempt.stop_sent and attempt.phase != TaskPhase.CHECKPOINTING
     return (
         fresh
         and not attempt.confirmed
@@ -63,24 +63,22 @@
     )
 
 
-def take_direct_commands(
-    cluster: ClusterRecords, machine: Machine, fresh: bool
-) -> tuple[list[messages.Command], list[Attempt]]:
+def take_direct_commands(cluster: ClusterRecords, machine: Machine, fresh: bool) -> tuple[list[Command], list[Attempt]]:
     """Commands not sent yet, for one direct call, and the attempts that it starts: until it is answered these may start
     at any time."""
-    taken: list[messages.Command] = []
+    taken: list[Command] = []
     started: list[Attempt] = []
     for attempt in machine.attempts.values():
         if not _direct(cluster, attempt, fresh):
             continue
         if attempt.stop_requested:
             attempt.stop_sent = True
-            taken.append(messages.StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
+            taken.append(StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
         else:
             attempt.start_sent = True
             attempt.unanswered_starts += 1
             started.append(attempt)
-            taken.append(messages.StartCommand(attempt.task_id, attempt.attempt_number))
+            taken.append(StartCommand(attempt.task_id, attempt.attempt_number))
     return taken, started
 
 
--- a/sorrelsill/workers/ended_jobs.py
+++ b/sorrelsill/workers/ended_jobs.py
@@ -9,7 +9,7 @@
 
 
 class EndedJob:
-    """A job that is over, and which of its tasks may run unseen. Every task is counted once: those on machines that
+    """A job that is over, and which of its tasks may run unobserved. Every task is counted once: those on machines that
     were heard are bound there like any other, with the size that its spec tells."""
 
     __slots__ = ("_accounted", "spec")
@@ -19,16 +19,16 @@
         self._accounted = accounted  # tasks that are done, gone, or on a machine that was heard
 
     @property
-    def unseen(self) -> int:
+    def unobserved_count(self) -> int:
         """Tasks that may run on machines that were not heard."""
         return self.spec.task_count - self._accounted.count
 
-    def found(self, index: int) -> None:
+    def mark_observed(self, index: int) -> None:
         """The task is on a machine that was heard, so on no other."""
         if 0 <= index < self.spec.task_count:
             self._accounted.add(index)
 
-    def lost_sight(self, index: int) -> None:
-        """What was found was a phantom out of a late copy of a report: the true task may be anywhere."""
+    def mark_unobserved(self, index: int) -> None:
+        """What was found was a stale copy out of a late heartbeat: the true task may be anywhere."""
         if 0 <= index < self.spec.task_count:
             self._accounted.discard(index)
--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -139,10 +139,10 @@
         by_team: dict[str, Resources] = {}
         for ended in self.ended.values():
             if self._may_be_unheard(ended.spec):
-                _add(by_team, ended.spec, ended.unseen)
+                _add(by_team, ended.spec, ended.unobserved_count)
         for job in jobs.values():
             if not self.reconciled(job):
-                _add(by_team, job.spec, job.unknown)
+                _add(by_team, job.spec, job.unobserved_count)
         return _Unobserved({team: amount.at_most(size) for team, amount in by_team.items()}, NOTHING)
 
 
--- a/sorrelsill/workers/gangs.py
+++ b/sorrelsill/workers/gangs.py
@@ -11,6 +11,8 @@
 from typing import TYPE_CHECKING
 
 from sorrelsill import constants
+from sorrelsill.events import log_event
+from sorrelsill.workers.messages import TaskPhase
 
 if TYPE_CHECKING:
     from sorrelsill.workers.cluster_records import ClusterRecords
@@ -30,10 +32,10 @@
     tasks = list(job.bound.values())
     if all(a.stop_requested for a in tasks):
         return
-    if any(a.phase == "saving" for a in tasks):
+    if any(a.phase == TaskPhase.CHECKPOINTING for a in tasks):
         # A leader before us began to stop it in order and did not get to tell all: told in time they save together,
         # and the group has made no progress since the first was told.
-        log.info("%s: an earlier leader began to stop it, the rest are told", job.spec.job_id)
+        log_event(log, logging.INFO, "stop_of_gang_continued", job=job.spec.job_id)
         stop_gang(cluster, job, "stopped by an earlier leader", False)
         return
     if not cluster.failover.reconciled(job):
@@ -63,14 +65,14 @@
     return (
         job.spec.checkpoint_interval_s > 0
         and len(job.bound) == job.spec.task_count
-        and all(a.phase == "running" and not a.stop_requested for a in job.bound.values())
+        and all(a.phase == TaskPhase.RUNNING and not a.stop_requested for a in job.bound.values())
         and all_machines_reachable(job)
     )
 
 
 def stop_gang(cluster: ClusterRecords, job: Job, reason: str, immediately: bool) -> None:
     """Stop a group: in order, so that its progress is kept, if all can be told; else at once."""
-    saving = any(a.phase == "saving" for a in job.bound.values())
+    saving = any(a.phase == TaskPhase.CHECKPOINTING for a in job.bound.values())
     orderly = not immediately and (can_checkpoint(job) or saving and job.spec.checkpoint_interval_s > 0)
     for attempt in list(job.bound.values()):
         cluster.stop_one(attempt, reason, not orderly, cluster.peer_s if orderly else 0.0)
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -8,6 +8,7 @@
 from sorrelsill.model import JobSpec, TaskSet
 from sorrelsill.workers.failures import FailureHistory
 from sorrelsill.workers.machine import Attempt
+from sorrelsill.workers.messages import TaskPhase
 
 
 class Job:
@@ -52,9 +53,8 @@
         self.requeued: list[int] = []
         self.failures = FailureHistory(succeeded=done.count > 0)
         self.avoid: dict[str, float] = {}
-        self.unrecorded_parts: set[int] = (
-            set()
-        )  # of its finished tasks, `PART_SHARDS` to a part, what is not recorded yet
+        # Of its finished tasks, `PART_SHARDS` to a part, the parts that are not recorded yet.
+        self.unrecorded_parts: set[int] = set()
         self.chunked = spec.task_count > constants.CHUNK_SHARDS  # its finished tasks are kept beside its record
         self.recorded_running = 0  # tasks that run, as the record says
         self.recorded_at = now
@@ -66,7 +66,7 @@
         return self.spec.task_count - self.done.count - len(self.bound)
 
     @property
-    def unknown(self) -> int:
+    def unobserved_count(self) -> int:
         """Tasks neither done nor bound; unlike `waiting` exact for those that are both."""
         return self.spec.task_count - self.done.count - sum(1 for index in self.bound if index not in self.done)
 
@@ -90,8 +90,8 @@
         return constants.TRIAL_TASKS - bound if self.failures.suspect(bound) else self.spec.task_count
 
     def running(self) -> int:
-        """A task of a group that waits for the others does not run."""
-        return sum(1 for a in self.bound.values() if a.phase in ("running", "saving"))
+        """Tasks that make progress or save it. A task of a gang that waits for the others does not run."""
+        return sum(1 for a in self.bound.values() if a.phase in (TaskPhase.RUNNING, TaskPhase.CHECKPOINTING))
 
     def note(self, text: str) -> None:
         """Tell its users why tasks stopped or wait; the newest notes are kept."""
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -45,9 +45,9 @@
 
 def _declare_lost(cluster: ClusterRecords, machine: Machine, now: float) -> None:
     machine.lease_expired = True
-    machine.token_acknowledged = machine.reachable = machine.located = False
-    machine.relearn = True
-    machine.first_at = None
+    machine.token_acknowledged = machine.reachable = machine.attempts_verified = False
+    machine.token_may_be_inherited = True
+    machine.unacknowledged_since = None
     machine.registered = False
     cluster.release_all(machine, now, "machine silent, work lost")
     cluster.confirm(machine.name, "lease over", now)
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -11,6 +11,7 @@
 from typing import TYPE_CHECKING, Generic, TypeVar, overload
 
 from sorrelsill.constants import AMOUNT_TOLERANCE
+from sorrelsill.workers.messages import TaskPhase
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
@@ -29,8 +30,8 @@
         self._name = name
 
     if TYPE_CHECKING:
-        # There is none: a descriptor that only sets leaves reading to the instance, which costs no call. Reports read
-        # these fields thousands of times a second.
+        # There is none: a descriptor that only sets leaves reading to the instance, which costs no call. These fields
+        # are read thousands of times a second, for each heartbeat.
         @overload
         def __get__(self, machine: None, owner: type) -> _Condition[_T]: ...
 
@@ -51,7 +52,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of one task on one machine."""
+    """One attempt of one task on one machine."""
 
     job_id: str
     index: int
@@ -59,9 +60,10 @@
     machine: Machine
     spec: JobSpec | None  # None: a task of a job that is over or unknown; it is only to be stopped
     created: float
-    phase: str = "sent"  # until the worker has reported it
-    confirmed: bool = False
-    located: bool = False  # on its machine for certain, and not a phantom out of a late copy of a report
+    phase: TaskPhase = TaskPhase.SENT
+    reported_phase: str = ""  # the worker's word for it: the same word again tells nothing new
+    confirmed: bool = False  # the worker has named it
+    verified: bool = False  # on its machine for certain, and not a stale copy out of a late heartbeat
     stop_requested: bool = False
     grace_period_s: float = 0.0
     running_since: float | None = None
@@ -86,22 +88,19 @@
 class Machine:
     """A machine and what is bound to it."""
 
-    token_acknowledged = _Condition(
-        False
-    )  # has reported our term as its highest fencing token: no older leader can order it about
+    # It has shown our term as its highest fencing token: no older leader can command it.
+    token_acknowledged = _Condition(False)
     reachable = _Condition(False)  # has shown in this incarnation that answers or commands reach it
-    registered = _Condition(False)  # its roster key is committed
+    registered = _Condition(False)  # its registry entry is committed
     lease_expired = _Condition(False)  # its incarnation's lease has run out; only a later incarnation is believed
-    heartbeat_overdue = _Condition(
-        False
-    )  # its report is late, so it may hang or be cut off: no new work before the next one
+    # It may hang or be cut off: no new work before its next heartbeat.
+    heartbeat_overdue = _Condition(False)
     draining = _Condition(False)
     returning = _Condition(False)
     quarantined = _Condition(False)
-    holds_tasks_of_unknown_size = _Condition(
-        False
-    )  # holds tasks of jobs that are not known: how much they take can't be told
-    spot_reclaim_at: _Condition[float | None] = _Condition(None)  # when the cloud takes it away
+    # It holds tasks of jobs that are not known: how much room they take can't be told.
+    holds_tasks_of_unknown_size = _Condition(False)
+    spot_reclaim_at: _Condition[float | None] = _Condition(None)  # when the cloud reclaims it
 
     def __init__(
         self, name: str, idle_since: float = 0.0, on_usable_changed: Callable[[Machine], None] = _ignore
@@ -116,18 +115,19 @@
         self.addr = ""
         self.incarnation = 0
         self.sequence_number = -1
-        self.heartbeat_sequence_number = -1  # of the last report proper; direct answers carry numbers of the same count
-        self.has_sent_heartbeat = False  # has sent a report in this term
-        self.seen_at = float("-inf")  # when it last reported; before its first report in this term, when first met
-        self.proved_at = float("-inf")  # when it last showed that answers or commands reach it
-        self.relearn = (
-            False  # our fencing token may be known to it from an earlier incarnation: showing it proves no hearing
-        )
-        self.first_at: float | None = None  # receipt of the first report since it is not synced
-        self.lease_renewed_at: float | None = None  # receipt of the last report that we answered
-        self.located = (
-            False  # its attempts are on it for certain: it reported them with our term as its highest fencing token
-        )
+        # Of the last heartbeat; answers to direct calls are numbered in the same sequence.
+        self.heartbeat_sequence_number = -1
+        self.has_sent_heartbeat = False  # in this term
+        # When its last heartbeat came; before its first one in this term, when it was first met.
+        self.seen_at = float("-inf")
+        self.reachability_proved_at = float("-inf")  # when it last showed that answers or commands reach it
+        # Our fencing token may be known to it from an earlier incarnation: showing it does not prove that it hears us.
+        self.token_may_be_inherited = False
+        # Receipt of the first heartbeat since its incarnation has to acknowledge our token.
+        self.unacknowledged_since: float | None = None
+        self.lease_renewed_at: float | None = None  # receipt of the last heartbeat that we answered
+        # Its attempts are on it for certain: it named them with our term as its highest fencing token.
+        self.attempts_verified = False
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.bound_count = 0  # attempts that hold room on it
         self.unknown = 0  # tasks on it of jobs that are over or unknown, not yet gone
@@ -136,7 +136,7 @@
         self.images: OrderedDict[str, float] = OrderedDict()
         self.fetching: set[str] = set()  # images that tasks on it wait for
         self.idle_since = idle_since
-        self.accused_by: set[str] = set()  # jobs that failed here and succeeded elsewhere
+        self.blamed_by_jobs: set[str] = set()  # jobs that failed here and succeeded elsewhere
 
     def update_usable(self) -> None:
         """Work out anew whether the machine may be given work, and tell the indices of a change."""
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -2,27 +2,68 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 
-PEERS, ALONE = "peers", "alone"  # why a group's task exited: another one is gone, or the group was never complete
+from sorrelsill.workers.errors import InvalidHeartbeatError
+
+
+class TaskPhase(StrEnum):
+    """How far an attempt is; the values are those of the wire. A phase that is not known leads to no decision."""
+
+    SENT = "sent"  # until the worker has named it
+    FETCHING = "pulling"
+    WAITING = "waiting"
+    RUNNING = "running"
+    CHECKPOINTING = "saving"
+    EXITED = "exited"
+    UNKNOWN = "unknown"
+
+    @classmethod
+    def _missing_(cls, value: object) -> TaskPhase:
+        return cls.UNKNOWN
 
 
-class InvalidHeartbeatError(Exception):
-    """The body is no report."""
+class ExitCause(StrEnum):
+    """Why a task exited, as far as decisions depend on it; the values are those of the wire."""
+
+    DONE = "done"
+    STOPPED = "halted"
+    ERROR = "error"
+    PEER_LOST = "peers"  # another task of its gang is gone
+    GANG_INCOMPLETE = "alone"  # its gang was never complete
+    UNKNOWN = "unknown"
+
+    @classmethod
+    def _missing_(cls, value: object) -> ExitCause:
+        return cls.UNKNOWN
 
 
 class TaskStatus(msgspec.Struct):
-    """A task in a worker's report, under the names of the wire."""
+    """A task in a worker's heartbeat."""
 
     task_id: str = msgspec.field(name="shard")
     attempt_number: int = msgspec.field(name="tryNo")
-    phase: str
+    phase: str  # as it came: any text is accepted, and comparing it costs nothing
     exit_cause: str | None = msgspec.field(name="exitCause", default=None)
     saved: bool | None = None
 
+    def known_phase(self) -> TaskPhase:
+        """The phase, or UNKNOWN."""
+        return TaskPhase(self.phase)
+
+    def known_exit_cause(self) -> ExitCause:
+        """The cause, or UNKNOWN."""
+        return ExitCause(self.exit_cause_text())
+
+    def exit_cause_text(self) -> str:
+        """The worker's word for the cause, for notes to users."""
+        return self.exit_cause or ExitCause.UNKNOWN.value
+
     def split(self) -> tuple[str, int]:
-        """Job and task number; ValueError if it is no task's name. Asked only for attempts not known yet, since
-        a report names the same tasks again and again."""
+        """Job and index of the task. Called only for attempts not known yet, since a heartbeat names the same tasks
+        again and again. Raises ValueError if it is not the name of a task."""
         job_id, slash, index = self.task_id.rpartition("/")
         if not slash or not index.isdecimal():
             raise ValueError(f"not a task: {self.task_id[:80]!r}")
@@ -30,7 +71,7 @@
 
 
 class WorkerHeartbeat(msgspec.Struct):
-    """What a worker says of its machine: in a report, or in its answer to a direct call."""
+    """What a worker says of its machine: in a heartbeat, or in its answer to a direct call."""
 
     machine: str = msgspec.field(name="host")
     incarnation: int = msgspec.field(name="tenure")
@@ -48,7 +89,7 @@
 
 
 def parse_heartbeat(body: bytes) -> WorkerHeartbeat:
-    """Decode a worker's report, or raise BadReport."""
+    """Decode a worker's heartbeat. Raises InvalidHeartbeatError."""
     try:
         return _decoder.decode(body)
     except (msgspec.DecodeError, ValueError) as error:
