--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -213,7 +213,7 @@
             return
         if (
             machine.bound_count
-            or machine.unknown
+            or machine.unknown_tasks
             or machine.spot_reclaim_at is not None
             or not machine.token_acknowledged
         ):
@@ -243,7 +243,7 @@
         names = []
         for name in list(self._give_back):
             machine = self._cluster.machines.get(name)
-            if machine is not None and (machine.bound_count or machine.unknown):
+            if machine is not None and (machine.bound_count or machine.unknown_tasks):
                 # It came back to life, with work: it stays.
                 machine.returning = False
                 del self._give_back[name]
--- a/sorrelsill/placement/job_queue.py
+++ b/sorrelsill/placement/job_queue.py
@@ -62,7 +62,7 @@
     def _set_timer(self, job: Job, now: float) -> None:
         moments = [job.submitted + mark_s - job.spec.expected_run_s for mark_s in self._objectives.marks_s(job)]
         if not job.bound:
-            moments.append(job.served_at + constants.AGED_S)
+            moments.append(job.last_activity_at + constants.AGED_S)
         coming = [moment for moment in moments if moment >= now]
         if coming:
             self._timers.set_if_earlier(job.spec.job_id, min(coming))
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -60,8 +60,8 @@
     known = job.bound.get(attempt.index)
     keep = 0 <= attempt.index < job.spec.task_count and attempt.index not in job.done
     if keep and known is not None:
-        # The later attempt was only made once the earlier one was proved gone. So the earlier is a phantom out of a
-        # late copy of a report, and must not cost the true one its place.
+        # The later attempt was only made once the earlier one was proved gone. So the earlier is a stale copy
+        # out of a late heartbeat, and must not cost the true one its place.
         keep = (
             attempt.attempt_number > known.attempt_number and known.attempt_number >> constants.TRY_BITS < cluster.term
         )
@@ -89,6 +89,6 @@
 
 def _take_room(cluster: ClusterRecords, attempt: Attempt, job: Job | EndedJob) -> None:
     """From now on its size is known."""
-    cluster.attempts.count_unknown(attempt, -1)
+    cluster.attempts.count_unknown_task(attempt, -1)
     attempt.spec = job.spec
     cluster.take_room(attempt)
--- a/sorrelsill/workers/attempt_index.py
+++ b/sorrelsill/workers/attempt_index.py
@@ -12,16 +12,16 @@
     """Follows what is entered on machines and leaves them."""
 
     def __init__(self) -> None:
-        # In the order in which they were entered, exited ones too. Guards against plays of one seed that differ: a set
-        # goes by where its members lie in memory.
+        # In the order in which they were entered, exited ones too. Guards against simulations of one seed that differ:
+        # a set goes by where its members lie in memory.
         self.by_job: dict[str, dict[Attempt, None]] = {}
-        self.machines_with_unknown: dict[str, Machine] = {}  # with tasks of jobs that are not known
+        self.machines_with_unknown_tasks: dict[str, Machine] = {}  # with tasks of jobs that are not known
 
     def enter(self, attempt: Attempt) -> None:
         """An attempt is on a machine, as far as is known."""
         attempt.machine.attempts[attempt.key] = attempt
         self.by_job.setdefault(attempt.job_id, {})[attempt] = None
-        self.count_unknown(attempt, 1)
+        self.count_unknown_task(attempt, 1)
 
     def leave(self, attempt: Attempt) -> None:
         """It is on no machine any more, nor reported."""
@@ -32,18 +32,18 @@
             if not mine:
                 del self.by_job[attempt.job_id]
         if not attempt.exited:
-            self.count_unknown(attempt, -1)
+            self.count_unknown_task(attempt, -1)
 
-    def count_unknown(self, attempt: Attempt, change: int) -> None:
+    def count_unknown_task(self, attempt: Attempt, change: int) -> None:
         """Tasks of jobs that are not known still run, and may be of any team."""
         if attempt.spec is not None:
             return
         machine = attempt.machine
-        machine.unknown += change
-        if machine.unknown > 0:
-            self.machines_with_unknown[machine.name] = machine
+        machine.unknown_tasks += change
+        if machine.unknown_tasks > 0:
+            self.machines_with_unknown_tasks[machine.name] = machine
         else:
-            self.machines_with_unknown.pop(machine.name, None)
+            self.machines_with_unknown_tasks.pop(machine.name, None)
             machine.holds_tasks_of_unknown_size = False
 
     def of_job(self, job_id: str) -> list[Attempt]:
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -1,10 +1,10 @@
 """The leader's view of the cluster: jobs, machines, and the attempts bound to machines. Pure: no I/O, time is given.
 
 The rule behind everything: an attempt is bound to (machine, incarnation) from before its start is first sent
-until it is *proved* gone. Proofs are: the worker reports it exited; the worker reports a later incarnation;
-the worker reports without it and its start went only into answers to earlier reports (which a worker
-executes before its next report or drops for good); the machine was returned or is listed as failed; or the
-worker's lease has run out since the last report that was answered. Silence short of that, or absence from
+until it is *proved* gone. Proofs are: a heartbeat names it as exited; a heartbeat shows a later incarnation;
+a heartbeat lacks it and its start went only into answers to earlier heartbeats (which a worker
+executes before its next heartbeat or drops for good); the machine was returned or is listed as failed; or the
+worker's lease has expired since the last heartbeat that was answered. Silence short of that, or absence from
 the machine list, proves nothing. Bound attempts count toward team limits, zones and the machine's room."""
 
 from __future__ import annotations
@@ -85,7 +85,9 @@
 
     def unobserved(self, team: str) -> Resources:
         """What tasks of a team may be using that are not bound here."""
-        return self.failover.unobserved(team, self.jobs, self.catalog, self.attempts.machines_with_unknown.values())
+        return self.failover.unobserved(
+            team, self.jobs, self.catalog, self.attempts.machines_with_unknown_tasks.values()
+        )
 
     # --- jobs ---
 
@@ -96,11 +98,11 @@
         rev: int,
         from_earlier_term: bool,
         submitted: float,
-        why: list[str],
+        notes: list[str],
         accepted: float = 0.0,
     ) -> Job:
         """Enter a live job."""
-        job = Job(spec, done, rev, from_earlier_term, submitted, why)
+        job = Job(spec, done, rev, from_earlier_term, submitted, notes)
         job.accepted = accepted
         self._jobs_added += 1
         job.order = self._jobs_added
@@ -143,7 +145,7 @@
         self._changed_jobs[job_id] = None
 
     def take_changed_jobs(self) -> list[str]:
-        """The jobs that have changed since this was last asked; placing alone asks."""
+        """The jobs that have changed since this was last called; only the scheduler calls it."""
         changed = list(self._changed_jobs)
         self._changed_jobs.clear()
         return changed
@@ -156,14 +158,14 @@
         return (self.term << constants.TRY_BITS) + self._attempts_made
 
     def bind(self, job: Job, index: int, machine: Machine, now: float, attempt_number: int | None = None) -> Attempt:
-        """Bind a task to a machine; a group's tasks are given the attempt number by which they find each other."""
+        """Bind a task to a machine; a gang's tasks are given the attempt number by which they find each other."""
         attempt = Attempt(job.spec.job_id, index, attempt_number or self.next_attempt_number(), machine, job.spec, now)
         attempt.verified = True
         self._attach(attempt, job)
         self.machines_with_pending_commands[machine.name] = machine
         if self.first_bound_at is None:
             self.first_bound_at = now
-        job.served_at = now
+        job.last_activity_at = now
         self.job_changed(job.spec.job_id)
         if job.spec.image not in machine.images:
             machine.fetching.add(job.spec.image)
@@ -204,7 +206,7 @@
             return
         attempt.spec = None
         if self.failover.unconfirmed:
-            self.failover.recount()  # it may have been a phantom out of a late copy, and the true one unseen
+            self.failover.recount()  # it may have been a stale copy, and the true one not observed
         machine.bound_count -= 1
         machine.cpus = max(0.0, machine.cpus - spec.cpus)
         machine.gpus = max(0.0, machine.gpus - spec.gpus)
@@ -218,7 +220,7 @@
         if job is not None and job.bound.get(attempt.index) is attempt:
             del job.bound[attempt.index]
             job.zones[machine.zone] = job.zones.get(machine.zone, 1) - 1
-            job.served_at = now
+            job.last_activity_at = now
             if requeue and attempt.index not in job.done:
                 heapq.heappush(job.requeued, attempt.index)
             self.pending_writes.record_due(spec.job_id)
@@ -279,7 +281,7 @@
         if self.machines.get(machine.name) is machine:
             self.index.usable_changed(machine)
             if machine.usable:
-                # It was overdue or new: its next look is nearer than that for a lease that runs out.
+                # It was overdue or new: its next check is nearer than that for a lease that expires.
                 self.leases.watch(machine)
 
     def gone_for_certain(self, name: str, now: float, reason: str) -> None:
@@ -306,7 +308,7 @@
         for index in (
             self.machines_with_pending_commands,
             self.machines_with_reclaim_notice,
-            self.attempts.machines_with_unknown,
+            self.attempts.machines_with_unknown_tasks,
         ):
             index.pop(name, None)
         self.pending_writes.registration_not_due(name)
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -59,11 +59,11 @@
         rev: int,
         from_earlier_term: bool,
         submitted: float,
-        why: list[str],
+        notes: list[str],
         accepted: float = 0.0,
     ) -> Job:
         """Enter a live job; tasks of it that are on machines already are adopted."""
-        job = super().add_job(spec, done, rev, from_earlier_term, submitted, why, accepted)
+        job = super().add_job(spec, done, rev, from_earlier_term, submitted, notes, accepted)
         adoption.adopt_tasks_of(self, job)
         return job
 
--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -1,8 +1,8 @@
-"""Orders sent straight to workers, so that a start does not wait for the next report.
+"""Commands sent straight to workers, so that a start does not wait for the next heartbeat.
 
-Such an order may be executed minutes late while fencing token and incarnation still match, so an attempt whose direct
-start is unanswered is *loose*: a report without it proves nothing, it is never cleared, and to be rid of it
-the same start goes out again in an answer to a report (which cannot be late), followed by a halt."""
+Such a command may be executed minutes late while fencing token and incarnation still match, so an attempt whose direct
+start is unanswered stays uncertain: a heartbeat without it proves nothing, it is never cleared, and to be rid of it
+the same start goes out again in an answer to a heartbeat (which cannot be late), followed by a stop."""
 
 from __future__ import annotations
 
@@ -20,6 +20,7 @@
 from sorrelsill.http import Client, NoAnswerError, NotSentError
 from sorrelsill.settings import split_addr
 from sorrelsill.timers import Timers
+from sorrelsill.workers.call_pauses import CallPauses
 from sorrelsill.workers.commands import direct_commands_answered, has_direct_commands, take_direct_commands
 from sorrelsill.workers.errors import InvalidHeartbeatError
 from sorrelsill.workers.messages import DirectCommands, parse_heartbeat
@@ -35,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallLimits:
-    """How many calls to workers there may be at a time. Every machine needs a socket of the leader's for its reports,
-    so the quota of sockets grows with the fleet, and with it the probes after a takeover. Commands keep their pace:
-    more of them at a time would only be answered at a time as well."""
+    """How many calls to workers there may be at a time. Every machine needs a socket of the leader's for its
+    heartbeats, so the quota of sockets grows with the fleet, and with it the probes after a failover. Commands keep
+    their pace: more of them at a time would only be answered at a time as well."""
 
     connections: int  # machines to which a connection is kept
     commands: int
@@ -64,8 +65,8 @@
         limits: CallLimits,
         on_response: Callable[[], None] = lambda: None,
     ) -> None:
-        """`on_news` is told after each answer that was taken in."""
-        self._make = client
+        """`on_response` is called after each answer that was taken in."""
+        self._make_client = client
         self._limits = limits
         self._valid = valid
         self._fresh = fresh
@@ -73,24 +74,23 @@
         self._busy: set[str] = set()
         self._probing = 0  # probes in flight ...
         self._repeating = 0  # ... and those of them to machines that did not answer before
-        self._failed: dict[str, tuple[float, float]] = {}  # machine -> when a call failed, and the pause after it
-        self._swept_at = float("-inf")
+        self._pauses = CallPauses()
         self._probed: ClusterState | None = None  # whose machines are probed
         self._not_probed: deque[str] = deque()
         self._probe_again: Timers[str] = Timers()  # when machines that did not answer are probed next
-        self._on_news = on_response
+        self._on_response = on_response
 
     def _client(self, addr: str) -> Client:
         client = self._clients.get(addr)
         if client is None:
-            client = self._clients[addr] = self._make(addr)
+            client = self._clients[addr] = self._make_client(addr)
             while len(self._clients) > self._limits.connections:
                 self._clients.popitem(last=False)[1].close()
         self._clients.move_to_end(addr)
         return client
 
     def start_due(self, cluster: ClusterState, nursery: trio.Nursery) -> None:
-        """Start a call for every machine with orders it was not sent yet."""
+        """Start a call for every machine with commands it was not sent yet."""
         now = trio.current_time()
         if not self._valid():
             return
@@ -98,10 +98,10 @@
         for machine in list(cluster.machines_with_pending_commands.values()):
             if len(self._busy) - self._probing >= self._limits.commands:
                 return
-            if machine.name in self._busy or self._pausing(machine.name, now, machine.seen_at):
+            if machine.name in self._busy or self._pauses.is_paused(machine.name, now, machine.seen_at):
                 continue
-            # What is overdue gets its orders with its next report. Found by reasoning: some fifty machines that hang
-            # at once took all calls for two seconds each, and the healthy ones waited for their reports.
+            # What is overdue gets its commands with its next heartbeat. Guards against some fifty machines that
+            # hang at once taking all calls for two seconds each, while the healthy ones wait for their heartbeats.
             if (
                 machine.heartbeat_overdue
                 or machine.lease_expired
@@ -114,12 +114,12 @@
                 # What becomes due while the call is under way puts the machine back among these.
                 del cluster.machines_with_pending_commands[machine.name]
                 self._busy.add(machine.name)
-                nursery.start_soon(self._push, cluster, machine)
+                nursery.start_soon(self._send_commands, cluster, machine)
 
     def probe_unconfirmed(self, cluster: ClusterState, nursery: trio.Nursery) -> None:
-        """Show our fencing token to the machines of the roster that were not heard yet: an answer is the machine's
+        """Show our fencing token to the registered machines that were not heard yet: an answer is the machine's
         state, with nothing older to come. Each is tried again after a pause that grows; what did not answer before
-        never keeps those from being asked that were not asked yet."""
+        never keeps those from being probed that were not probed yet."""
         if self._probed is not cluster:
             self._probed = cluster
             self._not_probed = deque(cluster.failover.unconfirmed)
@@ -146,7 +146,7 @@
         self._repeating += repeated
         nursery.start_soon(self._probe, cluster, name, addr, repeated)
 
-    async def _push(self, cluster: ClusterState, machine: Machine) -> None:
+    async def _send_commands(self, cluster: ClusterState, machine: Machine) -> None:
         try:
             if not self._valid() or machine.lease_expired:
                 return
@@ -160,19 +160,19 @@
                 )
             except NotSentError as error:
                 direct_commands_answered(attempts)
-                self._pause_calls(machine.name, str(error))
+                self._call_failed(machine.name, str(error))
                 return
             except NoAnswerError as error:
-                # The attempts stay loose, and the machine gets no more work before it has shown that it hears.
+                # The attempts stay uncertain, and the machine gets no more work before it has shown that it hears.
                 machine.reachable = False
-                self._pause_calls(machine.name, str(error))
+                self._call_failed(machine.name, str(error))
                 return
             if status in (200, 400, 409):
-                self._failed.pop(machine.name, None)
+                self._pauses.call_answered(machine.name)
                 direct_commands_answered(attempts)
-                self._take(cluster, raw)
+                self._take_response(cluster, raw)
             else:
-                self._pause_calls(machine.name, f"status {status}")
+                self._call_failed(machine.name, f"status {status}")
         finally:
             self._busy.discard(machine.name)
             if has_direct_commands(cluster, machine, True):
@@ -195,17 +195,17 @@
                 "POST", "/commands", body, constants.COMMAND_TIMEOUT_S, may_send=self._valid
             )
             if status in (200, 409):
-                self._take(cluster, raw)
+                self._take_response(cluster, raw)
         except (NotSentError, NoAnswerError, InvalidHeartbeatError) as error:
-            self._pause_calls(name, str(error))
+            self._call_failed(name, str(error))
         finally:
             self._busy.discard(name)
             self._probing -= 1
             self._repeating -= repeated
             if name in cluster.failover.unconfirmed and self._probed is cluster:
-                self._probe_again.set_if_earlier(name, self._next_try(name))
+                self._probe_again.set_if_earlier(name, self._pauses.retry_at(name, trio.current_time()))
 
-    def _take(self, cluster: ClusterState, raw: bytes) -> None:
+    def _take_response(self, cluster: ClusterState, raw: bytes) -> None:
         try:
             heartbeat = parse_heartbeat(raw)
         except InvalidHeartbeatError as error:
@@ -213,27 +213,11 @@
             return
         if self._valid():
             cluster.on_command_response(heartbeat, trio.current_time())
-            self._on_news()
+            self._on_response()
 
-    def _pausing(self, name: str, now: float, seen_at: float) -> bool:
-        """Whether the machine is still left alone after a call that failed; not once it has reported since."""
-        failed = self._failed.get(name)
-        return failed is not None and now < failed[0] + failed[1] and seen_at <= failed[0]
-
-    def _pause_calls(self, name: str, reason: str) -> None:
+    def _call_failed(self, name: str, reason: str) -> None:
         log_event(log, logging.DEBUG, "machine_not_reached", machine=name, error=reason)
-        now = trio.current_time()
-        _, pause = self._failed.get(name, (now, constants.COMMAND_BACKOFF_S / 2))
-        self._failed[name] = now, min(constants.COMMAND_BACKOFF_MAX_S, 2 * pause)
-        if now >= self._swept_at + constants.COMMAND_BACKOFF_MAX_S:
-            self._swept_at = now
-            kept_since = now - 2 * constants.COMMAND_BACKOFF_MAX_S
-            self._failed = {n: (t, p) for n, (t, p) in self._failed.items() if t > kept_since}
-
-    def _next_try(self, name: str) -> float:
-        """When the machine may be called again."""
-        failed_at, pause = self._failed.get(name, (trio.current_time(), constants.RETRY_S))
-        return failed_at + pause
+        self._pauses.call_failed(name, trio.current_time())
 
 
 def _usable(addr: str) -> bool:
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -1,4 +1,4 @@
-"""The commands that a machine is due: the difference between what is wanted on it and what its worker reported."""
+"""The commands that a machine is due: the difference between what is wanted on it and what its worker has named."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def commands(cluster: ClusterRecords, machine: Machine, fresh: bool, now: float) -> list[Command]:
-    """The difference between what is wanted on a machine and what its worker reported."""
+    """The difference between what is wanted on a machine and what its worker has named."""
     out: list[Command] = []
     for attempt in machine.attempts.values():
         if attempt.exited:
-            # Only once no older leader can order a start any more: a repeated start after
+            # Only once no older leader can send a start any more: a repeated start after
             # `clear` would run the task again.
             if (
                 attempt.clearable
--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -57,7 +57,7 @@
         self._unobserved: _Unobserved | None = None
 
     def recount(self) -> None:
-        """What the counts rest on has changed: work them out anew when they are next asked for."""
+        """What the counts rest on has changed: work them out anew when they are next needed."""
         self._unobserved = None
 
     def expect_machines(self, registered: Iterable[tuple[str, Any]]) -> None:
@@ -67,8 +67,8 @@
             # An entry of an earlier version lacks zone and kind: the machine may be any.
             kind = MachineKind(entry.machine_type, entry.zone, entry.spot)
             if name in self.unconfirmed:
-                # It stands in two parts of the roster. Found by reading: counted twice and heard once, it would have
-                # held back every older job that it may hold for the whole term.
+                # It stands in two parts of the registry. Guards against counting it twice and hearing it once, which
+                # would hold back every older job that it may hold for the whole term.
                 self.confirm(name)
             self.unconfirmed[name] = kind
             self._unconfirmed_kinds[kind] = self._unconfirmed_kinds.get(kind, 0) + 1
@@ -87,8 +87,8 @@
         self._unobserved = None
 
     def forget_ended_jobs(self) -> None:
-        """Once all machines are heard, tasks of these are bound where they are. Not in the middle of a report: the last
-        machine's tasks are still to be found then."""
+        """Once all machines are heard, tasks of these are bound where they are. Not in the middle of a heartbeat: the
+        last machine's tasks are still to be found then."""
         if not self.unconfirmed:
             self.ended.clear()
 
@@ -117,11 +117,11 @@
         """What tasks of a team may be using unseen, which count toward its limit.
 
         On machines not heard yet: what is neither done nor on a heard machine of its jobs, live ones and those lately
-        over, that such a machine may hold; never more than all such machines. Found by reasoning: with their whole size
-        counted for every team, fifty silent machines filled small teams' limits for a lease.
+        over, that such a machine may hold; never more than all such machines. With their whole size
+        counted for every team, fifty silent machines would fill small teams' limits for a lease.
 
-        On machines heard, everything is bound with its own size, tasks of jobs lately over as well. Found in an
-        incident: these were counted by the room left on their machine, which other work took. Of tasks of jobs that are
+        On machines heard, everything is bound with its own size, tasks of jobs lately over as well. Counted by
+        the room left on their machine, other work could take that room. Of tasks of jobs that are
         not known the size can't be told, so that room counts, and the machine takes no work until they are gone."""
         if self._unobserved is None:
             self._unobserved = self._count_unobserved(jobs, catalog)
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -27,26 +27,26 @@
         "recorded_at",
         "requeued",
         "rev",
-        "served_at",
+        "last_activity_at",
         "recorded_running",
         "spec",
         "chunked",
         "submitted",
-        "why",
+        "notes",
         "zones",
     )
 
     def __init__(
-        self, spec: JobSpec, done: TaskSet, rev: int, from_earlier_term: bool, now: float, why: list[str]
+        self, spec: JobSpec, done: TaskSet, rev: int, from_earlier_term: bool, now: float, notes: list[str]
     ) -> None:
         self.spec = spec
         self.done = done
         self.rev = rev
         self.from_earlier_term = from_earlier_term  # an earlier leader may have started tasks of it
         self.submitted = now
-        self.served_at = now  # when a task of it was last bound or ended
+        self.last_activity_at = now  # when a task of it was last bound or ended
         self.accepted = 0.0  # time of day of the submission, as recorded
-        self.why = why
+        self.notes = notes
         self.bound: dict[int, Attempt] = {}
         self.zones: dict[str, int] = {}
         self.cursor = 0
@@ -95,6 +95,6 @@
 
     def note(self, text: str) -> None:
         """Tell its users why tasks stopped or wait; the newest notes are kept."""
-        if not self.why or self.why[-1] != text:
-            self.why.append(text)
-            del self.why[: -constants.WHY_NOTES]
+        if not self.notes or self.notes[-1] != text:
+            self.notes.append(text)
+            del self.notes[: -constants.WHY_NOTES]
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -1,4 +1,4 @@
-"""Work that is lost, or about to be: leases that ran out, workers that are not heard, machines that are taken back."""
+"""Work that is lost, or about to be: leases that expired, workers that are not heard, machines that are reclaimed."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from sorrelsill.workers.stopping import stop
 
 if TYPE_CHECKING:
+    from sorrelsill.model import JobSpec
     from sorrelsill.workers.cluster_records import ClusterRecords
-    from sorrelsill.workers.machine import Machine
+    from sorrelsill.workers.machine import Attempt, Machine
 
 
 def expire_leases(cluster: ClusterRecords, now: float) -> list[Machine]:
@@ -39,7 +40,7 @@
         lost.append(machine)
     for machine in looked_at:
         cluster.leases.watch(machine)
-    _forget_unheard(cluster, now)
+    _confirm_expired_machines(cluster, now)
     return lost
 
 
@@ -54,7 +55,7 @@
     cluster.pending_writes.deregistration_due(machine.name)
 
 
-def _forget_unheard(cluster: ClusterRecords, now: float) -> None:
+def _confirm_expired_machines(cluster: ClusterRecords, now: float) -> None:
     """Registered machines that nobody can have answered for longer than a lease hold no work any more."""
     unconfirmed = cluster.failover.unconfirmed
     if not unconfirmed or now - cluster.leases.renewed_before_term_until() <= cluster.loss_s:
@@ -72,16 +73,14 @@
     proves nothing, and a leader that never heard any is no better replaced."""
     if cluster.heard_at is None or now - max(cluster.heard_at, cluster.renewed_by_others) <= limit:
         return False
-    return (
-        sum(1 for h in cluster.machines.values() if not h.lease_expired and h.lease_renewed_at is not None)
-        >= constants.DEAF_HOSTS
-    )
+    machines = cluster.machines.values()
+    with_lease = sum(1 for m in machines if not m.lease_expired and m.lease_renewed_at is not None)
+    return with_lease >= constants.DEAF_HOSTS
 
 
 def drain(cluster: ClusterRecords, now: float) -> None:
-    """Work on machines that are about to be taken: what saves itself does so as late as is safe; what can't, and
-    won't be through by then, goes at once, and the rest just before the end. Found on a measured day: left to
-    die with its machine it was only known to be lost once a whole lease of silence had passed."""
+    """Stop work on machines that are about to be reclaimed. A task that ended with its machine would only be known to
+    be lost once a whole lease of silence had passed."""
     for machine in cluster.machines_with_reclaim_notice.values():
         if machine.spot_reclaim_at is None or machine.lease_expired:
             continue
@@ -89,17 +88,19 @@
             spec = attempt.spec
             if spec is None or attempt.stop_requested or attempt.exited:
                 continue
-            left = machine.spot_reclaim_at - now
-            if spec.is_gang and attempt.job_id in cluster.gangs:
-                if gang_must_leave(cluster, cluster.gangs[attempt.job_id], left):
-                    stop(cluster, attempt, "machine is taken back")
-                continue
-            if attempt.running_since is None:
-                late = True
-            elif spec.checkpoint_interval_s > 0:
-                late = left <= spec.checkpoint_cost_s + constants.DRAIN_AHEAD_S
-            else:
-                through = attempt.running_since + spec.expected_run_s
-                late = left <= constants.DRAIN_AHEAD_S or spec.is_service or through > machine.spot_reclaim_at
-            if late:
+            if _must_leave(cluster, attempt, spec, machine.spot_reclaim_at, now):
                 stop(cluster, attempt, "machine is taken back")
+
+
+def _must_leave(cluster: ClusterRecords, attempt: Attempt, spec: JobSpec, reclaim_at: float, now: float) -> bool:
+    """What can checkpoint does so as late as is safe; what can't, and won't be complete by then, goes at once, and the
+    rest just before the end."""
+    remaining_s = reclaim_at - now
+    if spec.is_gang and attempt.job_id in cluster.gangs:
+        return gang_must_leave(cluster.gangs[attempt.job_id], remaining_s)
+    if attempt.running_since is None:
+        return True
+    if spec.checkpoint_interval_s > 0:
+        return remaining_s <= spec.checkpoint_cost_s + constants.DRAIN_AHEAD_S
+    complete_at = attempt.running_since + spec.expected_run_s
+    return remaining_s <= constants.DRAIN_AHEAD_S or spec.is_service or complete_at > reclaim_at
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -130,7 +130,7 @@
         self.attempts_verified = False
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.bound_count = 0  # attempts that hold room on it
-        self.unknown = 0  # tasks on it of jobs that are over or unknown, not yet gone
+        self.unknown_tasks = 0  # tasks on it of jobs that are over or unknown, not yet gone
         self.cpus = self.gpus = self.memory_gb = 0.0  # in use
         self.capacity_cpus = self.capacity_gpus = self.capacity_memory_gb = self.cache_gb = 0.0
         self.images: OrderedDict[str, float] = OrderedDict()
--- a/sorrelsill/workers/machine_index.py
+++ b/sorrelsill/workers/machine_index.py
@@ -1,6 +1,6 @@
 """Indices of the machines: which may be given work, how much is free on them, who holds an image, which are idle.
 
-Machines tell when they begin or cease to be usable; whoever changes what is bound to a machine says so. So no part of
+Machines report when they begin or cease to be usable; whoever changes what is bound to a machine says so. So no part of
 the leader walks all machines to find the ones that it wants."""
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
         machine.images.clear()
 
     def take_changed(self) -> list[Machine]:
-        """The machines that have changed since this was last asked; only the demand for machines asks."""
+        """The machines that have changed since this was last called; only the demand for machines calls it."""
         changed = list(self._changed.values())
         self._changed.clear()
         return changed
--- a/sorrelsill/workers/machine_sets.py
+++ b/sorrelsill/workers/machine_sets.py
@@ -1,6 +1,6 @@
 """Sets of machines that can be drawn from at random, and an index of machines by the room that is left on them. Pure.
 
-Placing looks at a sample of the machines; these sets give it one without walking or copying the fleet."""
+The scheduler looks at a sample of the machines; these sets give it one without walking or copying the fleet."""
 
 from __future__ import annotations
 
@@ -154,7 +154,7 @@
                 del self._ordinary[zone]
 
     def ordinary_cpus(self) -> dict[str, float]:
-        """CPUs free on machines that won't be taken back, by zone."""
+        """CPUs free on machines that won't be reclaimed, by zone."""
         return {zone: amount / _MICRO for zone, amount in self._ordinary.items()}
 
     def with_room(self, cpus: float) -> MachineUnion:
--- a/sorrelsill/workers/stopping.py
+++ b/sorrelsill/workers/stopping.py
@@ -12,7 +12,7 @@
 
 
 def stop(cluster: ClusterRecords, attempt: Attempt, reason: str, immediately: bool = False) -> None:
-    """Stop a task to make room or to drain; it saves first unless its room is needed at once. The tasks of a group
+    """Stop a task to make room or to drain; it checkpoints first unless its room is needed at once. The tasks of a gang
     are stopped together."""
     if attempt.stop_requested or attempt.exited:
         return
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -16,7 +16,7 @@
 
 def on_exit(cluster: ClusterRecords, attempt: Attempt, status: TaskStatus, now: float) -> None:
     """The worker says for the first time that the attempt has exited."""
-    cluster.attempts.count_unknown(attempt, -1)
+    cluster.attempts.count_unknown_task(attempt, -1)
     attempt.exited = True
     attempt.phase = TaskPhase.EXITED
     if status.known_exit_cause() is ExitCause.DONE:
--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""Reports in the cluster state: which machines may be given work."""
+"""Heartbeats in the cluster state: which machines may be given work."""
 
 from sorrelsill import constants
 from sorrelsill.model import Catalog, MachineType
@@ -25,7 +25,7 @@
 
 
 def test_a_report_out_of_step_does_not_make_a_machine_stand_aside() -> None:
-    """Found on a measured day: at each crossing of a report with a direct answer it got no work for an interval."""
+    """Else at each crossing of a heartbeat with a direct answer it gets no work for an interval."""
     cluster, machine = cluster_of_one()
     assert machine.usable
     heartbeat(cluster, 9, 3.0)
@@ -68,7 +68,7 @@
 
 
 def greeted() -> tuple[ClusterState, Machine]:
-    """A machine of the roster that a new leader reached directly and that has not reported yet."""
+    """A registered machine that a new leader reached directly and that has sent no heartbeat yet."""
     cluster = ClusterState(7, 0.0, Catalog({"c8": KIND}), 11.5, 2.7, overdue_s=2.25)
     cluster.failover.expect_machines([("m1", {"f": "c8", "a": "10.0.0.9:9000"})])
     answer(cluster, 1, 1.0)
@@ -76,7 +76,7 @@
 
 
 def test_a_session_that_was_only_heard_of_directly_has_a_whole_lease_of_its_own() -> None:
-    """Found on a day of our own (ran_twice): a machine that reached nobody was given work directly in its second
+    """Else (ran_twice) a machine that reaches nobody is given work directly in its second
     incarnation, and taken for lost a lease after the first answer, which came out of its first."""
     cluster, machine = greeted()
     answer(cluster, 9, 8.0, incarnation=2)
@@ -87,7 +87,7 @@
 def test_a_machine_that_answers_but_does_not_report_gets_no_work() -> None:
     cluster, machine = greeted()
     cluster.expire_leases(3.0)
-    assert machine.usable, "after a takeover it may still be on its way here"
+    assert machine.usable, "after a failover it may still be on its way here"
     answer(cluster, 2, 7.0)
     cluster.expire_leases(7.5)
     assert not machine.usable
@@ -109,7 +109,7 @@
 
 
 def test_a_machine_that_is_gone_is_not_declared_lost_when_its_timer_is_up() -> None:
-    """Found by the simulation's check of the indices: it came back into them, and its name was released anew."""
+    """Else it comes back into the indices, and its name is released anew."""
     cluster, _ = cluster_of_one()
     cluster.gone_for_certain("m1", 3.0, "machine returned")
     cluster.pending_writes.deregistrations.clear()
--- a/sorrelsill/workers/test_tombstones.py
+++ b/sorrelsill/workers/test_tombstones.py
@@ -1,4 +1,4 @@
-"""Late copies of reports of machines that are gone."""
+"""Late copies of heartbeats of machines that are gone."""
 
 from sorrelsill import constants
 from sorrelsill.workers.tombstones import Tombstones
--- a/sorrelsill/workers/unschedulable.py
+++ b/sorrelsill/workers/unschedulable.py
@@ -10,7 +10,7 @@
 @dataclass(slots=True)
 class UnschedulableDemand:
     """A job with tasks that found no room; `limited` means that its team's limit stands in the way, `zone` is where
-    a group that has to be in one zone lacks least."""
+    a gang that has to be in one zone lacks least."""
 
     job: Job
     count: int
