--- a/sorrelsill/workers/attempt_index.py
+++ b/sorrelsill/workers/attempt_index.py
@@ -24,7 +24,7 @@
         self.count_unknown_task(attempt, 1)
 
     def leave(self, attempt: Attempt) -> None:
-        """It is on no machine any more, nor reported."""
+        """It is on no machine any more, nor named in heartbeats."""
         del attempt.machine.attempts[attempt.key]
         mine = self.by_job.get(attempt.job_id)
         if mine is not None:
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -48,7 +48,7 @@
         self.started = now
         self.catalog = catalog
         self.loss_s = loss_s
-        self.peer_s = peer_s  # within this a gang's tasks notice that one is gone, and have to be told to checkpoint
+        self.peer_s = peer_s  # within this a gang's tasks notice that one is gone, and have to be stopped to checkpoint
         self.failover = FailoverReconciliation()
         self.leases = LeaseMonitor(now, loss_s, validity_s, overdue_s, self.failover)
         self.jobs: dict[str, Job] = {}
@@ -207,29 +207,36 @@
         attempt.spec = None
         if self.failover.unconfirmed:
             self.failover.recount()  # it may have been a stale copy, and the true one not observed
-        machine.bound_count -= 1
-        machine.cpus = max(0.0, machine.cpus - spec.cpus)
-        machine.gpus = max(0.0, machine.gpus - spec.gpus)
-        machine.memory_gb = max(0.0, machine.memory_gb - spec.memory_gb)
-        self.bound_usage.give_back(spec)
-        self.index.room_changed(machine)
+        self._give_back_room(machine, spec)
         ended = self.failover.ended.get(spec.job_id)
         if ended is not None and not attempt.verified:
             ended.mark_unobserved(attempt.index)
         job = self.jobs.get(spec.job_id)
         if job is not None and job.bound.get(attempt.index) is attempt:
-            del job.bound[attempt.index]
-            job.zones[machine.zone] = job.zones.get(machine.zone, 1) - 1
-            job.last_activity_at = now
-            if requeue and attempt.index not in job.done:
-                heapq.heappush(job.requeued, attempt.index)
-            self.pending_writes.record_due(spec.job_id)
-            self.job_changed(spec.job_id)
+            self._unbind_from_job(job, attempt, now, requeue)
         if machine.bound_count == 0:
             machine.idle_since = now
             machine.fetching.clear()
         self.wake_scheduler = True
 
+    def _give_back_room(self, machine: Machine, spec: JobSpec) -> None:
+        machine.bound_count -= 1
+        machine.cpus = max(0.0, machine.cpus - spec.cpus)
+        machine.gpus = max(0.0, machine.gpus - spec.gpus)
+        machine.memory_gb = max(0.0, machine.memory_gb - spec.memory_gb)
+        self.bound_usage.give_back(spec)
+        self.index.room_changed(machine)
+
+    def _unbind_from_job(self, job: Job, attempt: Attempt, now: float, requeue: bool) -> None:
+        zone = attempt.machine.zone
+        del job.bound[attempt.index]
+        job.zones[zone] = job.zones.get(zone, 1) - 1
+        job.last_activity_at = now
+        if requeue and attempt.index not in job.done:
+            heapq.heappush(job.requeued, attempt.index)
+        self.pending_writes.record_due(job.spec.job_id)
+        self.job_changed(job.spec.job_id)
+
     def gang_headroom_cpus(self, classes: Iterable[str]) -> float:
         """CPUs for one more gang of each of these classes, as large as the largest seen."""
         return self.largest_gang.headroom_cpus(classes)
@@ -248,22 +255,20 @@
     # --- machines ---
 
     def set_catalog(self, catalog: Catalog) -> None:
-        """Sizes of machines are known anew."""
+        """Machine types, and so the capacities of machines, are known anew."""
         self.catalog = catalog
         for machine in self.machines.values():
-            self._size(machine)
+            self._apply_capacity(machine)
         self.failover.recount()
         self.wake_scheduler = True
 
-    def _size(self, machine: Machine) -> None:
-        kind: MachineType | None = self.catalog.machine_types.get(machine.machine_type)
-        if kind is not None:
-            machine.capacity_cpus, machine.capacity_gpus, machine.capacity_memory_gb = (
-                kind.cpus,
-                kind.gpus,
-                kind.memory_gb,
-            )
-            machine.cache_gb = kind.cache_gb
+    def _apply_capacity(self, machine: Machine) -> None:
+        machine_type: MachineType | None = self.catalog.machine_types.get(machine.machine_type)
+        if machine_type is not None:
+            machine.capacity_cpus = machine_type.cpus
+            machine.capacity_gpus = machine_type.gpus
+            machine.capacity_memory_gb = machine_type.memory_gb
+            machine.cache_gb = machine_type.cache_gb
             self.index.room_changed(machine)
 
     def machine(self, name: str, machine_type: str, zone: str, spot: bool, now: float) -> Machine:
@@ -274,7 +279,7 @@
             self.index.room_changed(machine)
         if machine_type and not machine.machine_type:
             machine.machine_type, machine.zone, machine.spot = machine_type, zone, spot
-            self._size(machine)
+            self._apply_capacity(machine)
         return machine
 
     def _usable_changed(self, machine: Machine) -> None:
@@ -286,7 +291,7 @@
 
     def gone_for_certain(self, name: str, now: float, reason: str) -> None:
         """The machine was returned (answered 200), or is listed as failed. Machine names are never used again, so
-        whatever still comes under this one is a late copy."""
+        whatever still comes under this one is a stale copy."""
         machine = self.machines.pop(name, None)
         if machine is not None:
             self.release_all(machine, now, reason)
@@ -298,29 +303,28 @@
         self.wake_scheduler = True
 
     def drop(self, machine: Machine, now: float) -> None:
-        """Forget a machine that is lost and listed no more; should it be alive after all, a later incarnation tells."""
+        """Forget a machine that is lost and listed no more. Should it be alive, a later incarnation shows it."""
         del self.machines[machine.name]
         self.index.forget(machine)
         self._forget(machine.name)
         self.tombstones.record(machine.name, machine.incarnation, machine.sequence_number, now)
 
     def _forget(self, name: str) -> None:
-        for index in (
-            self.machines_with_pending_commands,
-            self.machines_with_reclaim_notice,
-            self.attempts.machines_with_unknown_tasks,
-        ):
-            index.pop(name, None)
+        self.machines_with_pending_commands.pop(name, None)
+        self.machines_with_reclaim_notice.pop(name, None)
+        self.attempts.machines_with_unknown_tasks.pop(name, None)
         self.pending_writes.registration_not_due(name)
 
     def confirm(self, name: str, proof: str, now: float) -> None:
         """What an earlier leader may have left on the machine is known, or gone; `proof` says by what."""
         if not self.failover.confirm(name):
             return
-        left = len(self.failover.unconfirmed)
+        unconfirmed = len(self.failover.unconfirmed)
         after_s = now - self.started
-        log_event(log, logging.DEBUG, "machine_confirmed", machine=name, proof=proof, after_s=after_s, unconfirmed=left)
-        if not left:
+        log_event(
+            log, logging.DEBUG, "machine_confirmed", machine=name, proof=proof, after_s=after_s, unconfirmed=unconfirmed
+        )
+        if not unconfirmed:
             log_event(log, logging.INFO, "machines_confirmed", term=self.term, after_s=after_s)
 
     # --- stopping ---
--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -106,7 +106,7 @@
                 machine.heartbeat_overdue
                 or machine.lease_expired
                 or not machine.token_acknowledged
-                or not _usable(machine.addr)
+                or not _is_address(machine.addr)
                 or not has_direct_commands(cluster, machine, True)
             ):
                 del cluster.machines_with_pending_commands[machine.name]
@@ -136,7 +136,7 @@
 
     def _start_probe(self, cluster: ClusterState, name: str, nursery: trio.Nursery, repeated: bool = False) -> None:
         addr = cluster.failover.unconfirmed_addresses.get(name, "")
-        if name not in cluster.failover.unconfirmed or not _usable(addr):
+        if name not in cluster.failover.unconfirmed or not _is_address(addr):
             return
         if name in self._busy:
             self._probe_again.set_if_earlier(name, trio.current_time() + constants.RETRY_S)
@@ -150,16 +150,16 @@
         try:
             if not self._valid() or machine.lease_expired:
                 return
-            commands, attempts = take_direct_commands(cluster, machine, self._fresh())
-            if not commands:
+            batch = take_direct_commands(cluster, machine, self._fresh())
+            if not batch.commands:
                 return
-            body = _encode(DirectCommands(cluster.term, machine.incarnation, commands))
+            body = _encode(DirectCommands(cluster.term, machine.incarnation, batch.commands))
             try:
                 status, raw = await self._client(machine.addr).request(
-                    "POST", "/commands", body, constants.COMMAND_TIMEOUT_S, may_send=self._valid_for(attempts)
+                    "POST", "/commands", body, constants.COMMAND_TIMEOUT_S, may_send=self._valid_for(batch.started)
                 )
             except NotSentError as error:
-                direct_commands_answered(attempts)
+                direct_commands_answered(batch.started)
                 self._call_failed(machine.name, str(error))
                 return
             except NoAnswerError as error:
@@ -169,7 +169,7 @@
                 return
             if status in (200, 400, 409):
                 self._pauses.call_answered(machine.name)
-                direct_commands_answered(attempts)
+                direct_commands_answered(batch.started)
                 self._take_response(cluster, raw)
             else:
                 self._call_failed(machine.name, f"status {status}")
@@ -220,7 +220,7 @@
         self._pauses.call_failed(name, trio.current_time())
 
 
-def _usable(addr: str) -> bool:
+def _is_address(addr: str) -> bool:
     try:
         split_addr(addr)
     except ValueError:
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
 from sorrelsill.workers.messages import ClearCommand, Command, StartCommand, StopCommand, TaskPhase
@@ -11,9 +12,17 @@
     from sorrelsill.workers.machine import Attempt, Machine
 
 
+@dataclass(frozen=True, slots=True)
+class DirectBatch:
+    """The commands of one direct call."""
+
+    commands: list[Command] = field(default_factory=list)
+    started: list[Attempt] = field(default_factory=list)  # until the call is answered these may start at any time
+
+
 def commands(cluster: ClusterRecords, machine: Machine, fresh: bool, now: float) -> list[Command]:
     """The difference between what is wanted on a machine and what its worker has named."""
-    out: list[Command] = []
+    due: list[Command] = []
     for attempt in machine.attempts.values():
         if attempt.exited:
             # Only once no older leader can send a start any more: a repeated start after
@@ -24,15 +33,15 @@
                 and not attempt.unanswered_starts
                 and now >= attempt.clear_after
             ):
-                out.append(ClearCommand(attempt.task_id, attempt.attempt_number))
+                due.append(ClearCommand(attempt.task_id, attempt.attempt_number))
         elif attempt.stop_requested:
             if attempt.unanswered_starts and not attempt.confirmed and machine.token_acknowledged:
                 # Get it onto the worker first: a late direct start then finds the attempt ended
                 # there, and has no effect.
-                out.append(StartCommand(attempt.task_id, attempt.attempt_number))
-                out.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
+                due.append(StartCommand(attempt.task_id, attempt.attempt_number))
+                due.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
             elif attempt.confirmed and (attempt.phase != TaskPhase.CHECKPOINTING or attempt.grace_period_s == 0):
-                out.append(StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
+                due.append(StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
         elif (
             fresh
             and not attempt.confirmed
@@ -40,16 +49,16 @@
             and machine.token_acknowledged
             and attempt.job_id in cluster.jobs
         ):
-            out.append(StartCommand(attempt.task_id, attempt.attempt_number))
-    return out
+            due.append(StartCommand(attempt.task_id, attempt.attempt_number))
+    return due
 
 
 def has_direct_commands(cluster: ClusterRecords, machine: Machine, fresh: bool) -> bool:
     """Whether a machine is due commands that were not sent yet."""
-    return any(_direct(cluster, a, fresh) for a in machine.attempts.values())
+    return any(_is_due_directly(cluster, a, fresh) for a in machine.attempts.values())
 
 
-def _direct(cluster: ClusterRecords, attempt: Attempt, fresh: bool) -> bool:
+def _is_due_directly(cluster: ClusterRecords, attempt: Attempt, fresh: bool) -> bool:
     if attempt.exited:
         return False
     if attempt.stop_requested:
@@ -63,23 +72,21 @@
     )
 
 
-def take_direct_commands(cluster: ClusterRecords, machine: Machine, fresh: bool) -> tuple[list[Command], list[Attempt]]:
-    """Commands not sent yet, for one direct call, and the attempts that it starts: until it is answered these may start
-    at any time."""
-    taken: list[Command] = []
-    started: list[Attempt] = []
+def take_direct_commands(cluster: ClusterRecords, machine: Machine, fresh: bool) -> DirectBatch:
+    """Commands not sent yet, for one direct call; they count as sent from now on."""
+    batch = DirectBatch()
     for attempt in machine.attempts.values():
-        if not _direct(cluster, attempt, fresh):
+        if not _is_due_directly(cluster, attempt, fresh):
             continue
         if attempt.stop_requested:
             attempt.stop_sent = True
-            taken.append(StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
+            batch.commands.append(StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
         else:
             attempt.start_sent = True
             attempt.unanswered_starts += 1
-            started.append(attempt)
-            taken.append(StartCommand(attempt.task_id, attempt.attempt_number))
-    return taken, started
+            batch.started.append(attempt)
+            batch.commands.append(StartCommand(attempt.task_id, attempt.attempt_number))
+    return batch
 
 
 def direct_commands_answered(attempts: list[Attempt]) -> None:
--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -113,7 +113,9 @@
         """Whether a machine that is not heard may hold tasks of the job."""
         return any(kind.may_hold(spec) for kind in self._unconfirmed_kinds)
 
-    def unobserved(self, team: str, jobs: dict[str, Job], catalog: Catalog, unknown: Iterable[Machine]) -> Resources:
+    def unobserved(
+        self, team: str, jobs: dict[str, Job], catalog: Catalog, with_unknown_tasks: Iterable[Machine]
+    ) -> Resources:
         """What tasks of a team may be using unseen, which count toward its limit.
 
         On machines not heard yet: what is neither done nor on a heard machine of its jobs, live ones and those lately
@@ -125,10 +127,10 @@
         not known the size can't be told, so that room counts, and the machine takes no work until they are gone."""
         if self._unobserved is None:
             self._unobserved = self._count_unobserved(jobs, catalog)
-        unseen = self._unobserved.of(team)
-        for machine in unknown:
-            unseen = unseen.plus(_room_left(machine, catalog))
-        return unseen
+        unobserved = self._unobserved.of(team)
+        for machine in with_unknown_tasks:
+            unobserved = unobserved.plus(_room_left(machine, catalog))
+        return unobserved
 
     def _count_unobserved(self, jobs: dict[str, Job], catalog: Catalog) -> _Unobserved:
         size = NOTHING
--- a/sorrelsill/workers/failures.py
+++ b/sorrelsill/workers/failures.py
@@ -22,7 +22,7 @@
     trials: int = 0  # bursts of failures since its last success; tasks that fail together are one
     next_trial_at: float = float("-inf")
 
-    def failed(self, machine: str, now: float) -> set[str]:
+    def record_failure(self, machine: str, now: float) -> set[str]:
         """Record a failed task. Returns the machines that this failure counts against."""
         self.machines.add(machine)
         self.failures += 1
@@ -31,23 +31,23 @@
             self.next_trial_at = now + min(
                 constants.START_BACKOFF_MAX_S, constants.START_BACKOFF_S * 2.0 ** (self.trials - 1)
             )
-        return self._accuse({machine}) if self.succeeded else set()
+        return self._blame({machine}) if self.succeeded else set()
 
-    def success(self, machine: str) -> set[str]:
+    def record_success(self, machine: str) -> set[str]:
         """Record a success. Returns the machines that the failures before it now count against."""
         self.succeeded = True
-        accused = self._accuse(self.machines - {machine})
+        blamed = self._blame(self.machines - {machine})
         self.machines.clear()
         self.failures = 0
         self.trials = 0
         self.next_trial_at = float("-inf")
-        return accused
+        return blamed
 
     def suspect(self, others: int) -> bool:
         """Whether the job itself is probably at fault; `others` of its tasks have not failed yet."""
         return len(self.machines) >= constants.SUSPECT_MACHINES and self.failures >= others
 
-    def _accuse(self, machines: set[str]) -> set[str]:
+    def _blame(self, machines: set[str]) -> set[str]:
         # A job that accuses many machines is no reliable witness: only some of its tasks may be at fault.
         if len(self.accused | machines) > constants.ACCUSED_MAX:
             return set()
--- a/sorrelsill/workers/gangs.py
+++ b/sorrelsill/workers/gangs.py
@@ -72,8 +72,9 @@
 
 def stop_gang(cluster: ClusterRecords, job: Job, reason: str, immediately: bool) -> None:
     """Stop a gang: with a checkpoint, so that its progress is kept, if all can be reached; else at once."""
-    saving = any(a.phase == TaskPhase.CHECKPOINTING for a in job.bound.values())
-    orderly = not immediately and (can_checkpoint(job) or saving and job.spec.checkpoint_interval_s > 0)
+    checkpointing = any(a.phase == TaskPhase.CHECKPOINTING for a in job.bound.values())
+    can_keep_progress = can_checkpoint(job) or (checkpointing and job.spec.checkpoint_interval_s > 0)
+    orderly = not immediately and can_keep_progress
     for attempt in list(job.bound.values()):
         cluster.stop_one(attempt, reason, not orderly, cluster.peer_s if orderly else 0.0)
 
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -76,7 +76,7 @@
 
 
 def _is_from_before_removal(cluster: ClusterRecords, heartbeat: WorkerHeartbeat) -> bool:
-    """Whether the message is a late copy from a machine that is gone."""
+    """Whether the message is a stale copy from a machine that is gone."""
     return cluster.tombstones.rejects(heartbeat.machine, heartbeat.incarnation, heartbeat.sequence_number)
 
 
@@ -97,7 +97,7 @@
 
 
 def _answer_overtaken(cluster: ClusterRecords, machine: Machine, now: float, acting: bool) -> list[Command] | None:
-    """The heartbeat was overtaken by an answer to a direct call, which told more. It is no copy, so its lease may go
+    """The heartbeat was overtaken by an answer to a direct call, which said more. It is no copy, so its lease may go
     on."""
     if not machine.token_acknowledged:
         return None
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -16,31 +16,37 @@
 
 def expire_leases(cluster: ClusterRecords, now: float) -> list[Machine]:
     """Declare lost what has been silent for longer than the workers' lease. Returns those machines."""
-    lost: list[Machine] = []
     if not cluster.leases.begin_expiry(now):
-        return lost
+        return []
     cluster.failover.recount()
     cluster.failover.forget_ended_jobs()
-    looked_at: list[Machine] = []
-    released = 0
+    lost = _check_due_machines(cluster, now)
+    _confirm_expired_machines(cluster, now)
+    return lost
+
+
+def _check_due_machines(cluster: ClusterRecords, now: float) -> list[Machine]:
+    """Mark the machines whose timer is up as overdue or lost, and set their timers anew. Returns the lost ones."""
+    lost: list[Machine] = []
+    checked: list[Machine] = []
+    released_tasks = 0
     while (machine := cluster.leases.pop_due(now)) is not None:
         if cluster.machines.get(machine.name) is not machine:
             continue  # gone since its timer was set: guards against it coming back into the indices
-        looked_at.append(machine)
+        checked.append(machine)
         if cluster.leases.heartbeat_is_overdue(machine, now):
             machine.heartbeat_overdue = True
         if now <= cluster.leases.lease_expires_at(machine):
             continue
-        if released >= constants.EXPIRE_TASKS:
+        if released_tasks >= constants.EXPIRE_TASKS:
             # Guards against hundreds of machines lost at once: pings must not wait behind them.
             cluster.leases.continue_expiry()
             break
-        released += len(machine.attempts)
+        released_tasks += len(machine.attempts)
         _declare_lost(cluster, machine, now)
         lost.append(machine)
-    for machine in looked_at:
+    for machine in checked:
         cluster.leases.watch(machine)
-    _confirm_expired_machines(cluster, now)
     return lost
 
 
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -16,6 +16,7 @@
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
 
+AttemptKey = tuple[str, int]  # task and attempt number; a plain tuple, as each heartbeat looks up many
 _T = TypeVar("_T")
 
 
@@ -59,7 +60,7 @@
     attempt_number: int
     machine: Machine
     spec: JobSpec | None  # None: a task of a job that is over or unknown; it is only to be stopped
-    created: float
+    created_at: float
     phase: TaskPhase = TaskPhase.SENT
     reported_phase: str = ""  # the worker's word for it: the same word again tells nothing new
     confirmed: bool = False  # the worker has named it
@@ -80,7 +81,7 @@
         self.task_id = f"{self.job_id}/{self.index}"
 
     @property
-    def key(self) -> tuple[str, int]:
+    def key(self) -> AttemptKey:
         """Its task and attempt number, which no other attempt shares."""
         return self.task_id, self.attempt_number
 
@@ -128,7 +129,7 @@
         self.lease_renewed_at: float | None = None  # receipt of the last heartbeat that we answered
         # Its attempts are on it for certain: it named them with our term as its highest fencing token.
         self.attempts_verified = False
-        self.attempts: dict[tuple[str, int], Attempt] = {}
+        self.attempts: dict[AttemptKey, Attempt] = {}
         self.bound_count = 0  # attempts that hold room on it
         self.unknown_tasks = 0  # tasks on it of jobs that are over or unknown, not yet gone
         self.cpus = self.gpus = self.memory_gb = 0.0  # in use
--- a/sorrelsill/workers/reported_tasks.py
+++ b/sorrelsill/workers/reported_tasks.py
@@ -35,7 +35,7 @@
     if named != len(attempts):
         _drop_absent(cluster, machine, heartbeat, now, is_heartbeat)
     if machine.token_acknowledged and not machine.attempts_verified:
-        # What an earlier message told may have been a late copy; what this one tells is there.
+        # An earlier message may have been a stale copy; what this one names is there.
         machine.attempts_verified = True
         for attempt in attempts.values():
             attempt.verified = True
@@ -77,7 +77,7 @@
         cluster.index.hold_image(machine, attempt.spec)  # it has its image, and waits for the rest of its gang
     if phase is TaskPhase.RUNNING and attempt.running_since is None:
         attempt.running_since = now
-        log_attempt(log, "runs", attempt, after_bind_s=now - attempt.created)
+        log_attempt(log, "runs", attempt, after_bind_s=now - attempt.created_at)
         if attempt.spec is not None:
             cluster.index.hold_image(machine, attempt.spec)
             cluster.pending_writes.record_due(attempt.job_id)
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -35,7 +35,7 @@
     job = cluster.jobs.get(attempt.job_id)
     if job is not None and 0 <= attempt.index < job.spec.task_count and not job.spec.is_service:
         _mark_done(cluster, job, attempt.index)
-        _blame(cluster, job, job.failures.success(attempt.machine.name))
+        _blame(cluster, job, job.failures.record_success(attempt.machine.name))
     else:
         attempt.clearable = True
     # Another attempt of the same task would be wasted: the result is there.
@@ -79,9 +79,9 @@
     if job.spec.is_service:
         for replica in job.bound.values():
             if replica.running_since is not None and now - replica.running_since >= constants.REPLICA_PROOF_S:
-                _blame(cluster, job, failures.success(replica.machine.name))
+                _blame(cluster, job, failures.record_success(replica.machine.name))
                 break
-    _blame(cluster, job, failures.failed(machine.name, now))
+    _blame(cluster, job, failures.record_failure(machine.name, now))
     if failures.suspect(len(job.bound)):
         # The other machines are not to blame: avoiding them all would leave it waiting beside free room.
         job.avoid = {machine.name: job.avoid[machine.name]}
--- a/sorrelsill/workers/test_failures.py
+++ b/sorrelsill/workers/test_failures.py
@@ -9,7 +9,7 @@
     pauses = []
     now = 0.0
     for number in range(8):
-        assert history.failed(f"m{number}", now) == set()
+        assert history.record_failure(f"m{number}", now) == set()
         pauses.append(history.next_trial_at - now)
         now = history.next_trial_at
     assert pauses == [2.0, 4.0, 8.0, 16.0, 32.0, 60.0, 60.0, 60.0]
@@ -19,35 +19,35 @@
 def test_tasks_that_fail_together_are_one_trial() -> None:
     history = FailureHistory()
     for number in range(100):
-        history.failed(f"m{number}", 1.0)
+        history.record_failure(f"m{number}", 1.0)
     assert history.trials == 1
     assert history.next_trial_at == 1.0 + constants.START_BACKOFF_S
 
 
 def test_failures_count_against_machines_once_the_job_succeeds_elsewhere() -> None:
     history = FailureHistory()
-    history.failed("bad", 0.0)
-    assert history.success("good") == {"bad"}
-    assert history.failed("worse", 5.0) == {"worse"}
+    history.record_failure("bad", 0.0)
+    assert history.record_success("good") == {"bad"}
+    assert history.record_failure("worse", 5.0) == {"worse"}
     assert not history.suspect(0)
 
 
 def test_a_success_on_the_same_machine_clears_it() -> None:
     history = FailureHistory()
-    history.failed("m1", 0.0)
-    assert history.success("m1") == set()
+    history.record_failure("m1", 0.0)
+    assert history.record_success("m1") == set()
 
 
 def test_a_job_that_accuses_many_machines_is_no_reliable_witness() -> None:
     """Some of its tasks fail wherever they run, others succeed."""
     history = FailureHistory(succeeded=True)
-    accused = [history.failed(f"m{number}", float(number)) for number in range(10)]
+    accused = [history.record_failure(f"m{number}", float(number)) for number in range(10)]
     assert sum(len(names) for names in accused) == constants.ACCUSED_MAX
 
 
 def test_a_job_whose_other_tasks_go_on_is_not_suspect() -> None:
     history = FailureHistory()
-    history.failed("m1", 0.0)
-    history.failed("m2", 0.0)
+    history.record_failure("m1", 0.0)
+    history.record_failure("m2", 0.0)
     assert history.suspect(2)
     assert not history.suspect(3)
