--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -11,16 +11,18 @@
 
 def cluster_of_one() -> tuple[ClusterState, Machine]:
     cluster = ClusterState(7, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
-    for sequence_number, epoch in ((1, 0), (2, 7)):
-        heartbeat(cluster, sequence_number, float(sequence_number), epoch=epoch)
+    for sequence_number, fencing_token in ((1, 0), (2, 7)):
+        heartbeat(cluster, sequence_number, float(sequence_number), fencing_token=fencing_token)
     machine = cluster.machines["m1"]
     machine.registered = True
     return cluster, machine
 
 
-def heartbeat(cluster: ClusterState, sequence_number: int, now: float, incarnation: int = 1, epoch: int = 7) -> object:
+def heartbeat(
+    cluster: ClusterState, sequence_number: int, now: float, incarnation: int = 1, fencing_token: int = 7
+) -> object:
     return cluster.on_heartbeat(
-        WorkerHeartbeat("m1", incarnation, sequence_number, "c8", "a", "10.0.0.9:9000", False, epoch), now
+        WorkerHeartbeat("m1", incarnation, sequence_number, "c8", "a", "10.0.0.9:9000", False, fencing_token), now
     )
 
 
@@ -53,9 +55,9 @@
 def test_reports_of_a_roster_machine_that_shows_no_token_are_answered_only_for_a_while() -> None:
     cluster = ClusterState(7, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
     cluster.failover.expect_machines([("m1", {"f": "c8", "a": "10.0.0.9:9000"})])
-    assert heartbeat(cluster, 1, 1.0, epoch=3) is not None
-    assert heartbeat(cluster, 4, 5.0, epoch=3) is not None
-    assert heartbeat(cluster, 7, 9.0, epoch=3) is None
+    assert heartbeat(cluster, 1, 1.0, fencing_token=3) is not None
+    assert heartbeat(cluster, 4, 5.0, fencing_token=3) is not None
+    assert heartbeat(cluster, 7, 9.0, fencing_token=3) is None
     assert not cluster.expire_leases(15.0) and cluster.failover.unconfirmed
     assert [h.name for h in cluster.expire_leases(17.0)] == ["m1"] and not cluster.failover.unconfirmed
 
