--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -72,8 +72,8 @@
         self._fresh = fresh
         self._clients: OrderedDict[str, Client] = OrderedDict()
         self._busy: set[str] = set()
-        self._probing = 0  # probes in flight ...
-        self._repeating = 0  # ... and those of them to machines that did not answer before
+        self._probing = 0  # probes in flight
+        self._repeating = 0  # those of them to machines that did not answer before
         self._pauses = CallPauses()
         self._probed: ClusterState | None = None  # whose machines are probed
         self._not_probed: deque[str] = deque()
@@ -100,15 +100,7 @@
                 return
             if machine.name in self._busy or self._pauses.is_paused(machine.name, now, machine.seen_at):
                 continue
-            # What is overdue gets its commands with its next heartbeat. Guards against some fifty machines that
-            # hang at once taking all calls for two seconds each, while the healthy ones wait for their heartbeats.
-            if (
-                machine.heartbeat_overdue
-                or machine.lease_expired
-                or not machine.token_acknowledged
-                or not _is_address(machine.addr)
-                or not has_direct_commands(cluster, machine, True)
-            ):
+            if not _may_be_called(machine) or not has_direct_commands(cluster, machine, True):
                 del cluster.machines_with_pending_commands[machine.name]
             elif has_direct_commands(cluster, machine, fresh):
                 # What becomes due while the call is under way puts the machine back among these.
@@ -220,6 +212,18 @@
         self._pauses.call_failed(name, trio.current_time())
 
 
+def _may_be_called(machine: Machine) -> bool:
+    """Whether the machine is sent commands directly. What is overdue gets them with its next heartbeat: guards against
+    some fifty machines that hang at once taking all calls for two seconds each, while the healthy ones wait for their
+    heartbeats."""
+    return (
+        not machine.heartbeat_overdue
+        and not machine.lease_expired
+        and machine.token_acknowledged
+        and _is_address(machine.addr)
+    )
+
+
 def _is_address(addr: str) -> bool:
     try:
         split_addr(addr)
