--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -1,19 +1,21 @@
-"""Workers: reports, incarnations, commands and losses, and the leader's view of what may be running where."""
+"""Workers: heartbeats, incarnations, commands, expired leases, and the leader's view of what may be running where.
+
+From the bottom to the top: the wire's types (`messages`, `errors`); machines, attempts and jobs with their indices;
+the term's records (`cluster_records`), which keep them consistent; what is done on events (`heartbeats`,
+`reported_tasks`, `task_exits`, `adoption`, `loss`, `stopping`, `gangs`, `commands`); `cluster_state`, which puts these
+behind one type; and `command_sender`, the only module with I/O."""
 
-from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.cluster_state import ClusterState
 from sorrelsill.workers.command_sender import CallLimits, CommandSender
-from sorrelsill.workers.gangs import enforce_gang_completeness
-from sorrelsill.workers.gangs import lost_work as gang_loss
-from sorrelsill.workers.heartbeats import FencedError
+from sorrelsill.workers.errors import FencedError, InvalidHeartbeatError, WorkersError
+from sorrelsill.workers.gangs import enforce_gang_completeness, gang_loss
 from sorrelsill.workers.job import Job
-from sorrelsill.workers.machine import Machine
+from sorrelsill.workers.machine import Attempt, Machine
 from sorrelsill.workers.machine_index import MachineIndex
 from sorrelsill.workers.machine_sets import MachineSet, MachineUnion
 from sorrelsill.workers.messages import (
     Command,
     HeartbeatResponse,
-    InvalidHeartbeatError,
     StopCommand,
     WorkerHeartbeat,
     parse_heartbeat,
@@ -35,6 +37,7 @@
     "CommandSender",
     "WorkerHeartbeat",
     "FencedError",
+    "WorkersError",
     "TeamUse",
     "gang_loss",
     "Command",
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -1,23 +1,31 @@
-"""The commands that a machine is due: the difference between what is wanted on it and what its worker reported."""
+"""The commands that a machine is due: the difference between what is wanted on it and what its worker has named."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from sorrelsill.workers import messages
+from sorrelsill.workers.messages import ClearCommand, Command, StartCommand, StopCommand, TaskPhase
 
 if TYPE_CHECKING:
-    from sorrelsill.workers.attempt import Attempt
-    from sorrelsill.workers.cluster_state import ClusterState
-    from sorrelsill.workers.machine import Machine
+    from sorrelsill.workers.cluster_records import ClusterRecords
+    from sorrelsill.workers.machine import Attempt, Machine
 
 
-def commands(cluster: ClusterState, machine: Machine, fresh: bool, now: float) -> list[messages.Command]:
-    """The difference between what is wanted on a machine and what its worker reported."""
-    out: list[messages.Command] = []
+@dataclass(frozen=True, slots=True)
+class DirectBatch:
+    """The commands of one direct call."""
+
+    commands: list[Command] = field(default_factory=list)
+    started: list[Attempt] = field(default_factory=list)  # until the call is answered these may start at any time
+
+
+def commands(cluster: ClusterRecords, machine: Machine, fresh: bool, now: float) -> list[Command]:
+    """The difference between what is wanted on a machine and what its worker has named."""
+    due: list[Command] = []
     for attempt in machine.attempts.values():
         if attempt.exited:
-            # Only once no older leader can order a start any more: a repeated start after
+            # Only once no older leader can send a start any more: a repeated start after
             # `clear` would run the task again.
             if (
                 attempt.clearable
@@ -25,15 +33,15 @@
                 and not attempt.unanswered_starts
                 and now >= attempt.clear_after
             ):
-                out.append(messages.ClearCommand(attempt.task_id, attempt.attempt_number))
+                due.append(ClearCommand(attempt.task_id, attempt.attempt_number))
         elif attempt.stop_requested:
             if attempt.unanswered_starts and not attempt.confirmed and machine.token_acknowledged:
                 # Get it onto the worker first: a late direct start then finds the attempt ended
                 # there, and has no effect.
-                out.append(messages.StartCommand(attempt.task_id, attempt.attempt_number))
-                out.append(messages.StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
-            elif attempt.confirmed and (attempt.phase != "saving" or attempt.grace_period_s == 0):
-                out.append(messages.StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
+                due.append(StartCommand(attempt.task_id, attempt.attempt_number))
+                due.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
+            elif attempt.confirmed and (attempt.phase != TaskPhase.CHECKPOINTING or attempt.grace_period_s == 0):
+                due.append(StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
         elif (
             fresh
             and not attempt.confirmed
@@ -41,20 +49,20 @@
             and machine.token_acknowledged
             and attempt.job_id in cluster.jobs
         ):
-            out.append(messages.StartCommand(attempt.task_id, attempt.attempt_number))
-    return out
+            due.append(StartCommand(attempt.task_id, attempt.attempt_number))
+    return due
 
 
-def has_direct_commands(cluster: ClusterState, machine: Machine, fresh: bool) -> bool:
+def has_direct_commands(cluster: ClusterRecords, machine: Machine, fresh: bool) -> bool:
     """Whether a machine is due commands that were not sent yet."""
-    return any(_direct(cluster, a, fresh) for a in machine.attempts.values())
+    return any(_is_due_directly(cluster, a, fresh) for a in machine.attempts.values())
 
 
-def _direct(cluster: ClusterState, attempt: Attempt, fresh: bool) -> bool:
+def _is_due_directly(cluster: ClusterRecords, attempt: Attempt, fresh: bool) -> bool:
     if attempt.exited:
         return False
     if attempt.stop_requested:
-        return attempt.confirmed and not attempt.stop_sent and attempt.phase != "saving"
+        return attempt.confirmed and not attempt.stop_sent and attempt.phase != TaskPhase.CHECKPOINTING
     return (
         fresh
         and not attempt.confirmed
@@ -64,25 +72,21 @@
     )
 
 
-def take_direct_commands(
-    cluster: ClusterState, machine: Machine, fresh: bool
-) -> tuple[list[messages.Command], list[Attempt]]:
-    """Commands not sent yet, for one direct call, and the attempts that it starts: until it is answered these may start
-    at any time."""
-    taken: list[messages.Command] = []
-    started: list[Attempt] = []
+def take_direct_commands(cluster: ClusterRecords, machine: Machine, fresh: bool) -> DirectBatch:
+    """Commands not sent yet, for one direct call; they count as sent from now on."""
+    batch = DirectBatch()
     for attempt in machine.attempts.values():
-        if not _direct(cluster, attempt, fresh):
+        if not _is_due_directly(cluster, attempt, fresh):
             continue
         if attempt.stop_requested:
             attempt.stop_sent = True
-            taken.append(messages.StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
+            batch.commands.append(StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
         else:
             attempt.start_sent = True
             attempt.unanswered_starts += 1
-            started.append(attempt)
-            taken.append(messages.StartCommand(attempt.task_id, attempt.attempt_number))
-    return taken, started
+            batch.started.append(attempt)
+            batch.commands.append(StartCommand(attempt.task_id, attempt.attempt_number))
+    return batch
 
 
 def direct_commands_answered(attempts: list[Attempt]) -> None:
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -6,8 +6,9 @@
 
 from sorrelsill import constants
 from sorrelsill.model import JobSpec, TaskSet
-from sorrelsill.workers.attempt import Attempt
 from sorrelsill.workers.failures import FailureHistory
+from sorrelsill.workers.machine import Attempt
+from sorrelsill.workers.messages import TaskPhase
 
 
 class Job:
@@ -26,35 +27,34 @@
         "recorded_at",
         "requeued",
         "rev",
-        "served_at",
+        "last_activity_at",
         "recorded_running",
         "spec",
         "chunked",
         "submitted",
-        "why",
+        "notes",
         "zones",
     )
 
     def __init__(
-        self, spec: JobSpec, done: TaskSet, rev: int, from_earlier_term: bool, now: float, why: list[str]
+        self, spec: JobSpec, done: TaskSet, rev: int, from_earlier_term: bool, now: float, notes: list[str]
     ) -> None:
         self.spec = spec
         self.done = done
         self.rev = rev
         self.from_earlier_term = from_earlier_term  # an earlier leader may have started tasks of it
         self.submitted = now
-        self.served_at = now  # when a task of it was last bound or ended
+        self.last_activity_at = now  # when a task of it was last bound or ended
         self.accepted = 0.0  # time of day of the submission, as recorded
-        self.why = why
+        self.notes = notes
         self.bound: dict[int, Attempt] = {}
         self.zones: dict[str, int] = {}
         self.cursor = 0
         self.requeued: list[int] = []
         self.failures = FailureHistory(succeeded=done.count > 0)
         self.avoid: dict[str, float] = {}
-        self.unrecorded_parts: set[int] = (
-            set()
-        )  # of its finished tasks, `PART_SHARDS` to a part, what is not recorded yet
+        # Of its finished tasks, `PART_SHARDS` to a part, the parts that are not recorded yet.
+        self.unrecorded_parts: set[int] = set()
         self.chunked = spec.task_count > constants.CHUNK_SHARDS  # its finished tasks are kept beside its record
         self.recorded_running = 0  # tasks that run, as the record says
         self.recorded_at = now
@@ -66,7 +66,7 @@
         return self.spec.task_count - self.done.count - len(self.bound)
 
     @property
-    def unknown(self) -> int:
+    def unobserved_count(self) -> int:
         """Tasks neither done nor bound; unlike `waiting` exact for those that are both."""
         return self.spec.task_count - self.done.count - sum(1 for index in self.bound if index not in self.done)
 
@@ -90,11 +90,11 @@
         return constants.TRIAL_TASKS - bound if self.failures.suspect(bound) else self.spec.task_count
 
     def running(self) -> int:
-        """A task of a group that waits for the others does not run."""
-        return sum(1 for a in self.bound.values() if a.phase in ("running", "saving"))
+        """Tasks that make progress or save it. A task of a gang that waits for the others does not run."""
+        return sum(1 for a in self.bound.values() if a.phase in (TaskPhase.RUNNING, TaskPhase.CHECKPOINTING))
 
     def note(self, text: str) -> None:
         """Tell its users why tasks stopped or wait; the newest notes are kept."""
-        if not self.why or self.why[-1] != text:
-            self.why.append(text)
-            del self.why[: -constants.WHY_NOTES]
+        if not self.notes or self.notes[-1] != text:
+            self.notes.append(text)
+            del self.notes[: -constants.WHY_NOTES]
