--- a/sorrelsill/placement/guests.py
+++ b/sorrelsill/placement/borrowing_teams.py
@@ -1,17 +1,18 @@
-"""Which guest teams have work on machines: their work may be stopped for others. Pure."""
+"""Which borrowing teams (teams without a guarantee, which run on what nobody else needs) have tasks on machines: these
+tasks may be preempted for other teams. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from sorrelsill.placement.team_limits import TeamLimits
+from sorrelsill.placement.team_quotas import TeamQuotas
 from sorrelsill.workers import ClusterState
 
 
-class Guests:
+class BorrowingTeams:
     """Follows the live jobs of teams without a guarantee."""
 
-    def __init__(self, teams: TeamLimits) -> None:
+    def __init__(self, teams: TeamQuotas) -> None:
         self._teams = teams
         self._team_of: dict[str, str] = {}  # job with tasks on machines -> its team
         self._jobs: dict[str, int] = {}  # team -> how many such jobs it has
@@ -25,7 +26,7 @@
         """Take in jobs that came, changed or are over."""
         for job_id in changed:
             job = cluster.jobs.get(job_id)
-            if job is not None and job.bound and self._teams.is_guest(job.spec.team):
+            if job is not None and job.bound and self._teams.is_borrower(job.spec.team):
                 if job_id not in self._team_of:
                     self._team_of[job_id] = job.spec.team
                     self._jobs[job.spec.team] = self._jobs.get(job.spec.team, 0) + 1
@@ -35,6 +36,6 @@
                 if not self._jobs[team]:
                     del self._jobs[team]
 
-    def other_than(self, team: str) -> bool:
-        """Whether guests of another team have work on machines."""
+    def any_other_than(self, team: str) -> bool:
+        """Whether another borrowing team has work on machines."""
         return any(name != team for name in self._jobs)
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -18,30 +18,30 @@
 _FETCH_SHARED = 0.5  # ratio; of the weight of a missing image, where another task's fetch brings it
 
 
-class _Draw:
+class _MachineSampler:
     """Machines drawn at random until one fits. What did not fit is not drawn again; after some draws in vain the rest
     is listed and sifted, so that a machine that fits is always found."""
 
-    __slots__ = ("_image", "_machines", "_rejected", "_rest", "_vain")
+    __slots__ = ("_failed_draws", "_image", "_machines", "_rejected", "_unsampled")
 
     def __init__(self, machines: MachineSet | MachineUnion, image: str | None = None) -> None:
         self._machines = machines  # as they are at any time
         self._image = image  # only machines that hold it
         self._rejected: set[str] = set()
-        self._rest: list[Machine] | None = None
-        self._vain = 0
+        self._unsampled: list[Machine] | None = None
+        self._failed_draws = 0
 
     def fitting(self, rng: random.Random, sample: int, fits: Callable[[Machine], bool]) -> list[Machine]:
         """Those that fit of a sample in which one does at least; none if no machine does."""
-        while self._rest is None:
+        while self._unsampled is None:
             found = self._draw(rng, sample, fits)
             if found:
                 return found
-            self._vain += 1
-            if self._vain >= constants.DRAWS_BEFORE_LISTING or len(self._rejected) >= len(self._machines):
-                self._rest = [machine for machine in self._machines if machine.name not in self._rejected]
-        while self._rest:
-            found = self._sift(self._rest, rng, sample, fits)
+            self._failed_draws += 1
+            if self._failed_draws >= constants.DRAWS_BEFORE_LISTING or len(self._rejected) >= len(self._machines):
+                self._unsampled = [machine for machine in self._machines if machine.name not in self._rejected]
+        while self._unsampled:
+            found = self._filter_remaining(self._unsampled, rng, sample, fits)
             if found:
                 return found
         return []
@@ -58,7 +58,7 @@
                 self._rejected.add(machine.name)
         return found
 
-    def _sift(
+    def _filter_remaining(
         self, rest: list[Machine], rng: random.Random, sample: int, fits: Callable[[Machine], bool]
     ) -> list[Machine]:
         """Those of a sample that fit; the others of the sample leave the rest."""
@@ -86,8 +86,8 @@
         roomy = cluster.index.with_room(spec)
         holders = cluster.index.holders(spec.image)
         # The smaller set is drawn from: of an image that all machines hold, most holders may be full.
-        warm = _Draw(holders) if len(holders) <= len(roomy) else _Draw(roomy, spec.image)
-        self.draws = (warm, _Draw(roomy))
+        warm = _MachineSampler(holders) if len(holders) <= len(roomy) else _MachineSampler(roomy, spec.image)
+        self.draws = (warm, _MachineSampler(roomy))
         self.replicas: dict[str, int] | None = None  # machine -> replicas there, of a job that is to be spread out
         self.current: Machine | None = None  # the last one chosen; its image serves all tasks that still fit
 
@@ -141,7 +141,7 @@
         if not spec.may_add_in(machine.zone, job.zones):
             return False
         # Without the reservation small tasks take what is freed piece by piece, and more is stopped for nothing.
-        return self._reservations.open_to(job, machine, now) and self._gang_headroom.leaves(job, machine, now)
+        return self._reservations.admits(job, machine, now) and self._gang_headroom.permits(job, machine, now)
 
     def _spreads(self, job: Job) -> bool:
         """Replicas that should start within seconds go to many machines: each then holds the image for the next ones,
--- a/sorrelsill/placement/gang_headroom.py
+++ b/sorrelsill/placement/gang_headroom.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from sorrelsill.model import Priority
-from sorrelsill.placement.order import aged_out
+from sorrelsill.placement.order import is_starved
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
@@ -24,18 +24,18 @@
         self._zone = ""
         self._free: dict[str, float] = {}  # CPUs free on ordinary machines, by zone
 
-    def find(self, cluster: ClusterState) -> None:
+    def update(self, cluster: ClusterState) -> None:
         """Work out anew how much is kept, and in which zone."""
         self._kept_cpus = 0.0 if self._optimise_latency else cluster.gang_headroom_cpus(self._objectives.start_within_s)
         self._free = cluster.index.free.ordinary_cpus() if self._kept_cpus else {}
         self._zone = max(sorted(self._free), key=lambda zone: self._free[zone], default="")
 
-    def use(self, spec: JobSpec, machine: Machine) -> None:
+    def task_bound(self, spec: JobSpec, machine: Machine) -> None:
         """A task was bound to the machine."""
         if not machine.spot and machine.zone in self._free:
             self._free[machine.zone] -= spec.cpus
 
-    def leaves(self, job: Job, machine: Machine, now: float) -> bool:
+    def permits(self, job: Job, machine: Machine, now: float) -> bool:
         """Whether a task may go there without taking that room. What has waited too long may take it, or an array
         could wait for ever where the cloud has no more machines to give."""
         spec = job.spec
@@ -46,5 +46,5 @@
             or spec.is_gang
             or machine.zone != self._zone
             or self._free[machine.zone] - spec.cpus >= self._kept_cpus
-            or aged_out(job, now)
+            or is_starved(job, now)
         )
--- a/sorrelsill/placement/gang_placement.py
+++ b/sorrelsill/placement/gang_placement.py
@@ -15,7 +15,7 @@
 from sorrelsill.workers import Attempt, Machine
 
 # What would have to be stopped on a machine to let so many more tasks in than fit, and its cost.
-Offer = Callable[[Machine, int], tuple[float, list[Attempt]] | None]
+VictimSelector = Callable[[Machine, int], tuple[float, list[Attempt]] | None]
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
     needs_fetch: bool  # an image has to be fetched
 
 
-def capacity(machine: Machine, spec: JobSpec, gone: Iterable[Attempt] = ()) -> int:
+def task_capacity(machine: Machine, spec: JobSpec, gone: Iterable[Attempt] = ()) -> int:
     """Tasks that fit on a machine, as it stands or once some others are gone."""
     freed = [a.spec for a in gone if a.spec is not None]
     fits = [float(spec.task_count)]
@@ -54,7 +54,7 @@
     """For each zone (one entry for all if the group may be spread) the machines it would go to, best first."""
     pools: dict[str | None, list[MachineShare]] = {z: [] for z in zones} if spec.one_zone else {None: []}
     for machine in machines:
-        count = capacity(machine, spec)
+        count = task_capacity(machine, spec)
         if count > 0:
             pools.setdefault(machine.zone if spec.one_zone else None, []).append(MachineShare(machine, count))
     out = []
@@ -63,7 +63,7 @@
         kinds: dict[str, int] = {}
         for s in shares:
             kinds[s.machine.machine_type] = kinds.get(s.machine.machine_type, 0) + s.count
-        shares.sort(key=lambda s: _preference(s, spec, kinds))
+        shares.sort(key=lambda s: _sort_key(s, spec, kinds))
         taken: list[MachineShare] = []
         in_zone: dict[str, int] = {}
         left = spec.task_count
@@ -82,7 +82,7 @@
     return out
 
 
-def _preference(s: MachineShare, spec: JobSpec, kinds: dict[str, int]) -> tuple[float, bool, int, int, float]:
+def _sort_key(s: MachineShare, spec: JobSpec, kinds: dict[str, int]) -> tuple[float, bool, int, int, float]:
     machine = s.machine
     fetch = 0.0 if spec.image in machine.images else 1.0 + len(machine.fetching - {spec.image})
     enough = kinds[machine.machine_type] >= spec.task_count
@@ -90,15 +90,15 @@
     return fetch, machine.spot, 0 if enough else 1, -min(s.count, spec.task_count), left
 
 
-def room_for(
-    spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine], offer: Offer
+def find_preemption(
+    spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine], select_victims: VictimSelector
 ) -> tuple[GangPlacement, list[Attempt]] | None:
     """The zone in which stopping the least lets the whole group in, and what to stop there; None if nothing does."""
-    offers: dict[str | None, list[tuple[float, str, Machine]]] = {}
+    candidates: dict[str | None, list[tuple[float, str, Machine]]] = {}
     for machine in machines:
-        found = offer(machine, 1)
+        found = select_victims(machine, 1)
         if found is not None:
-            offers.setdefault(machine.zone if spec.one_zone else None, []).append((found[0], machine.name, machine))
+            candidates.setdefault(machine.zone if spec.one_zone else None, []).append((found[0], machine.name, machine))
     best: tuple[float, GangPlacement, list[Attempt]] | None = None
     for placement in placements:
         missing_tasks, cost = placement.missing_tasks, 0.0
@@ -107,7 +107,7 @@
         in_zone: dict[str, int] = {}
         for s in shares:
             in_zone[s.machine.zone] = in_zone.get(s.machine.zone, 0) + s.count
-        for _, _, machine in sorted(offers.get(placement.zone, ()), key=lambda o: o[:2]):
+        for _, _, machine in sorted(candidates.get(placement.zone, ()), key=lambda o: o[:2]):
             most = (
                 min(missing_tasks, spec.zone_limit - in_zone.get(machine.zone, 0))
                 if spec.spread_zones
@@ -115,7 +115,7 @@
             )
             # As many as may go there at once: each further machine is one more that may be slow or fail.
             for count in range(most, 0, -1):
-                found = offer(machine, count)
+                found = select_victims(machine, count)
                 if found is not None:
                     missing_tasks -= count
                     cost += found[0]
@@ -130,14 +130,14 @@
     return (best[1], best[2]) if best is not None else None
 
 
-def worth_holding(spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine]) -> list[Machine]:
+def machines_to_hold(spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine]) -> list[Machine]:
     """Machines to keep filling up for a group that finds no room: in the zone that lacks least, those with most room
     that is not a service's, until all would fit. None are kept if even all of them would not do."""
     by_zone: dict[str | None, list[tuple[int, float, Machine]]] = {}
     for machine in machines:
         tasks = [a for a in machine.attempts.values() if a.spec is not None]
         ending = [a for a in tasks if a.spec is not None and not a.spec.is_service]
-        count = capacity(machine, spec, ending)
+        count = task_capacity(machine, spec, ending)
         if count > 0:
             ease = machine.capacity_cpus - machine.cpus - (len(tasks) - len(ending))
             by_zone.setdefault(machine.zone if spec.one_zone else None, []).append((count, ease, machine))
--- a/sorrelsill/placement/guarantees.py
+++ b/sorrelsill/placement/guaranteed_shares.py
@@ -10,7 +10,7 @@
 
 from sortedcontainers import SortedList
 
-from sorrelsill.placement.team_limits import TeamLimits
+from sorrelsill.placement.team_quotas import TeamQuotas
 from sorrelsill.settings import Team
 from sorrelsill.workers import ClusterState, Job
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class _Claimant:
+class _ShareEntry:
     """A job in its team's order of submission, and all that its tasks take, in millionths."""
 
     submitted: float
@@ -34,72 +34,72 @@
     def __init__(self, team: Team) -> None:
         self._cpus = round(team.cpus * _MICRO) + 1
         self._gpus = round(team.gpus * _MICRO) + 1
-        self._claimants: SortedList[_Claimant] = SortedList()
-        self._inside = 0
+        self._entries: SortedList[_ShareEntry] = SortedList()
+        self._covered_count = 0
         self._used_cpus = 0
         self._used_gpus = 0
 
-    def add(self, claimant: _Claimant) -> bool:
+    def add(self, entry: _ShareEntry) -> bool:
         """Whether it lies inside, as long as the border stays where it is."""
-        at = self._claimants.bisect_left(claimant)
-        self._claimants.add(claimant)
-        if at >= self._inside:
+        at = self._entries.bisect_left(entry)
+        self._entries.add(entry)
+        if at >= self._covered_count:
             return False
-        self._inside += 1
-        self._use(claimant, 1)
+        self._covered_count += 1
+        self._use(entry, 1)
         return True
 
-    def remove(self, claimant: _Claimant) -> None:
-        at = self._claimants.bisect_left(claimant)
-        self._claimants.remove(claimant)
-        if at < self._inside:
-            self._inside -= 1
-            self._use(claimant, -1)
+    def remove(self, entry: _ShareEntry) -> None:
+        at = self._entries.bisect_left(entry)
+        self._entries.remove(entry)
+        if at < self._covered_count:
+            self._covered_count -= 1
+            self._use(entry, -1)
 
-    def _use(self, claimant: _Claimant, sign: int) -> None:
-        self._used_cpus += sign * claimant.cpus
-        self._used_gpus += sign * claimant.gpus
+    def _use(self, entry: _ShareEntry, sign: int) -> None:
+        self._used_cpus += sign * entry.cpus
+        self._used_gpus += sign * entry.gpus
 
-    def _fits(self, more: _Claimant | None = None) -> bool:
+    def _fits(self, more: _ShareEntry | None = None) -> bool:
         cpus = self._used_cpus + (more.cpus if more is not None else 0)
         gpus = self._used_gpus + (more.gpus if more is not None else 0)
         return cpus <= self._cpus and gpus <= self._gpus
 
-    def move_border(self, inside: set[str], moved: set[str]) -> None:
+    def update_coverage(self, guaranteed_jobs: set[str], changed_jobs: set[str]) -> None:
         """Bring the border to where the guarantee ends; jobs that it passes are noted."""
-        while self._inside and not self._fits():
-            self._inside -= 1
-            last = self._claimants[self._inside]
+        while self._covered_count and not self._fits():
+            self._covered_count -= 1
+            last = self._entries[self._covered_count]
             self._use(last, -1)
-            inside.discard(last.job_id)
-            moved.add(last.job_id)
-        while self._inside < len(self._claimants) and self._fits(self._claimants[self._inside]):
-            following = self._claimants[self._inside]
+            guaranteed_jobs.discard(last.job_id)
+            changed_jobs.add(last.job_id)
+        while self._covered_count < len(self._entries) and self._fits(self._entries[self._covered_count]):
+            following = self._entries[self._covered_count]
             self._use(following, 1)
-            self._inside += 1
-            inside.add(following.job_id)
-            moved.add(following.job_id)
+            self._covered_count += 1
+            guaranteed_jobs.add(following.job_id)
+            changed_jobs.add(following.job_id)
 
 
-class Guarantees:
+class GuaranteedShares:
     """Follows the live jobs; `inside` holds those within their team's guarantee."""
 
-    def __init__(self, teams: TeamLimits) -> None:
+    def __init__(self, teams: TeamQuotas) -> None:
         self._teams = teams
         self._shares: dict[str, _TeamShare] = {}
-        self._known: dict[str, tuple[_TeamShare, _Claimant]] = {}  # by job
-        self.inside: set[str] = set()
+        self._known: dict[str, tuple[_TeamShare, _ShareEntry]] = {}  # by job
+        self.guaranteed_jobs: set[str] = set()
 
     def reset(self) -> None:
         """A new term begins."""
         self._shares.clear()
         self._known.clear()
-        self.inside.clear()
+        self.guaranteed_jobs.clear()
 
     def update(self, cluster: ClusterState, changed: Iterable[str]) -> set[str]:
         """Take in jobs that have come or are over. Returns the live jobs that are inside now and were not, or the
         other way round."""
-        moved: set[str] = set()
+        changed_jobs: set[str] = set()
         touched: dict[int, _TeamShare] = {}
         for job_id in changed:
             job = cluster.jobs.get(job_id)
@@ -107,8 +107,8 @@
             if share is not None:
                 touched[id(share)] = share
         for share in touched.values():
-            share.move_border(self.inside, moved)
-        return moved
+            share.update_coverage(self.guaranteed_jobs, changed_jobs)
+        return changed_jobs
 
     def _add(self, job: Job) -> _TeamShare | None:
         spec = job.spec
@@ -119,17 +119,17 @@
         if share is None:
             share = self._shares[team.name] = _TeamShare(team)
         cpus, gpus = (round(each * spec.task_count * _MICRO) for each in (spec.cpus, spec.gpus))
-        claimant = _Claimant(job.submitted, job.order, spec.job_id, cpus, gpus)
-        self._known[spec.job_id] = share, claimant
-        if share.add(claimant):
-            self.inside.add(spec.job_id)
+        entry = _ShareEntry(job.submitted, job.order, spec.job_id, cpus, gpus)
+        self._known[spec.job_id] = share, entry
+        if share.add(entry):
+            self.guaranteed_jobs.add(spec.job_id)
         return share
 
     def _remove(self, job_id: str) -> _TeamShare | None:
-        self.inside.discard(job_id)
+        self.guaranteed_jobs.discard(job_id)
         known = self._known.pop(job_id, None)
         if known is None:
             return None
-        share, claimant = known
-        share.remove(claimant)
+        share, entry = known
+        share.remove(entry)
         return share
--- a/sorrelsill/placement/job_queue.py
+++ b/sorrelsill/placement/job_queue.py
@@ -15,7 +15,7 @@
 from sorrelsill.timers import Timers
 from sorrelsill.workers import ClusterState, Job
 
-_Place = tuple[Precedence, int, str]  # where a job stands, then the order of arrival, then its name
+_QueueKey = tuple[Precedence, int, str]  # where a job stands, then the order of arrival, then its name
 
 
 class JobQueue:
@@ -24,14 +24,14 @@
     def __init__(self, objectives: ServiceLevelObjectives, guaranteed: set[str]) -> None:
         self._objectives = objectives
         self._guaranteed = guaranteed
-        self._sorted: SortedList[_Place] = SortedList()
-        self._places: dict[str, _Place] = {}  # by job
+        self._sorted: SortedList[_QueueKey] = SortedList()
+        self._keys: dict[str, _QueueKey] = {}  # by job
         self._timers: Timers[str] = Timers()  # when the place of a job will change by itself
 
     def reset(self) -> None:
         """A new term begins."""
         self._sorted.clear()
-        self._places.clear()
+        self._keys.clear()
         self._timers.clear()
 
     def update(self, cluster: ClusterState, changed: Iterable[str], now: float) -> None:
@@ -45,22 +45,25 @@
             self._place(cluster.jobs.get(job_id), job_id, now)
 
     def _place(self, job: Job | None, job_id: str, now: float) -> None:
-        former = self._places.get(job_id)
-        place: _Place | None = None
+        former_key = self._keys.get(job_id)
+        key: _QueueKey | None = None
         if job is not None and job.waiting > 0:
-            place = precedence(job, self._objectives, job_id in self._guaranteed, now), job.order, job_id
+            key = precedence(job, self._objectives, job_id in self._guaranteed, now), job.order, job_id
             self._set_timer(job, now)
-        if place == former:
+        if key == former_key:
             return
-        if former is not None:
-            self._sorted.remove(former)
-            del self._places[job_id]
-        if place is not None:
-            self._sorted.add(place)
-            self._places[job_id] = place
+        if former_key is not None:
+            self._sorted.remove(former_key)
+            del self._keys[job_id]
+        if key is not None:
+            self._sorted.add(key)
+            self._keys[job_id] = key
 
     def _set_timer(self, job: Job, now: float) -> None:
-        moments = [job.submitted + mark_s - job.spec.expected_run_s for mark_s in self._objectives.marks_s(job)]
+        moments = [
+            job.submitted + target_s - job.spec.expected_run_s
+            for target_s in self._objectives.completion_targets_s(job)
+        ]
         if not job.bound:
             moments.append(job.served_at + constants.AGED_S)
         coming = [moment for moment in moments if moment >= now]
@@ -72,4 +75,4 @@
         return [job_id for _, _, job_id in self._sorted]
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._keys)
--- a/sorrelsill/placement/objectives.py
+++ b/sorrelsill/placement/objectives.py
@@ -8,7 +8,7 @@
 from sorrelsill.workers import Job
 
 
-class NextMark(NamedTuple):
+class NextObjective(NamedTuple):
     """The next moment that matters to a job's user and can still be met, after how many missed ones."""
 
     missed: int
@@ -20,34 +20,34 @@
 
     def __init__(self, objectives: list[Objective]) -> None:
         self._finish_within_s: dict[str, list[float]] = {}  # class -> seconds after submission that its aims name
-        self._deadline_times: dict[str, list[float]] = {}  # class -> multiples of the deadline that its aims name
+        self._deadline_factors: dict[str, list[float]] = {}  # class -> multiples of the deadline that its aims name
         self.start_within_s: dict[str, float] = {}  # class -> seconds within which its tasks should start
-        for aim in objectives:
-            if not aim.job_class:
+        for objective in objectives:
+            if not objective.job_class:
                 continue
-            if aim.kind == "finished" and aim.within_s:
-                self._finish_within_s.setdefault(aim.job_class, []).append(aim.within_s)
-            if aim.kind == "wait" and aim.within_s:
-                self.start_within_s[aim.job_class] = aim.within_s
-            if aim.kind == "deadline":
-                self._deadline_times.setdefault(aim.job_class, []).append(aim.times or 1.0)
-
-    def marks_s(self, job: Job) -> list[float]:
+            if objective.kind == "finished" and objective.within_s:
+                self._finish_within_s.setdefault(objective.job_class, []).append(objective.within_s)
+            if objective.kind == "wait" and objective.within_s:
+                self.start_within_s[objective.job_class] = objective.within_s
+            if objective.kind == "deadline":
+                self._deadline_factors.setdefault(objective.job_class, []).append(objective.times or 1.0)
+
+    def completion_targets_s(self, job: Job) -> list[float]:
         """Seconds after its submission at which the job should be done, earliest first."""
         spec = job.spec
-        marks = list(self._finish_within_s.get(spec.job_class, []))
+        targets = list(self._finish_within_s.get(spec.job_class, []))
         if spec.deadline_s is not None:
-            marks += [spec.deadline_s * times for times in self._deadline_times.get(spec.job_class, [1.0])]
-        return sorted(marks)
+            targets += [spec.deadline_s * times for times in self._deadline_factors.get(spec.job_class, [1.0])]
+        return sorted(targets)
 
-    def next_mark(self, job: Job, now: float) -> NextMark:
+    def next_objective(self, job: Job, now: float) -> NextObjective:
         """A job that is late for good waits behind those that are not."""
         missed = 0
-        for mark_s in self.marks_s(job):
-            if job.submitted + mark_s >= now + job.spec.expected_run_s:
-                return NextMark(missed, job.submitted + mark_s)
+        for target_s in self.completion_targets_s(job):
+            if job.submitted + target_s >= now + job.spec.expected_run_s:
+                return NextObjective(missed, job.submitted + target_s)
             missed += 1
-        return NextMark(missed, job.submitted)
+        return NextObjective(missed, job.submitted)
 
     def should_start_at_once(self, job_class: str) -> bool:
         """Whether an aim names seconds within which tasks of the class should start."""
--- a/sorrelsill/placement/order.py
+++ b/sorrelsill/placement/order.py
@@ -14,25 +14,25 @@
     """Compared field by field; lower goes first."""
 
     below_production: bool
-    not_aged: bool
+    not_starved: bool
     outside_guarantee: bool
     priority: int
-    missed_marks: int
+    missed_objectives: int
     work_left: float  # CPU seconds
-    next_mark: float
+    next_objective: float
 
 
 def precedence(job: Job, objectives: ServiceLevelObjectives, guaranteed: bool, now: float) -> Precedence:
     """Where a waiting job stands in the order."""
     spec = job.spec
-    mark = objectives.next_mark(job, now)
+    objective = objectives.next_objective(job, now)
     # The least work first: by their marks alone, in a burst all jobs share what room there is and all miss.
     work = 0.0 if spec.is_service else (spec.task_count - job.done.count) * spec.cpus * spec.expected_run_s
     return Precedence(
-        spec.priority > 0, not aged_out(job, now), not guaranteed, spec.priority, mark.missed, work, mark.at
+        spec.priority > 0, not is_starved(job, now), not guaranteed, spec.priority, objective.missed, work, objective.at
     )
 
 
-def aged_out(job: Job, now: float) -> bool:
+def is_starved(job: Job, now: float) -> bool:
     """Nothing of it has run for so long that the order of jobs must not keep it waiting any more."""
     return not job.bound and now - job.served_at > constants.AGED_S
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -16,17 +16,17 @@
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
-    from sorrelsill.placement.guests import Guests
+    from sorrelsill.placement.borrowing_teams import BorrowingTeams
     from sorrelsill.placement.objectives import ServiceLevelObjectives
     from sorrelsill.placement.reservations import Reservations
     from sorrelsill.placement.scheduling_cycle import SchedulingCycle
-    from sorrelsill.placement.team_limits import TeamLimits
+    from sorrelsill.placement.team_quotas import TeamQuotas
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
-class Victims:
+class VictimSet:
     """Attempts whose end makes room on their machine, and the work that is lost with them."""
 
     cost: float  # CPU seconds
@@ -38,28 +38,30 @@
 
     def __init__(
         self,
-        teams: TeamLimits,
+        teams: TeamQuotas,
         objectives: ServiceLevelObjectives,
         reservations: Reservations,
         guaranteed: set[str],
-        guests: Guests,
+        borrowing_teams: BorrowingTeams,
         rng: random.Random,
     ) -> None:
         self._teams = teams
         self._objectives = objectives
         self._reservations = reservations
         self._guaranteed = guaranteed  # jobs within their team's guarantee
-        self._guests = guests
+        self._borrowing_teams = borrowing_teams
         self._rng = rng
 
     # --- who may stop whom ---
 
-    def _may_stop(self, job: Job, attempt: Attempt) -> bool:
+    def _is_eligible_victim(self, job: Job, attempt: Attempt) -> bool:
         """By higher rank, or to give a team its guarantee out of what another runs beyond its own."""
         victim = attempt.spec
         if victim is None or attempt.exited:
             return False
-        if victim.priority > job.spec.priority and (self._may_preempt(job) or self._yields(victim, job.spec)):
+        if victim.priority > job.spec.priority and (
+            self._may_preempt(job) or self._runs_on_borrowed_capacity(victim, job.spec)
+        ):
             return True
         return (
             job.spec.job_id in self._guaranteed
@@ -71,45 +73,51 @@
         """Whether the job may take room from any lower work: others wait, so that low work gets done as well."""
         return job.spec.priority is Priority.PRODUCTION or job.spec.is_gang or job.spec.job_id in self._guaranteed
 
-    def _presses(self, cluster: ClusterState, job: Job, now: float) -> bool:
+    def _objective_at_risk(self, cluster: ClusterState, job: Job, now: float) -> bool:
         """Whether the next moment that matters to the job's user would pass before a rented machine could help. Until
         then guests keep their room: guards against stopping work for a job that can be in time without."""
-        mark = self._objectives.next_mark(job, now)
-        return mark.at > now and not time_to_rent(job.spec, cluster.catalog, mark.at - now)
+        objective = self._objectives.next_objective(job, now)
+        return objective.at > now and not time_to_rent(job.spec, cluster.catalog, objective.at - now)
 
-    def _yields(self, victim: JobSpec, claimant: JobSpec) -> bool:
+    def _runs_on_borrowed_capacity(self, victim: JobSpec, claimant: JobSpec) -> bool:
         """Guests, whose team has no guarantee, run on what nobody else needs: guards against their arrays filling all
         machines while work of others with a deadline waits."""
-        return victim.team != claimant.team and self._teams.is_guest(victim.team)
+        return victim.team != claimant.team and self._teams.is_borrower(victim.team)
 
     # --- single tasks ---
 
     def make_room(
-        self, cycle: SchedulingCycle, job: Job, machines: Sequence[Machine], patience_s: float = constants.CLAIM_S
+        self, cycle: SchedulingCycle, job: Job, machines: Sequence[Machine], reservation_s: float = constants.CLAIM_S
     ) -> int:
         """Stop the least work that lets waiting tasks in; their room is awaited before more is stopped."""
         cluster, now, spec = cycle.cluster, cycle.now, job.spec
-        if not self._may_preempt(job) and not (self._guests.other_than(spec.team) and self._presses(cluster, job, now)):
+        if not self._may_preempt(job) and not (
+            self._borrowing_teams.any_other_than(spec.team) and self._objective_at_risk(cluster, job, now)
+        ):
             return 0
-        wanted = min(job.waiting - self._reservations.claimed(spec.job_id, now), constants.PREEMPT_PER_CYCLE)
-        kind = self._kind(job)
-        if wanted <= 0 or self._reservations.searched_in_vain(kind, now):
+        wanted = min(
+            job.waiting - self._reservations.tasks_awaiting_room(spec.job_id, now), constants.PREEMPT_PER_CYCLE
+        )
+        kind = self._search_class(job)
+        if wanted <= 0 or self._reservations.search_failed_recently(kind, now):
             return 0
-        looked_at = self._sample(job, machines, now)
-        offers = [found for m in looked_at if (found := self._victims(cluster, job, m, now)) is not None]
-        if not offers and len(machines) > len(looked_at):
-            self._reservations.found_no_room(kind, now)
+        looked_at = self._sample_machines(job, machines, now)
+        candidates = [found for m in looked_at if (found := self._select_victims(cluster, job, m, now)) is not None]
+        if not candidates and len(machines) > len(looked_at):
+            self._reservations.record_failed_search(kind, now)
         # Found on a measured day: a service that came in a busy minute stopped group after group, each whole.
-        offers.sort(key=lambda offer: (any(a.job_id in cluster.gangs for a in offer.attempts), offer.cost))
-        return self._take(cluster, job, offers, wanted, patience_s, now)
+        candidates.sort(
+            key=lambda candidate: (any(a.job_id in cluster.gangs for a in candidate.attempts), candidate.cost)
+        )
+        return self._evict_cheapest(cluster, job, candidates, wanted, reservation_s, now)
 
-    def _kind(self, job: Job) -> Hashable:
+    def _search_class(self, job: Job) -> Hashable:
         """Jobs of one kind find room in the same places."""
         spec = job.spec
         guaranteed = spec.job_id in self._guaranteed
         return spec.priority, spec.team, guaranteed, spec.cpus, spec.memory_gb, spec.gpus, spec.spot_allowed
 
-    def _sample(self, job: Job, machines: Sequence[Machine], now: float) -> list[Machine]:
+    def _sample_machines(self, job: Job, machines: Sequence[Machine], now: float) -> list[Machine]:
         """Few of the machines where room may be made, by the dice; all are asked only if hardly any will do."""
         found: list[Machine] = []
         for few in (4 * constants.PREEMPT_SAMPLE, len(machines)):
@@ -128,38 +136,46 @@
                 break
         return found
 
-    def _take(
-        self, cluster: ClusterState, job: Job, offers: list[Victims], wanted: int, patience_s: float, now: float
+    def _evict_cheapest(
+        self,
+        cluster: ClusterState,
+        job: Job,
+        candidates: list[VictimSet],
+        wanted: int,
+        reservation_s: float,
+        now: float,
     ) -> int:
         """Stop what is offered, cheapest first, until enough tasks have room; returns for how many."""
         spec = job.spec
         made = 0
         zones = dict(job.zones)  # with what the room made in this round will add
-        for offer in offers:
+        for candidate in candidates:
             if made >= wanted:
                 break
-            machine = offer.attempts[0].machine
+            machine = candidate.attempts[0].machine
             if not spec.may_add_in(machine.zone, zones):
                 continue
-            until = now + self._stop(cluster, spec, offer.attempts, patience_s)
+            until = now + self._evict(cluster, spec, candidate.attempts, reservation_s)
             zones[machine.zone] = zones.get(machine.zone, 0) + 1
-            self._reservations.claim(spec.job_id, until)
+            self._reservations.expect_room(spec.job_id, until)
             self._reservations.reserve(machine, spec.job_id, until)
             made += 1
         return made
 
     @staticmethod
-    def _stop(cluster: ClusterState, spec: JobSpec, attempts: list[Attempt], patience_s: float) -> float:
+    def _evict(cluster: ClusterState, spec: JobSpec, attempts: list[Attempt], reservation_s: float) -> float:
         """Stop these for the job; returns how long their room is to be awaited."""
         names = [f"{a.task_id} on {a.machine.name} {a.machine.zone}" for a in attempts]
         log.debug("room for %s: %s", spec.job_id, names)
-        wait_s = patience_s
+        wait_s = reservation_s
         for attempt in attempts:
             cluster.stop(attempt, _reason(spec), immediately=spec.priority is Priority.PRODUCTION)
-            wait_s = max(wait_s, patience_s + attempt.grace_period_s)
+            wait_s = max(wait_s, reservation_s + attempt.grace_period_s)
         return wait_s
 
-    def _victims(self, cluster: ClusterState, job: Job, machine: Machine, now: float, count: int = 1) -> Victims | None:
+    def _select_victims(
+        self, cluster: ClusterState, job: Job, machine: Machine, now: float, count: int = 1
+    ) -> VictimSet | None:
         """The least to stop so that `count` tasks of the job fit; None if nothing is or need be stopped there."""
         spec = job.spec
         mine = _reason(spec)
@@ -170,8 +186,14 @@
         lack_memory = (
             spec.memory_gb * count - (machine.capacity_memory_gb - machine.memory_gb) - constants.AMOUNT_TOLERANCE
         )
-        can = [a for a in machine.attempts.values() if not a.stop_requested and self._may_stop(job, a)]
-        can.sort(key=lambda a: (-(a.spec.priority if a.spec else 0), a.job_id in cluster.gangs, _loss(cluster, a, now)))
+        can = [a for a in machine.attempts.values() if not a.stop_requested and self._is_eligible_victim(job, a)]
+        can.sort(
+            key=lambda a: (
+                -(a.spec.priority if a.spec else 0),
+                a.job_id in cluster.gangs,
+                _preemption_cost_s(cluster, a, now),
+            )
+        )
         cost, chosen = 0.0, []
         for attempt in can:
             if lack_cpus <= 0 and lack_gpus <= 0 and lack_memory <= 0:
@@ -181,11 +203,11 @@
             lack_cpus -= victim.cpus
             lack_gpus -= victim.gpus
             lack_memory -= victim.memory_gb
-            cost += _loss(cluster, attempt, now) * victim.cpus
+            cost += _preemption_cost_s(cluster, attempt, now) * victim.cpus
             chosen.append(attempt)
         if not chosen or lack_cpus > 0 or lack_gpus > 0 or lack_memory > 0:
             return None
-        return Victims(cost, chosen)
+        return VictimSet(cost, chosen)
 
     # --- groups ---
 
@@ -198,26 +220,26 @@
             return False
         guaranteed = spec.job_id in self._guaranteed
         kind = ("group", spec.priority, spec.team, guaranteed, spec.cpus, spec.task_count, spec.spot_allowed)
-        if self._reservations.searched_in_vain(kind, now):
+        if self._reservations.search_failed_recently(kind, now):
             return False
         sample = self._rng.sample(machines, min(len(machines), constants.PREEMPT_SAMPLE * constants.GANG_SAMPLES))
         may = [
             m
             for m in sample
-            if m.bound_count and m.usable and m.allows(spec) and self._reservations.open_to(job, m, now)
+            if m.bound_count and m.usable and m.allows(spec) and self._reservations.admits(job, m, now)
         ]
 
-        def offer(machine: Machine, more: int) -> tuple[float, list[Attempt]] | None:
-            found = self._victims(cluster, job, machine, now, gang_placement.capacity(machine, spec) + more)
+        def select_victims(machine: Machine, more: int) -> tuple[float, list[Attempt]] | None:
+            found = self._select_victims(cluster, job, machine, now, gang_placement.task_capacity(machine, spec) + more)
             return (found.cost, found.attempts) if found is not None else None
 
-        found = gang_placement.room_for(spec, placements, may, offer)
+        found = gang_placement.find_preemption(spec, placements, may, select_victims)
         if found is None:
-            self._reservations.found_no_room(kind, now)
+            self._reservations.record_failed_search(kind, now)
             return False
         placement, victims = found
-        until = now + self._stop(cluster, spec, victims, constants.CLAIM_S)
-        self._reservations.claim(spec.job_id, until, spec.task_count)
+        until = now + self._evict(cluster, spec, victims, constants.CLAIM_S)
+        self._reservations.expect_room(spec.job_id, until, spec.task_count)
         for share in placement.shares:
             self._reservations.reserve(share.machine, spec.job_id, until)
         return True
@@ -227,7 +249,7 @@
     return f"making room for {spec.job_id}"
 
 
-def _loss(cluster: ClusterState, attempt: Attempt, now: float) -> float:
+def _preemption_cost_s(cluster: ClusterState, attempt: Attempt, now: float) -> float:
     """Seconds of work thrown away; of a group, by all of its tasks."""
     gang = cluster.gangs.get(attempt.job_id)
     return gang_loss(gang, now) if gang is not None else _lost_work(attempt, now)
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -13,29 +13,29 @@
 from sorrelsill import constants
 from sorrelsill.model import Priority
 from sorrelsill.placement import gang_placement
+from sorrelsill.placement.borrowing_teams import BorrowingTeams
 from sorrelsill.placement.candidates import CandidatePool, MachineChooser
 from sorrelsill.placement.gang_headroom import GangHeadroom
-from sorrelsill.placement.guarantees import Guarantees
-from sorrelsill.placement.guests import Guests
+from sorrelsill.placement.guaranteed_shares import GuaranteedShares
 from sorrelsill.placement.job_queue import JobQueue
 from sorrelsill.placement.objectives import ServiceLevelObjectives
-from sorrelsill.placement.order import aged_out
+from sorrelsill.placement.order import is_starved
 from sorrelsill.placement.preemption import Preemption
 from sorrelsill.placement.reservations import Reservations
-from sorrelsill.placement.scheduling_cycle import SchedulingCycle, kind_of_room
-from sorrelsill.placement.team_limits import TeamLimits
+from sorrelsill.placement.scheduling_cycle import SchedulingCycle, equivalence_class
+from sorrelsill.placement.team_quotas import TeamQuotas
 from sorrelsill.settings import Objective, Team
 from sorrelsill.workers import ClusterState, Job, Machine, UnschedulableDemand
 
 log = logging.getLogger(__name__)
 
 
-class _End(enum.Enum):
+class _BindOutcome(enum.Enum):
     """Why no further task of a job was bound in a round."""
 
     ALL_BOUND = enum.auto()
     NO_ROOM = enum.auto()
-    LIMITED = enum.auto()  # the team's limit stands in the way
+    QUOTA_EXCEEDED = enum.auto()  # the team's limit stands in the way
     TRIAL_RUNS = enum.auto()  # a job that failed wherever it was tried waits for the outcome of its trial
     OUT_OF_TIME = enum.auto()
 
@@ -52,30 +52,35 @@
         optimise_latency: bool = False,
     ) -> None:
         self._objectives = ServiceLevelObjectives(objectives)
-        self._teams = TeamLimits(teams)
+        self._teams = TeamQuotas(teams)
         self._reservations = Reservations()
         self._gang_headroom = GangHeadroom(self._objectives, optimise_latency)
         self._chooser = MachineChooser(
             self._objectives, self._reservations, self._gang_headroom, rng, sample, optimise_latency
         )
-        self._guarantees = Guarantees(self._teams)
-        self._queue = JobQueue(self._objectives, self._guarantees.inside)
-        self._guests = Guests(self._teams)
+        self._guaranteed_shares = GuaranteedShares(self._teams)
+        self._queue = JobQueue(self._objectives, self._guaranteed_shares.guaranteed_jobs)
+        self._borrowing_teams = BorrowingTeams(self._teams)
         self._preemption = Preemption(
-            self._teams, self._objectives, self._reservations, self._guarantees.inside, self._guests, rng
+            self._teams,
+            self._objectives,
+            self._reservations,
+            self._guaranteed_shares.guaranteed_jobs,
+            self._borrowing_teams,
+            rng,
         )
         self._cluster: ClusterState | None = None  # the one that the queue follows
-        self._left: deque[str] = deque()  # jobs that the last round did not get to
+        self._remaining: deque[str] = deque()  # jobs that the last round did not get to
         self._warm_until: dict[str, float] = {}  # job -> until when room on machines with its image is awaited
         self.unschedulable: dict[str, UnschedulableDemand] = {}
 
     def reset(self) -> None:
         """A new term begins."""
         self._cluster = None
-        self._left.clear()
+        self._remaining.clear()
         self._queue.reset()
-        self._guarantees.reset()
-        self._guests.reset()
+        self._guaranteed_shares.reset()
+        self._borrowing_teams.reset()
         self._warm_until.clear()
         self._reservations.reset()
         self.unschedulable.clear()
@@ -85,30 +90,30 @@
     def run_cycle(self, cluster: ClusterState, now: float, clock: Callable[[], float], budget: float) -> bool:
         """Place what fits. False if the budget ran out before all jobs were seen."""
         begun = clock()
-        if not self._left:
-            self._begin(cluster, now)
-        self._gang_headroom.find(cluster)
+        if not self._remaining:
+            self._start_cycle(cluster, now)
+        self._gang_headroom.update(cluster)
         cycle = SchedulingCycle(cluster, now, lambda: clock() - begun > budget, cluster.index.ready)
-        while self._left:
-            job = cluster.jobs.get(self._left[0])
+        while self._remaining:
+            job = cluster.jobs.get(self._remaining[0])
             if job is not None and job.waiting > 0:
                 if not self._place_job(cycle, job):
                     return False
             elif job is not None:
                 self.unschedulable.pop(job.spec.job_id, None)
-            self._left.popleft()
+            self._remaining.popleft()
         return True
 
-    def _begin(self, cluster: ClusterState, now: float) -> None:
+    def _start_cycle(self, cluster: ClusterState, now: float) -> None:
         """All waiting jobs are looked at anew, in their order."""
         changed = cluster.take_changed_jobs()
         if self._cluster is not cluster:
             self._cluster = cluster
             changed = list(cluster.jobs)
-        moved = self._guarantees.update(cluster, changed)
-        self._guests.update(cluster, changed)
+        moved = self._guaranteed_shares.update(cluster, changed)
+        self._borrowing_teams.update(cluster, changed)
         self._queue.update(cluster, [*changed, *sorted(moved)], now)
-        self._left.extend(self._queue.in_order())
+        self._remaining.extend(self._queue.in_order())
         for job_id in changed:
             if job_id not in cluster.jobs:
                 self.unschedulable.pop(job_id, None)
@@ -122,70 +127,75 @@
             return True
         if job.spec.is_gang:
             self._place_gang(cycle, job)
-            return not cycle.late()
+            return not cycle.out_of_time()
         end = self._start_tasks(cycle, job)
-        if end is _End.OUT_OF_TIME:
+        if end is _BindOutcome.OUT_OF_TIME:
             return False
-        if end is not _End.TRIAL_RUNS and job.waiting > 0:
-            self._wait(cycle, job, limited=end is _End.LIMITED)
+        if end is not _BindOutcome.TRIAL_RUNS and job.waiting > 0:
+            self._handle_unschedulable(cycle, job, limited=end is _BindOutcome.QUOTA_EXCEEDED)
         return True
 
     # --- single tasks ---
 
-    def _start_tasks(self, cycle: SchedulingCycle, job: Job) -> _End:
+    def _start_tasks(self, cycle: SchedulingCycle, job: Job) -> _BindOutcome:
         """Bind tasks of a job, one after the other, until something stands in the way."""
         spec = job.spec
-        kind = kind_of_room(spec)
+        kind = equivalence_class(spec)
         plain = not (spec.spread_zones or spec.one_zone or job.avoid)
         pool: CandidatePool | None = None
         while (index := job.next_task()) is not None:
-            if cycle.late():
-                return _End.OUT_OF_TIME
+            if cycle.out_of_time():
+                return _BindOutcome.OUT_OF_TIME
             if job.trials_left() <= 0:
-                return _End.TRIAL_RUNS
+                return _BindOutcome.TRIAL_RUNS
             if not self._teams.allows(cycle.cluster, spec):
                 job.note(f"waiting: the limit of {spec.team} is reached")
-                return _End.LIMITED
+                return _BindOutcome.QUOTA_EXCEEDED
             machine = None
-            if not (plain and kind in cycle.full):
+            if not (plain and kind in cycle.full_classes):
                 pool = pool or CandidatePool(cycle.cluster, spec)
                 machine = self._chooser.choose(job, pool, cycle.now)
             if machine is None:
                 if plain:
-                    cycle.full.add(kind)
-                return _End.NO_ROOM
-            if self._slow_start(cycle.cluster, job, machine) and self._await_warm(cycle, job):
-                return _End.NO_ROOM
+                    cycle.full_classes.add(kind)
+                return _BindOutcome.NO_ROOM
+            if self._cold_start_misses_objective(cycle.cluster, job, machine) and self._preempt_on_warm_machines(
+                cycle, job
+            ):
+                return _BindOutcome.NO_ROOM
             cycle.cluster.bind(job, index, machine, cycle.now)
-            self._gang_headroom.use(spec, machine)
+            self._gang_headroom.task_bound(spec, machine)
             self._reservations.task_placed(spec.job_id, machine)
-        return _End.ALL_BOUND
+        return _BindOutcome.ALL_BOUND
 
-    def _wait(self, cycle: SchedulingCycle, job: Job, limited: bool) -> None:
+    def _handle_unschedulable(self, cycle: SchedulingCycle, job: Job, limited: bool) -> None:
         """Tasks of a job found no room: the fleet learns of it, and room is made where that is allowed."""
         if job.failures.suspect(len(job.bound)):
             return  # it fails wherever it is tried: nothing is rented or stopped for it
-        count = max(0, job.waiting - self._reservations.claimed(job.spec.job_id, cycle.now))
+        count = max(0, job.waiting - self._reservations.tasks_awaiting_room(job.spec.job_id, cycle.now))
         self.unschedulable[job.spec.job_id] = UnschedulableDemand(job, count, limited)
         if limited:
             return
         job.note("waiting: no room on the machines it may use")
         self._preemption.make_room(cycle, job, cycle.machines)
-        if aged_out(job, cycle.now):
-            self._hold(cycle, job)
+        if is_starved(job, cycle.now):
+            self._reserve_for_starved_job(cycle, job)
 
-    def _hold(self, cycle: SchedulingCycle, job: Job) -> None:
+    def _reserve_for_starved_job(self, cycle: SchedulingCycle, job: Job) -> None:
         """Keep one machine for a job that has waited too long, until enough of it is free: small tasks of others
         would take its pieces for ever. For one job at a time."""
         jobs, now = cycle.cluster.jobs, cycle.now
-        if any(job_id in jobs and aged_out(jobs[job_id], now) for job_id in self._reservations.holders(now)):
+        if any(
+            job_id in jobs and is_starved(jobs[job_id], now)
+            for job_id in self._reservations.jobs_with_reservations(now)
+        ):
             return
-        fitting = [machine for machine in cycle.machines if self._worth_holding(job, machine, now)]
+        fitting = [machine for machine in cycle.machines if self._could_run_once_free(job, machine, now)]
         if fitting:
-            held = max(fitting, key=_room_without_arrays)
+            held = max(fitting, key=_cpus_without_arrays)
             self._reservations.reserve(held, job.spec.job_id, now + constants.AGED_HOLD_S)
 
-    def _worth_holding(self, job: Job, machine: Machine, now: float) -> bool:
+    def _could_run_once_free(self, job: Job, machine: Machine, now: float) -> bool:
         """Whether the job could run on the machine once enough of it is free."""
         spec = job.spec
         return (
@@ -196,7 +206,7 @@
             and spec.may_add_in(machine.zone, job.zones)
         )
 
-    def _slow_start(self, cluster: ClusterState, job: Job, machine: Machine) -> bool:
+    def _cold_start_misses_objective(self, cluster: ClusterState, job: Job, machine: Machine) -> bool:
         """Whether fetching the image on this machine alone makes the start too late for its class's aim."""
         spec = job.spec
         within_s = self._objectives.start_within_s.get(spec.job_class)
@@ -210,14 +220,14 @@
             return False
         return spec.image_gb / machine_type.fetch_gb_per_s > within_s
 
-    def _await_warm(self, cycle: SchedulingCycle, job: Job) -> bool:
+    def _preempt_on_warm_machines(self, cycle: SchedulingCycle, job: Job) -> bool:
         """Make room on machines that hold the image already; True while that room is awaited. Only for that:
         found on a measured day, room that had been freed elsewhere was refused again and again."""
         job_id, now = job.spec.job_id, cycle.now
         if job_id not in self._warm_until:
             warm = cycle.cluster.index.holders(job.spec.image)
-            made = self._preemption.make_room(cycle, job, warm, constants.WARM_CLAIM_S) if warm else 0
-            self._warm_until[job_id] = now + constants.WARM_CLAIM_S if made else now
+            evicted_for = self._preemption.make_room(cycle, job, warm, constants.WARM_CLAIM_S) if warm else 0
+            self._warm_until[job_id] = now + constants.WARM_CLAIM_S if evicted_for else now
         return now < self._warm_until[job_id]
 
     # --- groups ---
@@ -231,10 +241,10 @@
             self.unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
             job.note(f"waiting: the limit of {spec.team} is reached")
             return
-        kind = ("group", kind_of_room(spec), spec.task_count)
+        kind = ("group", equivalence_class(spec), spec.task_count)
         reservations = self._reservations
-        kept = reservations.has_reservation(spec.job_id) or reservations.fills_up_for(spec.job_id)
-        if kind in cycle.full and not kept:
+        kept = reservations.has_reservation(spec.job_id) or reservations.holds_machines_for(spec.job_id)
+        if kind in cycle.full_classes and not kept:
             self.unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, False, spec.zone)
             return
         room = [m for m in cluster.index.with_room(spec) if self._chooser.may_take(job, m, now)]
@@ -243,7 +253,7 @@
         if placements and not placements[0].missing_tasks:
             self._bind_gang(cycle, job, placements[0])
             return
-        cycle.full.add(kind)
+        cycle.full_classes.add(kind)
         job.note("waiting: the whole group does not fit at once")
         self._wait_for_gang_room(cycle, job, placements)
 
@@ -253,7 +263,7 @@
         places = [share.machine for share in placement.shares for _ in range(share.count)]
         for index, machine in enumerate(places):
             cluster.bind(job, index, machine, cycle.now, attempt_number)
-            self._gang_headroom.use(spec, machine)
+            self._gang_headroom.task_bound(spec, machine)
         log.debug(
             "group %s: %d tasks on %d machines in %s, %.2f s after submission, image %s",
             spec.job_id,
@@ -270,11 +280,11 @@
     ) -> None:
         """Make room for the whole group, or keep machines filling up for it, or let the fleet know what it lacks."""
         spec, now = job.spec, cycle.now
-        if self._reservations.claimed(spec.job_id, now):
+        if self._reservations.tasks_awaiting_room(spec.job_id, now):
             return  # room is being made
         if placements and not self._preemption.make_room_for_gang(cycle, job, placements):
-            self._fill_up_for_gang(cycle, job, placements)
-        if self._reservations.claimed(spec.job_id, now):
+            self._hold_machines_for_gang(cycle, job, placements)
+        if self._reservations.tasks_awaiting_room(spec.job_id, now):
             return
         best = placements[0] if placements else None
         count = best.missing_tasks if best is not None else job.waiting
@@ -282,27 +292,29 @@
             job, count, False, best.zone if best is not None else spec.zone
         )
 
-    def _fill_up_for_gang(
+    def _hold_machines_for_gang(
         self, cycle: SchedulingCycle, job: Job, placements: list[gang_placement.GangPlacement]
     ) -> None:
         """Keep machines filling up for a group, or small tasks would take each gap for ever: for one that should start
         within seconds at once, for others once they waited too long; few at a time, so that arrays go on too."""
         spec, now, reservations = job.spec, cycle.now, self._reservations
-        urgent = self._objectives.should_start_at_once(spec.job_class) or aged_out(job, now)
-        if reservations.fills_up_for(spec.job_id) or not urgent:
+        urgent = self._objectives.should_start_at_once(spec.job_class) or is_starved(job, now)
+        if reservations.holds_machines_for(spec.job_id) or not urgent:
             return
-        if reservations.filling_count() >= constants.GANG_HOLD_SHARE * len(cycle.machines):
+        if reservations.gang_hold_count() >= constants.GANG_HOLD_SHARE * len(cycle.machines):
             return
         may = [
             machine
             for machine in cycle.machines
-            if machine.allows(spec) and reservations.open_to(job, machine, now) and not reservations.filling(machine)
+            if machine.allows(spec)
+            and reservations.admits(job, machine, now)
+            and not reservations.is_held_for_gang(machine)
         ]
-        for machine in gang_placement.worth_holding(spec, placements, may):
-            reservations.fill_up_for(machine, job, now + constants.GANG_HOLD_S)
+        for machine in gang_placement.machines_to_hold(spec, placements, may):
+            reservations.hold_for_gang(machine, job, now + constants.GANG_HOLD_S)
 
 
-def _room_without_arrays(machine: Machine) -> float:
+def _cpus_without_arrays(machine: Machine) -> float:
     """CPUs that are or come free once the tasks that end are through."""
     services = sum(a.spec.cpus for a in machine.attempts.values() if a.spec is not None and a.spec.is_service)
     return machine.capacity_cpus - machine.cpus - services
--- a/sorrelsill/placement/scheduling_cycle.py
+++ b/sorrelsill/placement/scheduling_cycle.py
@@ -15,11 +15,11 @@
 
     cluster: ClusterState
     now: float
-    late: Callable[[], bool]  # whether the round's time budget is used up
+    out_of_time: Callable[[], bool]  # whether the round's time budget is used up
     machines: MachineSet  # those that may be given work
-    full: set[Hashable] = field(default_factory=set)  # kinds of work for which no machine has room
+    full_classes: set[Hashable] = field(default_factory=set)  # kinds of work for which no machine has room
 
 
-def kind_of_room(spec: JobSpec) -> Hashable:
+def equivalence_class(spec: JobSpec) -> Hashable:
     """Jobs of one kind fit on the same machines."""
     return spec.machine_types, spec.zone, spec.cpus, spec.gpus, spec.memory_gb, spec.spot_allowed
--- a/sorrelsill/placement/team_limits.py
+++ b/sorrelsill/placement/team_quotas.py
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 
-class TeamLimits:
+class TeamQuotas:
     """What each team may use at the most, and which teams are guests."""
 
     def __init__(self, teams: list[Team]) -> None:
@@ -40,16 +40,16 @@
         if not allowed:
             cluster.starts_refused += 1
         if log.isEnabledFor(logging.DEBUG):
-            _log_judgement(cluster, spec, tasks, team, use, allowed)
+            _log_quota_check(cluster, spec, tasks, team, use, allowed)
         return allowed
 
-    def is_guest(self, name: str) -> bool:
+    def is_borrower(self, name: str) -> bool:
         """Guests are teams without a guarantee: they run on what nobody else needs."""
         team = self._teams.get(name)
         return team is not None and not team.cpus and not team.gpus
 
 
-def _log_judgement(cluster: ClusterState, spec: JobSpec, tasks: int, team: Team, use: TeamUse, allowed: bool) -> None:
+def _log_quota_check(cluster: ClusterState, spec: JobSpec, tasks: int, team: Team, use: TeamUse, allowed: bool) -> None:
     log_event(
         log,
         logging.DEBUG,
--- a/sorrelsill/placement/test_job_queue.py
+++ b/sorrelsill/placement/test_job_queue.py
@@ -5,16 +5,16 @@
 from sorrelsill import constants
 from sorrelsill.jobs import parse_spec
 from sorrelsill.model import Catalog, MachineType, TaskSet
-from sorrelsill.placement.guarantees import Guarantees
+from sorrelsill.placement.guaranteed_shares import GuaranteedShares
 from sorrelsill.placement.job_queue import JobQueue
 from sorrelsill.placement.objectives import ServiceLevelObjectives
 from sorrelsill.placement.order import precedence
-from sorrelsill.placement.team_limits import TeamLimits
+from sorrelsill.placement.team_quotas import TeamQuotas
 from sorrelsill.settings import Objective, Team
 from sorrelsill.workers import ClusterState
 from tests.simulation import count_calls, job
 
-TEAMS = TeamLimits([Team("red", cpus=30.0), Team("blue", cpus=12.5, gpus=2.0), Team("guests")])
+TEAMS = TeamQuotas([Team("red", cpus=30.0), Team("blue", cpus=12.5, gpus=2.0), Team("guests")])
 AIMS = ServiceLevelObjectives(
     [Objective("finished", "w", 20.0), Objective("finished", "w", 40.0), Objective("deadline", "batch")]
 )
@@ -94,15 +94,15 @@
 def test_the_order_and_the_guarantees_are_those_worked_out_anew() -> None:
     for seed in range(20):
         history = History(seed)
-        guarantees = Guarantees(TEAMS)
-        queue = JobQueue(AIMS, guarantees.inside)
+        guaranteed_shares = GuaranteedShares(TEAMS)
+        queue = JobQueue(AIMS, guaranteed_shares.guaranteed_jobs)
         for _ in range(150):
             history.step()
             changed = history.cluster.take_changed_jobs()
-            moved = guarantees.update(history.cluster, changed)
+            moved = guaranteed_shares.update(history.cluster, changed)
             queue.update(history.cluster, [*changed, *moved], history.now)
-            assert guarantees.inside == guaranteed_anew(history.cluster)
-            assert queue.in_order() == order_anew(history.cluster, guarantees.inside, history.now)
+            assert guaranteed_shares.guaranteed_jobs == guaranteed_anew(history.cluster)
+            assert queue.in_order() == order_anew(history.cluster, guaranteed_shares.guaranteed_jobs, history.now)
 
 
 def test_a_job_nothing_of_which_ran_for_too_long_moves_without_any_event() -> None:
@@ -121,15 +121,15 @@
 def test_one_job_more_costs_the_same_among_many_as_among_few() -> None:
     def calls(jobs: int) -> int:
         cluster = cluster_with_a_machine()
-        guarantees = Guarantees(TEAMS)
-        queue = JobQueue(AIMS, guarantees.inside)
+        guaranteed_shares = GuaranteedShares(TEAMS)
+        queue = JobQueue(AIMS, guaranteed_shares.guaranteed_jobs)
         for number in range(jobs):
             spec = parse_spec(job(f"run-{number:05d}", owner="red"))
             cluster.add_job(spec, TaskSet(spec.task_count), 1, False, float(number), [])
 
         def update() -> None:
             changed = cluster.take_changed_jobs()
-            queue.update(cluster, [*changed, *guarantees.update(cluster, changed)], float(jobs))
+            queue.update(cluster, [*changed, *guaranteed_shares.update(cluster, changed)], float(jobs))
 
         update()
         spec = parse_spec(job("run-one-more", owner="red"))
--- a/tests/soak/event_counts.py
+++ b/tests/soak/event_counts.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 
 from sorrelsill.controller import controller
-from sorrelsill.placement import team_limits
+from sorrelsill.placement import team_quotas
 from sorrelsill.workers import adoption
 
-_LOGS = (controller.log, team_limits.log, adoption.log)
+_LOGS = (controller.log, team_quotas.log, adoption.log)
 
 
 @dataclass(frozen=True, slots=True)
