--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -60,7 +60,7 @@
         self.counts: dict[str, int] = {}
         self._wake = trio.Event()
         self._draining = False  # stops as planned
-        self.tick_s = operator.tick_s or constants.TICK_S
+        self.tick_s = operator.tick_s or constants.SCHEDULING_INTERVAL_S
 
         ended_window_s = facts.workers.cancel_s + facts.workers.lease_s
         self.store = KeyValueStore(make_client(settings.services.state), facts.state, facts.nodes)
@@ -97,7 +97,7 @@
             on_cancelled=self._on_cancelled,
         )
         self.scheduler = Scheduler(
-            facts.teams, facts.objectives, rng, operator.sample or constants.SAMPLE, settings.optimise_latency
+            facts.teams, facts.objectives, rng, operator.sample or constants.CANDIDATE_SAMPLE, settings.optimise_latency
         )
         self.cloud = Cloud(make_client(settings.services.cloud), facts.cloud)
         limits = CallLimits.derive(facts.quota.sockets)
@@ -226,7 +226,10 @@
             self._wake.set()
 
     def _hears_no_worker(self) -> bool:
-        limit = constants.DEAF_REPORTS * self.settings.facts.workers.heartbeat_interval_s + constants.DEAF_EXTRA_S
+        limit = (
+            constants.NO_HEARTBEAT_INTERVALS * self.settings.facts.workers.heartbeat_interval_s
+            + constants.NO_HEARTBEAT_EXTRA_S
+        )
         return self.cluster is not None and self.cluster.hears_no_worker(trio.current_time(), limit)
 
     async def _other_candidates(self, former: str) -> bool:
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -98,5 +98,5 @@
         if job.chunked and value.get("d"):
             # Written by the version before this one, which knows of no parts beside the record of a smaller job: what
             # it adds stands only there, and has to go into the parts before the record leaves it out.
-            job.unrecorded_parts.update(range(-(-spec.task_count // constants.PART_SHARDS)))
+            job.unrecorded_parts.update(range(-(-spec.task_count // constants.PART_TASKS)))
         return True
--- a/sorrelsill/fleet/consolidate.py
+++ b/sorrelsill/fleet/consolidate.py
@@ -148,7 +148,7 @@
             or a.spec is None
             or not a.spec.is_service
             or a.running_since is None
-            or now - a.running_since < constants.SETTLED_S
+            or now - a.running_since < constants.MIN_RUN_BEFORE_MOVE_S
             for a in tasks
         ):
             continue
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -40,7 +40,7 @@
             if item.limited:
                 continue
             job, spec = item.job, item.job.spec
-            count = min(item.count, 40 * constants.RENT_MAX)
+            count = min(item.count, 40 * constants.SCALE_OUT_BATCH_MAX)
             if spec.deadline_s is not None and not spec.is_service and not spec.is_gang:
                 count = min(count, self._enough(item, now))
             if count > 0:
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -203,12 +203,12 @@
             up = self._running_since.get(name)
             if given_up(pending, self._boots, self._cluster.catalog, now, self._cluster.started):
                 self._give_back.setdefault(name, "never came up")
-            elif up is not None and now - up > 2 * constants.SILENT_RETURN_S:
+            elif up is not None and now - up > 2 * constants.UNRESPONSIVE_RETURN_S:
                 self._give_back.setdefault(name, "up but silent")
 
     def _choose_return(self, machine: Machine, keep: RoomToKeep, now: float) -> None:
         if machine.lease_expired:
-            if now - machine.seen_at > self._cluster.loss_s + constants.SILENT_RETURN_S:
+            if now - machine.seen_at > self._cluster.loss_s + constants.UNRESPONSIVE_RETURN_S:
                 self._give_back[machine.name] = "silent"
             return
         if (
@@ -230,7 +230,7 @@
     def _patience(self, machine: Machine) -> float:
         """How long a machine may idle: it is paid for its first minute anyway."""
         if self._optimise_latency:
-            return constants.IDLE_RETURN_HURRIED_S
+            return constants.IDLE_RETURN_LATENCY_S
         kind = self._cluster.catalog.machine_types.get(machine.machine_type)
         return constants.IDLE_OF_BOOT * (kind.boot_s if kind is not None else constants.MIN_CHARGE_S)
 
@@ -251,7 +251,7 @@
             if machine is not None:
                 machine.returning = True
             names.append(name)
-        names = names[: constants.RETURN_MAX]
+        names = names[: constants.SCALE_IN_BATCH_MAX]
         if not names:
             return
         try:
@@ -319,7 +319,7 @@
         for offer, count in sorted(wanted.items(), key=lambda i: -i[1]):
             self._counter += 1
             ref = f"r-{self._cluster.term}-{self._counter}"
-            self._open.append(_Rental(ref, offer, min(count, constants.RENT_MAX)))
+            self._open.append(_Rental(ref, offer, min(count, constants.SCALE_OUT_BATCH_MAX)))
 
     def _counted_on(self, now: float) -> list[Pending]:
         return counted_on(list(self.pending.values()), self._boots, self._cluster.catalog, now)
@@ -354,9 +354,9 @@
             if "no capacity" in str(error) or status == 400:
                 self._refuse(rental.offer, now)
                 self._open.remove(rental)
-            elif rental.tries >= constants.RENT_TRIES and not getattr(error, "sent", True):
+            elif rental.tries >= constants.SCALE_OUT_TRIES and not getattr(error, "sent", True):
                 self._open.remove(rental)
-            elif rental.tries >= 3 * constants.RENT_TRIES:
+            elif rental.tries >= 3 * constants.SCALE_OUT_TRIES:
                 # If it was carried out after all, the machines show up by their reports and in the list.
                 self._open.remove(rental)
             else:
--- a/sorrelsill/fleet/rentals.py
+++ b/sorrelsill/fleet/rentals.py
@@ -92,7 +92,7 @@
             left -= put
             bins.append(b)
             wanted[offer] = wanted.get(offer, 0) + 1
-            if sum(wanted.values()) >= 2 * constants.RENT_MAX:
+            if sum(wanted.values()) >= 2 * constants.SCALE_OUT_BATCH_MAX:
                 return wanted
     return wanted
 
@@ -107,7 +107,7 @@
 def time_to_rent(spec: JobSpec, catalog: Catalog, left_s: float) -> bool:
     """Whether a task on a machine that is still to be rented can be done within the time that is left."""
     boot_s, pull_s = lead_time_s(spec, catalog)
-    return left_s > boot_s + pull_s + spec.expected_run_s * constants.ESTIMATE_SLACK + constants.PATIENCE_S
+    return left_s > boot_s + pull_s + spec.expected_run_s * constants.ESTIMATE_SLACK + constants.ON_DEMAND_DELAY_S
 
 
 def _allows(need: Need, offer: Offer) -> bool:
--- a/sorrelsill/jobs/messages.py
+++ b/sorrelsill/jobs/messages.py
@@ -101,8 +101,8 @@
     if not isinstance(priority, str) or priority not in _PRIORITIES:
         raise InvalidJobError("rank: must be prod, high, standard or best_effort")
     task_count = raw.get("shards")
-    if isinstance(task_count, bool) or not isinstance(task_count, int) or not 1 <= task_count <= constants.MAX_SHARDS:
-        raise InvalidJobError(f"shards: must be a whole number from 1 to {constants.MAX_SHARDS}")
+    if isinstance(task_count, bool) or not isinstance(task_count, int) or not 1 <= task_count <= constants.MAX_TASKS:
+        raise InvalidJobError(f"shards: must be a whole number from 1 to {constants.MAX_TASKS}")
     zone = raw.get("region")
     if zone is not None and (not isinstance(zone, str) or not zone):
         raise InvalidJobError("region: must be null or a name")
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -40,7 +40,7 @@
 
 log = logging.getLogger(__name__)
 
-_PARTS_OF_CHUNK = constants.CHUNK_SHARDS // constants.PART_SHARDS
+_PARTS_OF_CHUNK = constants.CHUNK_TASKS // constants.PART_TASKS
 
 
 class _Batch:
@@ -138,7 +138,7 @@
             return
         for unit in batch.units:
             log.error("%s can't be written and is set aside: %s", unit, why)
-            self._aside[unit] = now + constants.ASIDE_S
+            self._aside[unit] = now + constants.QUARANTINED_WRITE_S
 
     def _takes(self, batch: _Batch, unit: str) -> bool:
         return unit not in self._aside and not (self._alone and batch.units)
@@ -268,7 +268,7 @@
             # From now on its finished tasks stand beside the record, those written before included.
             job.chunked = True
             job.unrecorded_parts.update(
-                n for n in range(-(-spec.task_count // constants.PART_SHARDS)) if self._any_done(job, n)
+                n for n in range(-(-spec.task_count // constants.PART_TASKS)) if self._any_done(job, n)
             )
             value = record_value(spec, job.done, running, [], job.accepted, False)
             size = json_size(value)
@@ -317,8 +317,8 @@
 
     @staticmethod
     def _any_done(job: Job, number: int) -> bool:
-        start = number * constants.PART_SHARDS
-        return bool(job.done.encode(start, min(job.spec.task_count, start + constants.PART_SHARDS)))
+        start = number * constants.PART_TASKS
+        return bool(job.done.encode(start, min(job.spec.task_count, start + constants.PART_TASKS)))
 
     def _parts(self, job: Job, most: int) -> tuple[list[Put], set[int]]:
         """Finished tasks of a split job that are not written yet, and the numbers of the small parts that they cover:
@@ -338,7 +338,7 @@
                 first = chunk * _PARTS_OF_CHUNK
                 numbers.update(job.unrecorded_parts & set(range(first, first + _PARTS_OF_CHUNK)))
             else:
-                puts.append(Put(small_chunk_key(job_id, number), chunk_value(done, number, constants.PART_SHARDS)))
+                puts.append(Put(small_chunk_key(job_id, number), chunk_value(done, number, constants.PART_TASKS)))
                 numbers.add(number)
         return puts, numbers
 
--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -48,7 +48,7 @@
     return value
 
 
-def chunk_value(done: TaskSet, number: int, size: int = constants.CHUNK_SHARDS) -> str:
+def chunk_value(done: TaskSet, number: int, size: int = constants.CHUNK_TASKS) -> str:
     """The finished tasks of one part of a large job, as stored."""
     start = number * size
     return done.encode(start, min(done.size, start + size))
--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -191,7 +191,7 @@
             # Only while valid: one that stood still itself heard nobody either; its pings tell whether it still leads.
             # Guards against a leader that reaches the store but not the workers: their leases would all run out.
             log.error("yielding: no worker is heard any more")
-            self.acquire_after = trio.current_time() + constants.DEAF_HOLD_S
+            self.acquire_after = trio.current_time() + constants.NO_HEARTBEAT_STANDBY_S
             await self._yield(lease, "no worker is heard")
             return
         sent_at = trio.current_time()
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -148,7 +148,7 @@
         """Bad input is counted, and named in the log at a bounded rate."""
         self._count("membership_refused")
         now = trio.current_time()
-        if now - self._complained_at >= constants.COMPLAIN_EVERY_S:
+        if now - self._complained_at >= constants.REFUSAL_LOG_INTERVAL_S:
             self._complained_at = now
             log.warning("membership message refused: %.200s", why)
         return Reply(400, b"{}", kind="application/json")
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -161,5 +161,5 @@
         # Money asks for spot machines first, which leaves the ordinary ones to work that needs them. Where only time
         # counts, a task lost with its machine makes its whole job late, so what is paid for anyway is used first.
         if spec.spot_allowed and machine.spot == self._optimise_latency:
-            score += constants.ORDINARY_WEIGHT
-        return score + constants.ZONE_WEIGHT * job.zones.get(machine.zone, 0) / spec.task_count
+            score += constants.SPOT_MISMATCH_WEIGHT
+        return score + constants.ZONE_BALANCE_WEIGHT * job.zones.get(machine.zone, 0) / spec.task_count
--- a/sorrelsill/placement/job_queue.py
+++ b/sorrelsill/placement/job_queue.py
@@ -65,7 +65,7 @@
             for target_s in self._objectives.completion_targets_s(job)
         ]
         if not job.bound:
-            moments.append(job.served_at + constants.AGED_S)
+            moments.append(job.served_at + constants.STARVATION_S)
         coming = [moment for moment in moments if moment >= now]
         if coming:
             self._timers.set_if_earlier(job.spec.job_id, min(coming))
--- a/sorrelsill/placement/order.py
+++ b/sorrelsill/placement/order.py
@@ -35,4 +35,4 @@
 
 def is_starved(job: Job, now: float) -> bool:
     """Nothing of it has run for so long that the order of jobs must not keep it waiting any more."""
-    return not job.bound and now - job.served_at > constants.AGED_S
+    return not job.bound and now - job.served_at > constants.STARVATION_S
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -87,7 +87,11 @@
     # --- single tasks ---
 
     def make_room(
-        self, cycle: SchedulingCycle, job: Job, machines: Sequence[Machine], reservation_s: float = constants.CLAIM_S
+        self,
+        cycle: SchedulingCycle,
+        job: Job,
+        machines: Sequence[Machine],
+        reservation_s: float = constants.PREEMPTION_WAIT_S,
     ) -> int:
         """Stop the least work that lets waiting tasks in; their room is awaited before more is stopped."""
         cluster, now, spec = cycle.cluster, cycle.now, job.spec
@@ -238,7 +242,7 @@
             self._reservations.record_failed_search(kind, now)
             return False
         placement, victims = found
-        until = now + self._evict(cluster, spec, victims, constants.CLAIM_S)
+        until = now + self._evict(cluster, spec, victims, constants.PREEMPTION_WAIT_S)
         self._reservations.expect_room(spec.job_id, until, spec.task_count)
         for share in placement.shares:
             self._reservations.reserve(share.machine, spec.job_id, until)
--- a/sorrelsill/placement/reservations.py
+++ b/sorrelsill/placement/reservations.py
@@ -135,4 +135,4 @@
 
     def record_failed_search(self, kind: Hashable, now: float) -> None:
         """Guards against all waiting jobs asking in each round, so that nothing else would get done."""
-        self._failed_searches[kind] = now + constants.FRUITLESS_S
+        self._failed_searches[kind] = now + constants.FAILED_SEARCH_PAUSE_S
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -193,7 +193,7 @@
         fitting = [machine for machine in cycle.machines if self._could_run_once_free(job, machine, now)]
         if fitting:
             held = max(fitting, key=_cpus_without_arrays)
-            self._reservations.reserve(held, job.spec.job_id, now + constants.AGED_HOLD_S)
+            self._reservations.reserve(held, job.spec.job_id, now + constants.STARVED_RESERVATION_S)
 
     def _could_run_once_free(self, job: Job, machine: Machine, now: float) -> bool:
         """Whether the job could run on the machine once enough of it is free."""
@@ -226,8 +226,8 @@
         job_id, now = job.spec.job_id, cycle.now
         if job_id not in self._warm_until:
             warm = cycle.cluster.index.holders(job.spec.image)
-            evicted_for = self._preemption.make_room(cycle, job, warm, constants.WARM_CLAIM_S) if warm else 0
-            self._warm_until[job_id] = now + constants.WARM_CLAIM_S if evicted_for else now
+            evicted_for = self._preemption.make_room(cycle, job, warm, constants.WARM_PREEMPTION_WAIT_S) if warm else 0
+            self._warm_until[job_id] = now + constants.WARM_PREEMPTION_WAIT_S if evicted_for else now
         return now < self._warm_until[job_id]
 
     # --- groups ---
--- a/sorrelsill/placement/test_job_queue.py
+++ b/sorrelsill/placement/test_job_queue.py
@@ -114,7 +114,7 @@
     queue = JobQueue(AIMS, set())
     queue.update(history.cluster, history.cluster.take_changed_jobs(), 70.0)
     assert queue.in_order() == ["run-new", "run-old"]
-    queue.update(history.cluster, [], constants.AGED_S + 0.1)
+    queue.update(history.cluster, [], constants.STARVATION_S + 0.1)
     assert queue.in_order() == ["run-old", "run-new"]
 
 
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -176,7 +176,7 @@
             loss_s=workers.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LOSS_MARGIN_S,
             stall_s=operator.stall_limit_s or constants.STALL_LIMIT_S,
             self_release_s=operator.self_release_s or constants.SELF_RELEASE_S,
-            overdue_s=workers.heartbeat_interval_s * constants.OVERDUE_OF_REPORT + constants.OVERDUE_EXTRA_S,
+            overdue_s=workers.heartbeat_interval_s * constants.OVERDUE_OF_HEARTBEAT + constants.OVERDUE_EXTRA_S,
             # Where `cancel_s` leaves less than this besides the lease, leases alone can't keep the rule, and an
             # ordinary leader must still be able to renew them.
             renew_s=max(
--- a/sorrelsill/store/watch_cache.py
+++ b/sorrelsill/store/watch_cache.py
@@ -118,7 +118,7 @@
         for key in self.chunk_keys(job_id):
             number = key.rpartition("/")[2]
             if number.isdecimal():
-                size = constants.CHUNK_SHARDS if key.startswith(_CHUNK) else constants.PART_SHARDS
+                size = constants.CHUNK_TASKS if key.startswith(_CHUNK) else constants.PART_TASKS
                 out.append((int(number) * size, self.keys[key][0]))
         return out
 
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -44,7 +44,8 @@
         # The later attempt was only made once the earlier one was proved gone. So the earlier is a phantom out of a
         # late copy of a report, and must not cost the true one its place.
         keep = (
-            attempt.attempt_number > known.attempt_number and known.attempt_number >> constants.TRY_BITS < cluster.term
+            attempt.attempt_number > known.attempt_number
+            and known.attempt_number >> constants.ATTEMPT_COUNTER_BITS < cluster.term
         )
         if keep:
             job.zones[known.machine.zone] = job.zones.get(known.machine.zone, 1) - 1
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -191,7 +191,7 @@
     def next_attempt_number(self) -> int:
         """Grows within the term and across terms, so no attempt number is ever used twice for a task."""
         self._attempts_made += 1
-        return (self.term << constants.TRY_BITS) + self._attempts_made
+        return (self.term << constants.ATTEMPT_COUNTER_BITS) + self._attempts_made
 
     def bind(self, job: Job, index: int, machine: Machine, now: float, attempt_number: int | None = None) -> Attempt:
         """Bind a task to a machine; a group's tasks are given the attempt number by which they find each other."""
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -260,7 +260,7 @@
             # The tasks of a group complete together, also those whose machines die before they tell.
             for index in range(job.spec.task_count) if job.spec.is_gang else (attempt.index,):
                 if job.done.add(index):
-                    job.unrecorded_parts.add(index // constants.PART_SHARDS)
+                    job.unrecorded_parts.add(index // constants.PART_TASKS)
                     cluster.pending_writes.records.add(attempt.job_id)
                     cluster.job_changed(attempt.job_id)
             _accuse(cluster, job, job.failures.success(machine.name))
@@ -274,7 +274,7 @@
         return
     attempt.clearable = True
     if attempt.start_sent:
-        attempt.clear_after = now + constants.REPEAT_S
+        attempt.clear_after = now + constants.DUPLICATE_START_S
     cluster.unbind(attempt, now)
     if job is None:
         return
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -55,7 +55,7 @@
         self.unrecorded_parts: set[int] = (
             set()
         )  # of its finished tasks, `PART_SHARDS` to a part, what is not recorded yet
-        self.chunked = spec.task_count > constants.CHUNK_SHARDS  # its finished tasks are kept beside its record
+        self.chunked = spec.task_count > constants.CHUNK_TASKS  # its finished tasks are kept beside its record
         self.recorded_running = 0  # tasks that run, as the record says
         self.recorded_at = now
         self.order = 0
@@ -97,4 +97,4 @@
         """Tell its users why tasks stopped or wait; the newest notes are kept."""
         if not self.why or self.why[-1] != text:
             self.why.append(text)
-            del self.why[: -constants.WHY_NOTES]
+            del self.why[: -constants.REASONS_KEPT]
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -107,7 +107,7 @@
         return False
     return (
         sum(1 for h in cluster.machines.values() if not h.lease_expired and h.lease_renewed_at is not None)
-        >= constants.DEAF_HOSTS
+        >= constants.NO_HEARTBEAT_MACHINES
     )
 
 
--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -131,7 +131,10 @@
 
 
 def report_tasks_of_an_unknown_job(cluster: ClusterState, count: int = 2) -> None:
-    tasks = [TaskStatus(f"run-gone/{index}", (3 << constants.TRY_BITS) + index, "running") for index in range(count)]
+    tasks = [
+        TaskStatus(f"run-gone/{index}", (3 << constants.ATTEMPT_COUNTER_BITS) + index, "running")
+        for index in range(count)
+    ]
     cluster.on_heartbeat(WorkerHeartbeat("m1", 1, 3, "c8", "a", "10.0.0.9:9000", False, 7, tasks=tasks), 3.0)
 
 
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -332,7 +332,10 @@
         await simulation.submit(group("run-g"))
         await trio.sleep(30)
         leader = simulation.nodes[await simulation.until_leader()]
-        assert leader.cluster is not None and leader.cluster.next_attempt_number() & ((1 << constants.TRY_BITS) - 1) < 5
+        assert (
+            leader.cluster is not None
+            and leader.cluster.next_attempt_number() & ((1 << constants.ATTEMPT_COUNTER_BITS) - 1) < 5
+        )
 
     run_scenario(scenario)
 
@@ -351,7 +354,7 @@
         machine = cluster.machine(f"m-{number}", "c8", "ab"[number % 2], False, 0.0)
         machine.token_acknowledged = machine.reachable = machine.registered = True
     aims = [Objective("wait", "ceremony", 8.0), Objective("deadline", "w", times=1.0)]
-    scheduler = Scheduler([Team("red")], aims, random.Random(1), constants.SAMPLE)
+    scheduler = Scheduler([Team("red")], aims, random.Random(1), constants.CANDIDATE_SAMPLE)
     first = cluster.add_job(parse_spec(group("run-g", workload="ceremony", shards=4)), TaskSet(4), 2, False, 0.0, [])
     scheduler.run_cycle(cluster, 0.0, lambda: 0.0, 1.0)
     assert len(first.bound) == 4 and len({a.machine.zone for a in first.bound.values()}) == 1
@@ -368,5 +371,5 @@
     late = cluster.add_job(parse_spec(job("run-b", shards=4)), TaskSet(4), 5, False, 3.0, [])
     scheduler.run_cycle(cluster, 4.0, lambda: 0.0, 1.0)
     assert not late.bound
-    scheduler.run_cycle(cluster, 5.0 + constants.AGED_S, lambda: 0.0, 1.0)
+    scheduler.run_cycle(cluster, 5.0 + constants.STARVATION_S, lambda: 0.0, 1.0)
     assert late.bound, "what waited too long may take it"
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -20,7 +20,7 @@
 def run_by_earlier_leader(leader: LeaderInMemory, machine: str, job_id: str, tasks: int) -> None:
     """Tasks that were started in an earlier term and still run."""
     for index in range(tasks):
-        leader.tasks[machine][f"{job_id}/{index}", ((TERM - 1) << constants.TRY_BITS) + index] = "running"
+        leader.tasks[machine][f"{job_id}/{index}", ((TERM - 1) << constants.ATTEMPT_COUNTER_BITS) + index] = "running"
 
 
 def report_without_answer(leader: LeaderInMemory) -> None:
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -304,13 +304,13 @@
         "PROMISE_EVERY_S",
         "PROMISE_AFTER_S",
         "PROMISE_MARGIN_S",
-        "TRY_BITS",
-        "CHUNK_SHARDS",
+        "ATTEMPT_COUNTER_BITS",
+        "CHUNK_TASKS",
         "REGISTRY_PARTS",
         "LOSS_MARGIN_S",
         "VALIDITY_OF_LEASE",
         "LEASE_OF_WORKER_LEASE",
     )
-    former_names = {"REGISTRY_PARTS": "ROSTER_PARTS"}
+    former_names = {"REGISTRY_PARTS": "ROSTER_PARTS", "ATTEMPT_COUNTER_BITS": "TRY_BITS", "CHUNK_TASKS": "CHUNK_SHARDS"}
     for name in shared:
         assert getattr(old, former_names.get(name, name)) == getattr(new, name), name
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -36,7 +36,7 @@
         self.sequence_number = dict.fromkeys(self.names, 0)
         self.tasks: dict[str, dict[tuple[str, int], str]] = {name: {} for name in self.names}
         objectives = [Objective("finished", "w", 60.0)]
-        self.scheduler = Scheduler(teams or TEAMS, objectives, random.Random(1), constants.SAMPLE, True)
+        self.scheduler = Scheduler(teams or TEAMS, objectives, random.Random(1), constants.CANDIDATE_SAMPLE, True)
         if registered:
             self.cluster.failover.expect_machines([(name, self._registry_entry(name)) for name in self.names])
 
