--- a/sorrelsill/fleet/__init__.py
+++ b/sorrelsill/fleet/__init__.py
@@ -1,22 +1,31 @@
-"""The fleet: machine types, rentals and returns."""
+"""The fleet of rented machines: machine catalog, scaling out and in, rebalancing of services."""
 
 from sorrelsill.fleet.boot_times import BootTimes
+from sorrelsill.fleet.capacity_plan import (
+    BootingInstance,
+    CapacityDemand,
+    InstanceOffer,
+    boot_failed,
+    can_wait_for_scale_out,
+    expected_instances,
+    lead_time_s,
+    plan,
+)
 from sorrelsill.fleet.catalog import parse_catalog
 from sorrelsill.fleet.cloud import Cloud
 from sorrelsill.fleet.manager import FleetManager
-from sorrelsill.fleet.rentals import Need, Offer, Pending, counted_on, given_up, lead_time_s, plan, time_to_rent
 
 __all__ = [
     "BootTimes",
+    "BootingInstance",
+    "CapacityDemand",
     "Cloud",
     "FleetManager",
-    "Need",
-    "Offer",
-    "Pending",
-    "counted_on",
-    "given_up",
+    "InstanceOffer",
+    "boot_failed",
+    "can_wait_for_scale_out",
+    "expected_instances",
     "lead_time_s",
     "parse_catalog",
     "plan",
-    "time_to_rent",
 ]
--- a/sorrelsill/fleet/boot_times.py
+++ b/sorrelsill/fleet/boot_times.py
@@ -16,33 +16,33 @@
     """Boot times by machine type. Pure: durations are given."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, deque[float]] = {}
+        self._observed_s: dict[str, deque[float]] = {}
 
-    def note(self, machine_type: str, boot_s: float) -> None:
+    def record(self, machine_type: str, boot_s: float) -> None:
         """A machine that we rented has reported for the first time, `boot_s` after it was rented."""
-        self._seen.setdefault(machine_type, deque(maxlen=constants.BOOTS_KEPT)).append(boot_s)
+        self._observed_s.setdefault(machine_type, deque(maxlen=constants.BOOTS_KEPT)).append(boot_s)
 
     def late_after_s(self, machine_type: str, catalog: Catalog) -> float:
         """A machine that takes longer than this is late: the plan no longer counts on it."""
-        published = _published_s(machine_type, catalog)
-        seen = self._enough(machine_type)
-        usual = constants.BOOT_LATE_OF_SEEN * statistics.median(seen) if seen else 0.0
-        return max(constants.BOOT_LATE * published, usual) + constants.BOOT_EXTRA_S
+        published_s = _published_s(machine_type, catalog)
+        observed_s = self._enough_observed(machine_type)
+        usual_s = constants.BOOT_LATE_OF_SEEN * statistics.median(observed_s) if observed_s else 0.0
+        return max(constants.BOOT_LATE * published_s, usual_s) + constants.BOOT_EXTRA_S
 
-    def give_up_after_s(self, machine_type: str, catalog: Catalog) -> float:
+    def failed_after_s(self, machine_type: str, catalog: Catalog) -> float:
         """A machine that takes longer than this is deleted."""
-        published = _published_s(machine_type, catalog)
-        seen = self._enough(machine_type)
-        if not seen:
-            return constants.BOOT_GIVE_UP * published + constants.BOOT_EXTRA_S
-        longest = constants.BOOT_GIVE_UP_OF_SEEN * max(seen)
-        return max(constants.BOOT_GIVE_UP_SEEN * published, longest) + constants.BOOT_EXTRA_S
+        published_s = _published_s(machine_type, catalog)
+        observed_s = self._enough_observed(machine_type)
+        if not observed_s:
+            return constants.BOOT_GIVE_UP * published_s + constants.BOOT_EXTRA_S
+        longest_s = constants.BOOT_GIVE_UP_OF_SEEN * max(observed_s)
+        return max(constants.BOOT_GIVE_UP_SEEN * published_s, longest_s) + constants.BOOT_EXTRA_S
 
-    def _enough(self, machine_type: str) -> deque[float] | None:
-        seen = self._seen.get(machine_type)
-        return seen if seen is not None and len(seen) >= constants.BOOTS_ENOUGH else None
+    def _enough_observed(self, machine_type: str) -> deque[float] | None:
+        observed_s = self._observed_s.get(machine_type)
+        return observed_s if observed_s is not None and len(observed_s) >= constants.BOOTS_ENOUGH else None
 
 
 def _published_s(machine_type: str, catalog: Catalog) -> float:
-    kind = catalog.machine_types.get(machine_type)
-    return kind.boot_s if kind is not None else constants.MIN_CHARGE_S
+    offered = catalog.machine_types.get(machine_type)
+    return offered.boot_s if offered is not None else constants.MIN_CHARGE_S
--- a/sorrelsill/fleet/rentals.py
+++ b/sorrelsill/fleet/capacity_plan.py
@@ -13,11 +13,11 @@
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
 
-Offer = tuple[str, str, bool]  # machine type, zone, spot
+InstanceOffer = tuple[str, str, bool]  # machine type, zone, spot
 
 
 @dataclass(slots=True)
-class Pending:
+class BootingInstance:
     """A machine that was rented and has not reported yet."""
 
     name: str
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Need:
+class CapacityDemand:
     """Tasks of one job for which room has to be rented."""
 
     count: int
@@ -40,53 +40,53 @@
     machine_types: frozenset[str] | None
     zone: str | None
     spot: bool
-    per_zone: int | None  # most tasks of these that may go to one zone
+    max_per_zone: int | None  # most tasks of these that may go to one zone
     zones: dict[str, int] = field(default_factory=dict)
-    patient: bool = False  # time is left to wait for spot machines: no ordinary one is rented for it yet
+    spot_only: bool = False  # time is left to wait for spot machines: no ordinary one is rented for it yet
 
 
 @dataclass(slots=True)
 class _Bin:
-    offer: Offer
+    offer: InstanceOffer
     cpus: float
     gpus: float
     memory_gb: float
 
 
 def plan(
-    needs: list[Need],
-    pending: list[Pending],
+    demands: list[CapacityDemand],
+    booting: list[BootingInstance],
     catalog: Catalog,
-    refused: dict[Offer, float],
+    refused: dict[InstanceOffer, float],
     now: float,
     in_zone: dict[str, int],
     optimise_latency: bool = False,
-) -> dict[Offer, int]:
+) -> dict[InstanceOffer, int]:
     """Machines to rent: first-fit into what is already on its way, then the cheapest offer per task; where time
     counts and not money, an ordinary one first, since a task lost with a spot machine makes its whole job late."""
     bins = []
-    for p in pending:
+    for p in booting:
         kind = catalog.machine_types.get(p.machine_type)
         if kind is not None:
             bins.append(_Bin((p.machine_type, p.zone, p.spot), kind.cpus, kind.gpus, kind.memory_gb))
-    wanted: dict[Offer, int] = {}
-    least_cpus = min((need.cpus for need in needs), default=0.0)
-    for need in needs:
-        zones = dict(need.zones)
-        left = need.count
+    wanted: dict[InstanceOffer, int] = {}
+    least_cpus = min((demand.cpus for demand in demands), default=0.0)
+    for demand in demands:
+        zones = dict(demand.zones)
+        left = demand.count
         # Guards against hundreds of needs that each look at hundreds of machines which the first ones have filled.
         bins = [b for b in bins if b.cpus + constants.AMOUNT_TOLERANCE >= least_cpus]
         for b in bins:
             if left <= 0:
                 break
-            left -= _fill(need, b, left, zones)
+            left -= _fill(demand, b, left, zones)
         while left > 0:
-            offer = _best_offer(need, catalog, refused, now, zones, in_zone, wanted, optimise_latency)
+            offer = _best_offer(demand, catalog, refused, now, zones, in_zone, wanted, optimise_latency)
             if offer is None:
                 break
             kind = catalog.machine_types[offer[0]]
             b = _Bin(offer, kind.cpus, kind.gpus, kind.memory_gb)
-            put = _fill(need, b, left, zones)
+            put = _fill(demand, b, left, zones)
             if put == 0:
                 break
             left -= put
@@ -104,69 +104,69 @@
     return boot_s, max((spec.image_gb / t.fetch_gb_per_s for t in kinds), default=0.0)
 
 
-def time_to_rent(spec: JobSpec, catalog: Catalog, left_s: float) -> bool:
+def can_wait_for_scale_out(spec: JobSpec, catalog: Catalog, left_s: float) -> bool:
     """Whether a task on a machine that is still to be rented can be done within the time that is left."""
     boot_s, pull_s = lead_time_s(spec, catalog)
     return left_s > boot_s + pull_s + spec.expected_run_s * constants.ESTIMATE_SLACK + constants.ON_DEMAND_DELAY_S
 
 
-def _allows(need: Need, offer: Offer) -> bool:
+def _allows(demand: CapacityDemand, offer: InstanceOffer) -> bool:
     return (
-        (need.machine_types is None or offer[0] in need.machine_types)
-        and (need.zone is None or need.zone == offer[1])
-        and (need.spot or not offer[2])
+        (demand.machine_types is None or offer[0] in demand.machine_types)
+        and (demand.zone is None or demand.zone == offer[1])
+        and (demand.spot or not offer[2])
     )
 
 
-def _capacity(need: Need, cpus: float, gpus: float, memory_gb: float) -> int:
+def _capacity(demand: CapacityDemand, cpus: float, gpus: float, memory_gb: float) -> int:
     fits = [1e9]
-    for have, want in ((cpus, need.cpus), (gpus, need.gpus), (memory_gb, need.memory_gb)):
+    for have, want in ((cpus, demand.cpus), (gpus, demand.gpus), (memory_gb, demand.memory_gb)):
         if want > 0:
             fits.append((have + 1e-6) / want)
     return math.floor(min(fits))
 
 
-def _fill(need: Need, b: _Bin, left: int, zones: dict[str, int]) -> int:
-    if not _allows(need, b.offer):
+def _fill(demand: CapacityDemand, b: _Bin, left: int, zones: dict[str, int]) -> int:
+    if not _allows(demand, b.offer):
         return 0
-    count = min(left, _capacity(need, b.cpus, b.gpus, b.memory_gb))
-    if need.per_zone is not None:
-        count = min(count, need.per_zone - zones.get(b.offer[1], 0))
+    count = min(left, _capacity(demand, b.cpus, b.gpus, b.memory_gb))
+    if demand.max_per_zone is not None:
+        count = min(count, demand.max_per_zone - zones.get(b.offer[1], 0))
     if count <= 0:
         return 0
-    b.cpus -= count * need.cpus
-    b.gpus -= count * need.gpus
-    b.memory_gb -= count * need.memory_gb
+    b.cpus -= count * demand.cpus
+    b.gpus -= count * demand.gpus
+    b.memory_gb -= count * demand.memory_gb
     zones[b.offer[1]] = zones.get(b.offer[1], 0) + count
     return count
 
 
 def _best_offer(
-    need: Need,
+    demand: CapacityDemand,
     catalog: Catalog,
-    refused: dict[Offer, float],
+    refused: dict[InstanceOffer, float],
     now: float,
     zones: dict[str, int],
     in_zone: dict[str, int],
-    wanted: dict[Offer, int],
+    wanted: dict[InstanceOffer, int],
     optimise_latency: bool,
-) -> Offer | None:
-    best: tuple[tuple[bool, float, int, str], Offer] | None = None
+) -> InstanceOffer | None:
+    best: tuple[tuple[bool, float, int, str], InstanceOffer] | None = None
     for kind in catalog.machine_types.values():
-        most = _capacity(need, kind.cpus, kind.gpus, kind.memory_gb)
+        most = _capacity(demand, kind.cpus, kind.gpus, kind.memory_gb)
         if most <= 0:
             continue
         for zone in kind.zones:
-            if need.per_zone is not None and zones.get(zone, 0) >= need.per_zone:
+            if demand.max_per_zone is not None and zones.get(zone, 0) >= demand.max_per_zone:
                 continue
             for spot in (True, False):
                 offer = (kind.name, zone, spot)
-                if need.patient and not spot:
+                if demand.spot_only and not spot:
                     continue
-                if not _allows(need, offer) or refused.get(offer, 0.0) > now:
+                if not _allows(demand, offer) or refused.get(offer, 0.0) > now:
                     continue
                 # Whole machines only pay off if they are filled, so a small need looks for a small machine.
-                cost = kind.cost(spot) / min(most, need.count)
+                cost = kind.cost(spot) / min(most, demand.count)
                 have = in_zone.get(zone, 0) + sum(n for o, n in wanted.items() if o[1] == zone)
                 key = (optimise_latency and spot, round(cost, 6), have, zone)
                 if best is None or key < best[0]:
@@ -174,19 +174,21 @@
     return best[1] if best is not None else None
 
 
-def counted_on(pending: list[Pending], boots: BootTimes, catalog: Catalog, now: float) -> list[Pending]:
+def expected_instances(
+    booting: list[BootingInstance], boots: BootTimes, catalog: Catalog, now: float
+) -> list[BootingInstance]:
     """The machines on their way that the plan may count on. Late ones are replaced, the latest first, but only a part
     of them: when all are late, further rentals would be late as well and cost as much."""
-    late_after_s = {name: boots.late_after_s(name, catalog) for name in {p.machine_type for p in pending}}
-    late = [p for p in pending if now - p.since > late_after_s[p.machine_type]]
+    late_after_s = {name: boots.late_after_s(name, catalog) for name in {p.machine_type for p in booting}}
+    late = [p for p in booting if now - p.since > late_after_s[p.machine_type]]
     late.sort(key=lambda p: p.since)
     replaced = min(len(late), max(constants.LATE_REPLACED_MIN, math.ceil(constants.LATE_REPLACED_SHARE * len(late))))
     left_out = {p.name for p in late[:replaced]}
-    return [p for p in pending if p.name not in left_out]
+    return [p for p in booting if p.name not in left_out]
 
 
-def given_up(pending: Pending, boots: BootTimes, catalog: Catalog, now: float, leading_since: float) -> bool:
+def boot_failed(booting: BootingInstance, boots: BootTimes, catalog: Catalog, now: float, leading_since: float) -> bool:
     """Whether the machine will most likely never come up. `leading_since` guards against a new leader that takes every
     machine that has not reported to it yet for one that never came up: only the list's word reaches further back."""
-    limit = boots.give_up_after_s(pending.machine_type, catalog)
-    return max(pending.booted_for, now - max(pending.since, leading_since)) > limit
+    limit = boots.failed_after_s(booting.machine_type, catalog)
+    return max(booting.booted_for, now - max(booting.since, leading_since)) > limit
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -7,33 +7,33 @@
 from typing import TYPE_CHECKING
 
 from sorrelsill import constants
-from sorrelsill.fleet.rentals import Need, Pending, lead_time_s, time_to_rent
-from sorrelsill.fleet.spare_room import SpareRoom, tasks_that_could_start
+from sorrelsill.fleet.capacity_plan import BootingInstance, CapacityDemand, can_wait_for_scale_out, lead_time_s
+from sorrelsill.fleet.free_capacity import FreeCapacity, tasks_that_could_start
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
     from sorrelsill.workers import ClusterState, Machine, UnschedulableDemand
 
 
-class Demand:
+class FleetDemand:
     """Pure decisions on the cluster state and the machines on their way."""
 
     def __init__(
         self,
         cluster: ClusterState,
         unschedulable: Callable[[], list[UnschedulableDemand]],
-        counted_on: Callable[[], list[Pending]],
+        expected_instances: Callable[[], list[BootingInstance]],
         optimise_latency: bool,
-        prompt: set[str],
+        latency_sensitive: set[str],
     ) -> None:
         self._cluster = cluster
         self._unschedulable = unschedulable
-        self._counted_on = counted_on  # machines on their way that are expected to come up in time
+        self._expected_instances = expected_instances  # machines on their way that are expected to come up in time
         self._optimise_latency = optimise_latency  # time counts, not money
-        self._prompt = prompt  # classes whose tasks should start within seconds
-        self._spare_room = SpareRoom(cluster.index)
+        self._latency_sensitive = latency_sensitive  # classes whose tasks should start within seconds
+        self._free_capacity = FreeCapacity(cluster.index)
 
-    def needs(self, now: float) -> list[Need]:
+    def demands(self, now: float) -> list[CapacityDemand]:
         """Room that is missing for waiting tasks, and what is kept ready ahead of work."""
         out = []
         for item in self._unschedulable():
@@ -42,11 +42,11 @@
             job, spec = item.job, item.job.spec
             count = min(item.count, 40 * constants.SCALE_OUT_BATCH_MAX)
             if spec.deadline_s is not None and not spec.is_service and not spec.is_gang:
-                count = min(count, self._enough(item, now))
+                count = min(count, self._tasks_needed_at_once(item, now))
             if count > 0:
-                patient = spec.spot_allowed and not self._optimise_latency and self._can_wait(item, now)
+                spot_only = spec.spot_allowed and not self._optimise_latency and self._can_wait_for_spot(item, now)
                 out.append(
-                    Need(
+                    CapacityDemand(
                         count,
                         spec.cpus,
                         spec.gpus,
@@ -56,12 +56,17 @@
                         spec.spot_allowed,
                         spec.zone_limit if spec.spread_zones else None,
                         dict(job.zones),
-                        patient,
+                        spot_only,
                     )
                 )
-        return out + self._spare_needs() + self._group_needs() + (self._headroom() if self._optimise_latency else [])
-
-    def _headroom(self) -> list[Need]:
+        return (
+            out
+            + self._service_headroom_demands()
+            + self._gang_headroom_demands()
+            + (self._latency_headroom_demands() if self._optimise_latency else [])
+        )
+
+    def _latency_headroom_demands(self) -> list[CapacityDemand]:
         """Where time counts, whole machines ahead of the work: in a burst of arrays a boot costs more than their run.
         What is coming up is filled first, by the plan."""
         kinds = list(self._cluster.catalog.machine_types.values())
@@ -73,66 +78,72 @@
             free += machine.capacity_cpus - machine.cpus
         kind = min(kinds, key=lambda f: f.cost(False) / max(f.cpus, 0.1))
         missing = int((constants.HEADROOM * used - free) / max(kind.cpus, 0.1))
-        return [Need(missing, kind.cpus, 0.0, kind.memory_gb, None, None, True, None)] if missing > 0 else []
+        return [CapacityDemand(missing, kind.cpus, 0.0, kind.memory_gb, None, None, True, None)] if missing > 0 else []
 
     def gang_headroom(self) -> tuple[dict[str, float], float]:
         """CPUs on ordinary machines, free or coming, by zone; and how many are kept ready in one zone for groups."""
-        kept = 0.0 if self._optimise_latency else self._cluster.gang_headroom_cpus(self._prompt)
+        kept = 0.0 if self._optimise_latency else self._cluster.gang_headroom_cpus(self._latency_sensitive)
         if not kept:
             return {}, 0.0
         free = dict.fromkeys(self._cluster.catalog.zones, 0.0) | self._cluster.index.free.ordinary_cpus()
-        for p in self._counted_on():
+        for p in self._expected_instances():
             kind = self._cluster.catalog.machine_types.get(p.machine_type)
             if kind is not None and not p.spot:
                 free[p.zone] = free.get(p.zone, 0.0) + kind.cpus
         return free, kept
 
-    def _group_needs(self) -> list[Need]:
+    def _gang_headroom_demands(self) -> list[CapacityDemand]:
         free, kept = self.gang_headroom()
         if not kept:
             return []
         zone = max(sorted(free), key=lambda z: free[z])
-        gangs = [s for name in self._prompt if (s := self._cluster.largest_gang.get(name)) is not None]
+        gangs = [s for name in self._latency_sensitive if (s := self._cluster.largest_gang.get(name)) is not None]
         spec = max(gangs, key=lambda s: (s.cpus, s.job_id))
         missing = math.ceil((kept - free[zone]) / max(spec.cpus, 0.1))
         if missing <= 0:
             return []
-        return [Need(missing, spec.cpus, spec.gpus, spec.memory_gb, spec.machine_types, zone, False, None)]
+        return [CapacityDemand(missing, spec.cpus, spec.gpus, spec.memory_gb, spec.machine_types, zone, False, None)]
 
-    def spare_spec(self) -> JobSpec | None:
+    def service_headroom_spec(self) -> JobSpec | None:
         """The largest live service of a class whose tasks should start within seconds: room for one more of
         it is kept ready, since a machine takes far longer to boot."""
-        jobs = [j.spec for j in self._cluster.jobs.values() if j.spec.is_service and j.spec.job_class in self._prompt]
+        jobs = [
+            j.spec
+            for j in self._cluster.jobs.values()
+            if j.spec.is_service and j.spec.job_class in self._latency_sensitive
+        ]
         return max(jobs, key=lambda s: (s.zone_limit * s.cpus, s.job_id), default=None)
 
-    def spare_room(self, spec: JobSpec) -> dict[str, int]:
+    def service_capacity(self, spec: JobSpec) -> dict[str, int]:
         """Tasks of this kind that could start at once, by zone: in free room or in place of lesser work."""
         room: dict[str, int] = {z: 0 for z in self._cluster.catalog.zones if spec.zone in (None, z)}
-        room |= {zone: tasks for zone, tasks in self._spare_room.by_zone(spec).items() if tasks or zone in room}
-        for p in self._counted_on():
+        room |= {zone: tasks for zone, tasks in self._free_capacity.by_zone(spec).items() if tasks or zone in room}
+        for p in self._expected_instances():
             kind = self._cluster.catalog.machine_types.get(p.machine_type)
             if kind is not None and not p.spot and (spec.machine_types is None or p.machine_type in spec.machine_types):
                 room[p.zone] = room.get(p.zone, 0) + int(kind.cpus // max(spec.cpus, 0.1))
         return room
 
-    def _spare_needs(self) -> list[Need]:
-        spec = self.spare_spec()
+    def _service_headroom_demands(self) -> list[CapacityDemand]:
+        spec = self.service_headroom_spec()
         if spec is None:
             return []
         return [
-            Need(spec.zone_limit - have, spec.cpus, spec.gpus, spec.memory_gb, spec.machine_types, zone, False, None)
-            for zone, have in sorted(self.spare_room(spec).items())
+            CapacityDemand(
+                spec.zone_limit - have, spec.cpus, spec.gpus, spec.memory_gb, spec.machine_types, zone, False, None
+            )
+            for zone, have in sorted(self.service_capacity(spec).items())
             if have < spec.zone_limit
         ]
 
-    def _can_wait(self, item: UnschedulableDemand, now: float) -> bool:
+    def _can_wait_for_spot(self, item: UnschedulableDemand, now: float) -> bool:
         """Whether a task started on a machine that is rented later can still be in time."""
         spec = item.job.spec
         if spec.deadline_s is None:
             return False
-        return time_to_rent(spec, self._cluster.catalog, item.job.submitted + spec.deadline_s - now)
+        return can_wait_for_scale_out(spec, self._cluster.catalog, item.job.submitted + spec.deadline_s - now)
 
-    def _enough(self, item: UnschedulableDemand, now: float) -> int:
+    def _tasks_needed_at_once(self, item: UnschedulableDemand, now: float) -> int:
         """How many more tasks at once meet the deadline: machines beyond that cost without use."""
         job, spec = item.job, item.job.spec
         assert spec.deadline_s is not None
@@ -143,19 +154,19 @@
         return max(0, -(-tasks // waves) - len(job.bound))
 
 
-class RoomToKeep:
+class RetainedHeadroom:
     """The room that returns must leave: for gangs that wait, for one more gang, for one more service."""
 
-    def __init__(self, demand: Demand, unschedulable: list[UnschedulableDemand]) -> None:
+    def __init__(self, demand: FleetDemand, unschedulable: list[UnschedulableDemand]) -> None:
         self._demand = demand
-        self._spare = demand.spare_spec()
+        self._spare = demand.service_headroom_spec()
         # A gang that waits needs several machines at once. Guards against each machine rented for it going back as
         # idle before the next one is up.
         self._awaited = [(u.job.spec, u.zone) for u in unschedulable if u.job.spec.is_gang and not u.limited]
         self._free, self._kept = demand.gang_headroom()
         self._room: dict[str, int] | None = None  # worked out only if a machine could go, since it walks all of them
 
-    def lets_go(self, machine: Machine) -> bool:
+    def permits_return(self, machine: Machine) -> bool:
         """Whether an idle machine may go back; if so it is counted as gone."""
         if any(zone in (None, machine.zone) and machine.allows(spec) for spec, zone in self._awaited):
             return False
@@ -164,14 +175,14 @@
             if machine.zone == fullest and self._free[machine.zone] - machine.capacity_cpus < self._kept:
                 return False
             self._free[machine.zone] -= machine.capacity_cpus
-        return self._leaves_spare(machine)
+        return self._leaves_service_headroom(machine)
 
-    def _leaves_spare(self, machine: Machine) -> bool:
+    def _leaves_service_headroom(self, machine: Machine) -> bool:
         spare = self._spare
         if spare is None or not machine.allows(spare):
             return True
         if self._room is None:
-            self._room = self._demand.spare_room(spare)
+            self._room = self._demand.service_capacity(spare)
         mine = tasks_that_could_start(machine, spare)
         if self._room.get(machine.zone, 0) - mine < spare.zone_limit:
             return False
--- a/sorrelsill/fleet/spare_room.py
+++ b/sorrelsill/fleet/free_capacity.py
@@ -30,7 +30,7 @@
     return max(0, int(min(by_cpus, by_memory) + _TOLERANCE))
 
 
-class SpareRoom:
+class FreeCapacity:
     """The room on all machines that may be given work, for the kind of task that was last asked for."""
 
     def __init__(self, index: MachineIndex) -> None:
--- a/sorrelsill/fleet/machine_list.py
+++ b/sorrelsill/fleet/machine_list.py
@@ -26,7 +26,7 @@
     age_s: float = msgspec.field(name="ageS", default=0.0)
 
 
-Listing = dict[str, ListedMachine]  # by machine
+MachineList = dict[str, ListedMachine]  # by machine
 
 
 class MachineListReader:
@@ -34,7 +34,7 @@
 
     def __init__(self, cloud: Cloud) -> None:
         self._cloud = cloud
-        self._found: Listing | None = None  # by the reading under way
+        self._found: MachineList | None = None  # by the reading under way
         self._last = ""  # the last machine of the page read last
         self._pages = 0
         self._begun_at = float("-inf")
@@ -44,7 +44,7 @@
         """Whether the next page should be read."""
         return self._found is not None or now - self._begun_at >= self.interval_s
 
-    async def read_page(self, now: float) -> Listing | None:
+    async def read_page(self, now: float) -> MachineList | None:
         """Read the next page. The whole list, if that was its last page."""
         if self._found is None:
             self._found, self._last, self._pages = {}, "", 0
--- a/sorrelsill/fleet/consolidate.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING
 
 from sorrelsill import constants
-from sorrelsill.fleet.spare_room import tasks_that_fit
+from sorrelsill.fleet.free_capacity import tasks_that_fit
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
     from sorrelsill.workers import Job, Machine
 
 
-class _Room:
+class _FreeAmounts:
     """What would be left on a machine."""
 
     def __init__(self, machine: Machine) -> None:
@@ -33,7 +33,7 @@
         self.memory_gb -= sign * spec.memory_gb
 
 
-class _SpareSlots:
+class _ServiceHeadroom:
     """How many tasks of a service could start in each zone; room for one more service is to stay ready in all."""
 
     def __init__(self, spare: JobSpec, zones: list[str]) -> None:
@@ -41,7 +41,7 @@
         self._by_zone = dict.fromkeys(zones, 0)
         self._counted: dict[str, int] = {}  # by machine
 
-    def count(self, room: _Room) -> None:
+    def count(self, room: _FreeAmounts) -> None:
         """Count the machine, anew if it was counted."""
         self.uncount(room)
         machine, spec = room.machine, self._spec
@@ -50,7 +50,7 @@
         self._counted[machine.name] = tasks_that_fit(room.cpus, room.memory_gb, spec)
         self._by_zone[machine.zone] += self._counted[machine.name]
 
-    def uncount(self, room: _Room) -> None:
+    def uncount(self, room: _FreeAmounts) -> None:
         """The machine goes, or is counted anew."""
         tasks = self._counted.pop(room.machine.name, 0)
         if tasks:
@@ -61,15 +61,15 @@
         return all(tasks >= self._spec.zone_limit for tasks in self._by_zone.values())
 
 
-class _Plan:
+class _MovePlan:
     """What is moved where, machine by machine."""
 
-    def __init__(self, usable: list[Machine], jobs: dict[str, Job], spare: _SpareSlots | None) -> None:
+    def __init__(self, usable: list[Machine], jobs: dict[str, Job], spare: _ServiceHeadroom | None) -> None:
         self.jobs = jobs
         self._spare = spare
-        self._rooms = {machine.name: _Room(machine) for machine in usable}
+        self._rooms = {machine.name: _FreeAmounts(machine) for machine in usable}
         # A service moves to machines that hold its image alone, the fullest first; the others are not looked at.
-        self._by_image: dict[str, list[_Room]] = {}
+        self._by_image: dict[str, list[_FreeAmounts]] = {}
         for room in sorted(self._rooms.values(), key=lambda r: r.cpus):
             for image in room.machine.images:
                 self._by_image.setdefault(image, []).append(room)
@@ -81,7 +81,7 @@
 
     def move(self, machine: Machine) -> bool:
         """Find a place for everything on a machine, or change nothing."""
-        made: list[tuple[_Room, JobSpec]] = []
+        made: list[tuple[_FreeAmounts, JobSpec]] = []
         tasks = [a for a in machine.attempts.values() if a.spec is not None]
         for attempt in sorted(tasks, key=lambda a: -(a.spec.cpus if a.spec is not None else 0.0)):
             spec, job = attempt.spec, self.jobs.get(attempt.job_id)
@@ -107,7 +107,7 @@
         zone[source] = zone.get(source, 0) - 1
         zone[target] = zone.get(target, 0) + 1
 
-    def _room_for(self, machine: Machine, spec: JobSpec, job: Job) -> _Room | None:
+    def _room_for(self, machine: Machine, spec: JobSpec, job: Job) -> _FreeAmounts | None:
         if spec.one_zone:
             return None
         zone = self.zones.setdefault(spec.job_id, dict(job.zones))
@@ -154,8 +154,8 @@
             continue
         found.append((machine.cpus / max(price(machine), 1e-9), machine))
     found.sort(key=lambda item: item[0])
-    slots = _SpareSlots(spare, zones) if spare is not None else None
-    plan = _Plan(usable, jobs, slots)
+    slots = _ServiceHeadroom(spare, zones) if spare is not None else None
+    plan = _MovePlan(usable, jobs, slots)
     out: list[Machine] = []
     for _, machine in found[: constants.DRAIN_TRIES * most]:
         if len(out) == most:
--- a/sorrelsill/fleet/test_boot_times.py
+++ b/sorrelsill/fleet/test_boot_times.py
@@ -1,34 +1,34 @@
 """When a machine on its way is late, replaced and given up."""
 
 from sorrelsill import constants
-from sorrelsill.fleet import BootTimes, Pending, counted_on, given_up
+from sorrelsill.fleet import BootingInstance, BootTimes, boot_failed, expected_instances
 from sorrelsill.model import Catalog, MachineType
 
 KIND = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
 CATALOG = Catalog({"c8": KIND})
 
 
-def pending(number: int, since: float) -> Pending:
-    return Pending(f"m{number}", "c8", "a", False, since)
+def pending(number: int, since: float) -> BootingInstance:
+    return BootingInstance(f"m{number}", "c8", "a", False, since)
 
 
 def seen(*seconds: float) -> BootTimes:
     boots = BootTimes()
     for boot_s in seconds:
-        boots.note("c8", boot_s)
+        boots.record("c8", boot_s)
     return boots
 
 
 def test_few_boots_seen_leave_the_published_time_in_force() -> None:
     boots = seen(200.0, 200.0)
     assert boots.late_after_s("c8", CATALOG) == constants.BOOT_LATE * 30.0 + constants.BOOT_EXTRA_S
-    assert boots.give_up_after_s("c8", CATALOG) == constants.BOOT_GIVE_UP * 30.0 + constants.BOOT_EXTRA_S
+    assert boots.failed_after_s("c8", CATALOG) == constants.BOOT_GIVE_UP * 30.0 + constants.BOOT_EXTRA_S
 
 
 def test_quick_boots_end_the_patience_sooner_and_slow_ones_later() -> None:
     quick, slow = seen(*[25.0] * 10), seen(*[30.0] * 10, 160.0)
-    assert quick.give_up_after_s("c8", CATALOG) == constants.BOOT_GIVE_UP_SEEN * 30.0 + constants.BOOT_EXTRA_S
-    assert slow.give_up_after_s("c8", CATALOG) > 160.0
+    assert quick.failed_after_s("c8", CATALOG) == constants.BOOT_GIVE_UP_SEEN * 30.0 + constants.BOOT_EXTRA_S
+    assert slow.failed_after_s("c8", CATALOG) > 160.0
     assert seen(*[100.0] * 10).late_after_s("c8", CATALOG) > 100.0
 
 
@@ -36,15 +36,15 @@
     """When all are late, what is rented in their place is late as well."""
     boots, now = seen(), 100.0
     one_late = [pending(0, 0.0), *[pending(n, 90.0) for n in range(1, 5)]]
-    assert {p.name for p in counted_on(one_late, boots, CATALOG, now)} == {"m1", "m2", "m3", "m4"}
+    assert {p.name for p in expected_instances(one_late, boots, CATALOG, now)} == {"m1", "m2", "m3", "m4"}
     all_late = [pending(n, float(n)) for n in range(20)]
-    assert len(counted_on(all_late, boots, CATALOG, now)) == 10
+    assert len(expected_instances(all_late, boots, CATALOG, now)) == 10
 
 
 def test_a_new_leader_gives_up_only_what_the_list_calls_booting() -> None:
     """It must not take every machine that has not reported to it yet for one that never came up."""
     boots, now = seen(), 1000.0
     machine = pending(0, 0.0)
-    assert not given_up(machine, boots, CATALOG, now, 990.0)
+    assert not boot_failed(machine, boots, CATALOG, now, 990.0)
     machine.booted_for = 200.0
-    assert given_up(machine, boots, CATALOG, now, 990.0)
+    assert boot_failed(machine, boots, CATALOG, now, 990.0)
--- a/sorrelsill/fleet/test_plan.py
+++ b/sorrelsill/fleet/test_capacity_plan.py
@@ -2,9 +2,9 @@
 
 import random
 
-from sorrelsill.fleet.consolidate import machines_to_drain
-from sorrelsill.fleet.rentals import Need, plan
-from sorrelsill.fleet.spare_room import SpareRoom, tasks_that_could_start
+from sorrelsill.fleet.capacity_plan import CapacityDemand, plan
+from sorrelsill.fleet.free_capacity import FreeCapacity, tasks_that_could_start
+from sorrelsill.fleet.rebalancing import machines_to_drain
 from sorrelsill.jobs import parse_spec
 from sorrelsill.model import Catalog, MachineType, TaskSet
 from sorrelsill.workers import ClusterState, Machine
@@ -14,17 +14,17 @@
 CATALOG = Catalog({"c8": KIND})
 
 
-def need(count: int) -> Need:
-    return Need(count, 2.0, 0.0, 4.0, None, None, True, None)
+def demand(count: int) -> CapacityDemand:
+    return CapacityDemand(count, 2.0, 0.0, 4.0, None, None, True, None)
 
 
 def test_where_only_time_counts_ordinary_machines_are_rented_first() -> None:
     """A task lost with a spot machine makes its whole job late."""
     for optimise_latency in (True, False):
-        wanted = plan([need(16)], [], CATALOG, {}, 0.0, {}, optimise_latency)
+        wanted = plan([demand(16)], [], CATALOG, {}, 0.0, {}, optimise_latency)
         assert sum(wanted.values()) == 4 and {spot for _, _, spot in wanted} == {not optimise_latency}
     refused = {("c8", zone, False): 9.0 for zone in "ab"}
-    assert {spot for _, _, spot in plan([need(16)], [], CATALOG, refused, 0.0, {}, True)} == {True}
+    assert {spot for _, _, spot in plan([demand(16)], [], CATALOG, refused, 0.0, {}, True)} == {True}
 
 
 def fleet_of_services(count: int, replicas: int) -> tuple[ClusterState, list[Machine]]:
@@ -88,7 +88,7 @@
         for name, cpus, zone in (("small", 1.0, None), ("large", 3.0, "a"))
     )
     lesser = cluster.add_job(parse_spec(job("run-low", shards=500, vcpus=1.0)), TaskSet(500), 2, False, 0.0, [])
-    room = SpareRoom(cluster.index)
+    room = FreeCapacity(cluster.index)
     for _ in range(300):
         machine = rng.choice(machines)
         if rng.random() < 0.4 and machine.room_for(lesser.spec) and machine.name in cluster.machines:
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from sorrelsill import constants
-from sorrelsill.fleet import time_to_rent
+from sorrelsill.fleet import can_wait_for_scale_out
 from sorrelsill.model import Priority
 from sorrelsill.placement import gang_placement
 from sorrelsill.workers import Attempt, ClusterState, Job, Machine, gang_loss
@@ -77,7 +77,7 @@
         """Whether the next moment that matters to the job's user would pass before a rented machine could help. Until
         then guests keep their room: guards against stopping work for a job that can be in time without."""
         objective = self._objectives.next_objective(job, now)
-        return objective.at > now and not time_to_rent(job.spec, cluster.catalog, objective.at - now)
+        return objective.at > now and not can_wait_for_scale_out(job.spec, cluster.catalog, objective.at - now)
 
     def _runs_on_borrowed_capacity(self, victim: JobSpec, claimant: JobSpec) -> bool:
         """Guests, whose team has no guarantee, run on what nobody else needs: guards against their arrays filling all
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -91,7 +91,7 @@
             12.0,
             {"service"},
         )
-        self._fleet._lists = 1
+        self._fleet._lists_read = 1
         store = KeyValueStore(Client("10.0.0.1:2"), StateLimits(1e6, 1e6, 32.0, 40), 3)
         self._record_writer = RecordWriter(store, WatchCache(store, 60.0), self.leader.cluster, lambda: True)
         self.reports = 0
@@ -193,7 +193,7 @@
             with self.parts["fleet"]:
                 self._fleet._choose_returns(leader.now)
                 self._fleet._choose_rentals(leader.now)
-            self._fleet._open.clear()
+            self._fleet._open_requests.clear()
         if leader.now % constants.LIST_EVERY_S < STEP_S:
             found = {name: ListedMachine(name, "running", age_s=leader.now) for name in leader.names}
             with self.parts["list"]:
--- a/tests/scenarios/test_ordinary.py
+++ b/tests/scenarios/test_ordinary.py
@@ -211,6 +211,6 @@
         assert leader.leading is not None
         ghosts = {name: ListedMachine(name, "running", "c8", "a", False, 20.0) for name in first}
         leader.leading.fleet.take_list(ghosts, trio.current_time())
-        assert leader.leading.fleet.pending == {}
+        assert leader.leading.fleet.booting == {}
 
     run_scenario(scenario)
