--- a/sorrelsill/fleet/__init__.py
+++ b/sorrelsill/fleet/__init__.py
@@ -1,7 +1,10 @@
 """The fleet of rented machines: machine catalog, scaling out and in, rebalancing of services."""
 
 from sorrelsill.fleet.boot_times import BootTimes
-from sorrelsill.fleet.capacity_plan import (
+from sorrelsill.fleet.capacity_plan import plan
+from sorrelsill.fleet.catalog import parse_catalog
+from sorrelsill.fleet.cloud import Cloud
+from sorrelsill.fleet.instances import (
     BootingInstance,
     CapacityDemand,
     InstanceOffer,
@@ -9,10 +12,7 @@
     can_wait_for_scale_out,
     expected_instances,
     lead_time_s,
-    plan,
 )
-from sorrelsill.fleet.catalog import parse_catalog
-from sorrelsill.fleet.cloud import Cloud
 from sorrelsill.fleet.manager import FleetManager
 
 __all__ = [
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from sorrelsill import constants
-from sorrelsill.fleet.capacity_plan import BootingInstance, CapacityDemand, can_wait_for_scale_out, lead_time_s
 from sorrelsill.fleet.free_capacity import FreeCapacity, tasks_that_could_start
+from sorrelsill.fleet.instances import BootingInstance, CapacityDemand, can_wait_for_scale_out, lead_time_s
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -12,10 +12,11 @@
 
 from sorrelsill import constants
 from sorrelsill.fleet.boot_times import BootTimes
-from sorrelsill.fleet.capacity_plan import BootingInstance, InstanceOffer, boot_failed, expected_instances, plan
+from sorrelsill.fleet.capacity_plan import plan
 from sorrelsill.fleet.catalog import parse_catalog
 from sorrelsill.fleet.cloud import Cloud, CloudError
 from sorrelsill.fleet.demand import FleetDemand, RetainedHeadroom
+from sorrelsill.fleet.instances import BootingInstance, InstanceOffer, boot_failed, expected_instances
 from sorrelsill.fleet.machine_list import MachineList, MachineListReader
 from sorrelsill.fleet.rebalancing import machines_to_drain
 from sorrelsill.model import Catalog
--- a/sorrelsill/fleet/test_capacity_plan.py
+++ b/sorrelsill/fleet/test_capacity_plan.py
@@ -2,8 +2,9 @@
 
 import random
 
-from sorrelsill.fleet.capacity_plan import CapacityDemand, plan
+from sorrelsill.fleet.capacity_plan import plan
 from sorrelsill.fleet.free_capacity import FreeCapacity, tasks_that_could_start
+from sorrelsill.fleet.instances import CapacityDemand, InstanceOffer
 from sorrelsill.fleet.rebalancing import machines_to_drain
 from sorrelsill.jobs import parse_spec
 from sorrelsill.model import Catalog, MachineType, TaskSet
@@ -23,7 +24,7 @@
     for optimise_latency in (True, False):
         wanted = plan([demand(16)], [], CATALOG, {}, 0.0, {}, optimise_latency)
         assert sum(wanted.values()) == 4 and {spot for _, _, spot in wanted} == {not optimise_latency}
-    refused = {("c8", zone, False): 9.0 for zone in "ab"}
+    refused = {InstanceOffer("c8", zone, False): 9.0 for zone in "ab"}
     assert {spot for _, _, spot in plan([demand(16)], [], CATALOG, refused, 0.0, {}, True)} == {True}
 
 
