--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -18,7 +18,7 @@
 from sorrelsill.controller.operator_state import controller_state, team_state
 from sorrelsill.controller.user_routes import UserRoutes
 from sorrelsill.events import log_event
-from sorrelsill.fleet import Cloud, FleetManager, parse_catalog
+from sorrelsill.fleet import Cloud, FleetManager, FleetSettings, parse_catalog
 from sorrelsill.http import Client, Reply, Request
 from sorrelsill.jobs import Admission, Cancellations, RecordWriter, json_size
 from sorrelsill.leadership import LeaderElector, Watchdog
@@ -189,9 +189,11 @@
             cluster,
             self.elector.valid,
             lambda: list(self.scheduler.unschedulable.values()),
-            self.settings.optimise_latency,
-            facts.cloud.list_lag_s,
-            {o.job_class for o in facts.objectives if o.kind == "wait" and o.job_class},
+            FleetSettings(
+                self.settings.optimise_latency,
+                facts.cloud.list_lag_s,
+                {o.job_class for o in facts.objectives if o.kind == "wait" and o.job_class},
+            ),
             on_catalog=self._on_catalog,
             on_drain=lambda: self._wake.set(),
         )
--- a/sorrelsill/fleet/__init__.py
+++ b/sorrelsill/fleet/__init__.py
@@ -4,6 +4,7 @@
 from sorrelsill.fleet.capacity_plan import plan
 from sorrelsill.fleet.catalog import parse_catalog
 from sorrelsill.fleet.cloud import Cloud
+from sorrelsill.fleet.fleet_state import FleetSettings
 from sorrelsill.fleet.instances import (
     BootingInstance,
     CapacityDemand,
@@ -21,6 +22,7 @@
     "CapacityDemand",
     "Cloud",
     "FleetManager",
+    "FleetSettings",
     "InstanceOffer",
     "boot_failed",
     "can_wait_for_scale_out",
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -3,40 +3,34 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+import trio
+
 from sorrelsill import constants
+from sorrelsill.fleet.fleet_state import FleetState
 from sorrelsill.fleet.free_capacity import FreeCapacity, tasks_that_could_start
-from sorrelsill.fleet.instances import BootingInstance, CapacityDemand, can_wait_for_scale_out, lead_time_s
+from sorrelsill.fleet.instances import CapacityDemand, can_wait_for_scale_out, lead_time_s
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
-    from sorrelsill.workers import ClusterState, Machine, UnschedulableDemand
+    from sorrelsill.workers import Machine, UnschedulableDemand
 
 
 class FleetDemand:
     """Pure decisions on the cluster state and the machines on their way."""
 
-    def __init__(
-        self,
-        cluster: ClusterState,
-        unschedulable: Callable[[], list[UnschedulableDemand]],
-        expected_instances: Callable[[], list[BootingInstance]],
-        optimise_latency: bool,
-        latency_sensitive: set[str],
-    ) -> None:
-        self._cluster = cluster
-        self._unschedulable = unschedulable
-        self._expected_instances = expected_instances  # machines on their way that are expected to come up in time
-        self._optimise_latency = optimise_latency  # time counts, not money
-        self._latency_sensitive = latency_sensitive  # classes whose tasks should start within seconds
-        self._free_capacity = FreeCapacity(cluster.index)
+    def __init__(self, state: FleetState) -> None:
+        self._state = state
+        self._cluster = state.cluster
+        self._optimise_latency = state.settings.optimise_latency
+        self._latency_sensitive = state.settings.latency_sensitive
+        self._free_capacity = FreeCapacity(state.cluster.index)
 
     def demands(self, now: float) -> list[CapacityDemand]:
         """Room that is missing for waiting tasks, and what is kept ready ahead of work."""
         out = []
-        for item in self._unschedulable():
+        for item in self._state.unschedulable():
             if item.limited:
                 continue
             job, spec = item.job, item.job.spec
@@ -86,7 +80,7 @@
         if not kept:
             return {}, 0.0
         free = dict.fromkeys(self._cluster.catalog.zones, 0.0) | self._cluster.index.free.ordinary_cpus()
-        for p in self._expected_instances():
+        for p in self._state.expected_instances(trio.current_time()):
             kind = self._cluster.catalog.machine_types.get(p.machine_type)
             if kind is not None and not p.spot:
                 free[p.zone] = free.get(p.zone, 0.0) + kind.cpus
@@ -118,7 +112,7 @@
         """Tasks of this kind that could start at once, by zone: in free room or in place of lesser work."""
         room: dict[str, int] = {z: 0 for z in self._cluster.catalog.zones if spec.zone in (None, z)}
         room |= {zone: tasks for zone, tasks in self._free_capacity.by_zone(spec).items() if tasks or zone in room}
-        for p in self._expected_instances():
+        for p in self._state.expected_instances(trio.current_time()):
             kind = self._cluster.catalog.machine_types.get(p.machine_type)
             if kind is not None and not p.spot and (spec.machine_types is None or p.machine_type in spec.machine_types):
                 room[p.zone] = room.get(p.zone, 0) + int(kind.cpus // max(spec.cpus, 0.1))
--- a/sorrelsill/fleet/machine_list.py
+++ b/sorrelsill/fleet/machine_list.py
@@ -1,20 +1,30 @@
 """Reading the cloud's machine list, page by page, between other calls to the cloud.
 
-A large fleet's list takes many pages. Read in one go, at the cloud's rate, nothing could be rented or returned
-meanwhile; read as often as a small one, it would take the whole rate."""
+A large fleet's list takes many pages. Read without pauses, at the cloud's rate limit, it would keep rentals and returns
+waiting; read as often as a small one, it would use up the whole rate."""
 
 from __future__ import annotations
 
+import enum
 import logging
 
 import msgspec
 
 from sorrelsill import constants
+from sorrelsill.events import log_event
 from sorrelsill.fleet.cloud import Cloud, CloudError
 
 log = logging.getLogger(__name__)
 
 
+class ListedPhase(enum.StrEnum):
+    """Phases of a machine that the fleet acts on; the list may name others."""
+
+    BOOTING = "booting"
+    RUNNING = "running"
+    FAILED = "failed"
+
+
 class ListedMachine(msgspec.Struct, frozen=True):
     """What the list says of a machine, under the names of the wire."""
 
@@ -30,7 +40,7 @@
 
 
 class MachineListReader:
-    """One page at a time; a reading that fails begins anew at the next time."""
+    """One page at a time; a failed reading starts again from the first page."""
 
     def __init__(self, cloud: Cloud) -> None:
         self._cloud = cloud
@@ -54,7 +64,7 @@
             answer = await self._cloud.call("GET", target)
             machines = msgspec.convert(answer.get("hosts") or [], list[ListedMachine])
         except (CloudError, msgspec.ValidationError) as error:
-            log.info("machine list: %s", error)
+            log_event(log, logging.INFO, "machine_list_failed", reason=error)
             self._found = None
             return None
         for machine in machines:
--- /dev/null
+++ b/sorrelsill/fleet/reconciliation.py
@@ -0,0 +1,47 @@
+"""Reconciles what the leader knows of rented machines with the cloud's machine list."""
+
+from __future__ import annotations
+
+from sorrelsill.fleet.fleet_state import FleetState
+from sorrelsill.fleet.instances import BootingInstance
+from sorrelsill.fleet.machine_list import ListedMachine, ListedPhase, MachineList
+
+_LIST_LAGS = 3  # the list's lag; a machine that is missing for this long and one reading is not rented any more
+
+
+def reconcile(state: FleetState, found: MachineList, now: float, list_interval_s: float) -> None:
+    """The list lags: it adds unknown machines and tells of failed ones; absence proves little."""
+    state.lists_read += 1
+    for listed in found.values():
+        _take(state, listed, now)
+    for name in [name for name in state.running_since if name not in found]:
+        del state.running_since[name]
+    delay_s = _LIST_LAGS * state.settings.list_lag_s + list_interval_s
+    state.returned = {name: at for name, at in state.returned.items() if now - at < 2 * delay_s}
+    for name, instance in list(state.booting.items()):
+        if name not in found and now - instance.since > delay_s:
+            del state.booting[name]
+    for name, machine in list(state.cluster.machines.items()):
+        if name not in found and machine.lease_expired and now - machine.seen_at > delay_s:
+            state.cluster.drop(machine, now)
+
+
+def _take(state: FleetState, listed: ListedMachine, now: float) -> None:
+    """Take in one entry of the list."""
+    name = listed.name
+    known = name in state.cluster.machines
+    if listed.phase == ListedPhase.FAILED:
+        state.cluster.gone_for_certain(name, now, "machine failed")
+        state.booting.pop(name, None)
+        state.returns[name] = "failed"
+        return
+    if listed.phase == ListedPhase.RUNNING:
+        state.running_since.setdefault(name, now)
+    if name in state.returned:
+        state.returned[name] = now
+        return  # it was returned; the list will say so later
+    if not known and name not in state.booting and name not in state.returns:
+        since = now - listed.age_s
+        state.booting[name] = BootingInstance(name, listed.machine_type, listed.zone, listed.spot, since)
+    if listed.phase == ListedPhase.BOOTING and name in state.booting:
+        state.booting[name].booted_for = listed.age_s
--- /dev/null
+++ b/sorrelsill/fleet/scale_in.py
@@ -0,0 +1,135 @@
+"""Scaling in: machines that are idle, drained, failed or never came up are returned to the cloud."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+import msgspec
+import trio
+
+from sorrelsill import constants
+from sorrelsill.events import log_event
+from sorrelsill.fleet.cloud import Cloud, CloudError
+from sorrelsill.fleet.demand import FleetDemand, RetainedHeadroom
+from sorrelsill.fleet.fleet_state import FleetState
+from sorrelsill.fleet.instances import BootingInstance, boot_failed
+from sorrelsill.workers import Machine
+
+log = logging.getLogger(__name__)
+
+
+class ReturnRequest(msgspec.Struct, frozen=True):
+    """Body of a return request, under the names of the wire."""
+
+    machines: list[str] = msgspec.field(name="hosts")
+
+
+class ScaleIn:
+    """Chooses machines to return and sends the return requests."""
+
+    def __init__(self, state: FleetState, demand: FleetDemand, cloud: Cloud, valid: Callable[[], bool]) -> None:
+        self._state = state
+        self._demand = demand
+        self._cloud = cloud
+        self._valid = valid  # whether this controller leads
+        self._chosen_at = float("-inf")
+
+    def choose_if_due(self, now: float) -> None:
+        """Choose machines to return, at most once per planning interval."""
+        if now - self._chosen_at >= constants.PLAN_EVERY_S:
+            self._chosen_at = now
+            self.choose(now)
+
+    def choose(self, now: float) -> None:
+        """Choose machines to return."""
+        state = self._state
+        headroom = RetainedHeadroom(self._demand, state.unschedulable())
+        for machine in sorted(state.cluster.index.idle, key=lambda idle: idle.name):
+            if machine.name not in state.returns:
+                self._choose_idle(machine, headroom, now)
+        for name, instance in state.booting.items():
+            if name not in state.cluster.failover.unconfirmed:
+                self._choose_booting(name, instance, now)
+
+    def _choose_booting(self, name: str, instance: BootingInstance, now: float) -> None:
+        state = self._state
+        running_since = state.running_since.get(name)
+        if boot_failed(instance, state.boots, state.cluster.catalog, now, state.cluster.started):
+            state.returns.setdefault(name, "never came up")
+        elif running_since is not None and now - running_since > 2 * constants.UNRESPONSIVE_RETURN_S:
+            state.returns.setdefault(name, "up but silent")
+
+    def _choose_idle(self, machine: Machine, headroom: RetainedHeadroom, now: float) -> None:
+        state = self._state
+        if machine.lease_expired:
+            if now - machine.seen_at > state.cluster.loss_s + constants.UNRESPONSIVE_RETURN_S:
+                state.returns[machine.name] = "silent"
+            return
+        if not _is_returnable(machine):
+            return
+        if machine.quarantined:
+            self._start_return(machine, "quarantined")
+        elif machine.draining:
+            self._start_return(machine, "drained")
+        elif self._idle_for_s(machine, now) > self._idle_limit_s(machine) and headroom.permits_return(machine):
+            self._start_return(machine, "idle")
+
+    def _idle_for_s(self, machine: Machine, now: float) -> float:
+        return now - max(machine.idle_since, self._state.cluster.started)
+
+    def _idle_limit_s(self, machine: Machine) -> float:
+        """How long a machine may idle: it is paid for its first minute anyway."""
+        if self._state.settings.optimise_latency:
+            return constants.IDLE_RETURN_LATENCY_S
+        machine_type = self._state.cluster.catalog.machine_types.get(machine.machine_type)
+        return constants.IDLE_OF_BOOT * (machine_type.boot_s if machine_type is not None else constants.MIN_CHARGE_S)
+
+    def _start_return(self, machine: Machine, reason: str) -> None:
+        machine.returning = True
+        self._state.returns[machine.name] = reason
+
+    async def send(self) -> None:
+        """Return what was chosen. Nothing is bound to it; that was decided without an await in between."""
+        names = self._names_to_return()
+        if not names:
+            return
+        try:
+            await self._cloud.return_machines(ReturnRequest(names), self._valid)
+        except CloudError as error:
+            log_event(log, logging.INFO, "return_failed", machines=len(names), reason=error)
+            return
+        now = trio.current_time()
+        for name in names:
+            self._returned(name, now)
+
+    def _names_to_return(self) -> list[str]:
+        """As many as one request takes."""
+        state = self._state
+        names = []
+        for name in list(state.returns):
+            machine = state.cluster.machines.get(name)
+            if machine is not None and (machine.bound_count or machine.unknown):
+                # It resumed its heartbeats, with tasks running: it stays.
+                machine.returning = False
+                del state.returns[name]
+                continue
+            if machine is not None:
+                machine.returning = True
+            names.append(name)
+        return names[: constants.SCALE_IN_BATCH_MAX]
+
+    def _returned(self, name: str, now: float) -> None:
+        state = self._state
+        log_event(log, logging.INFO, "machine_returned", machine=name, reason=state.returns.get(name))
+        state.returns.pop(name, None)
+        state.booting.pop(name, None)
+        state.returned[name] = now
+        state.cluster.gone_for_certain(name, now, "machine returned")
+
+
+def _is_returnable(machine: Machine) -> bool:
+    """Whether nothing runs there, nothing is unknown of it and no result waits to be recorded."""
+    if machine.bound_count or machine.unknown or machine.spot_reclaim_at is not None or not machine.token_acknowledged:
+        return False
+    return all(attempt.clearable for attempt in machine.attempts.values())
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -22,7 +22,7 @@
 from hdrh.histogram import HdrHistogram
 
 from sorrelsill import constants
-from sorrelsill.fleet import Cloud, FleetManager
+from sorrelsill.fleet import Cloud, FleetManager, FleetSettings
 from sorrelsill.fleet.machine_list import ListedMachine
 from sorrelsill.http import Client, Reply, Request, Server
 from sorrelsill.jobs import RecordWriter
@@ -87,11 +87,9 @@
             self.leader.cluster,
             lambda: True,
             lambda: list(self.leader.scheduler.unschedulable.values()),
-            True,
-            12.0,
-            {"service"},
+            FleetSettings(True, 12.0, {"service"}),
         )
-        self._fleet._lists_read = 1
+        self._fleet.state.lists_read = 1
         store = KeyValueStore(Client("10.0.0.1:2"), StateLimits(1e6, 1e6, 32.0, 40), 3)
         self._record_writer = RecordWriter(store, WatchCache(store, 60.0), self.leader.cluster, lambda: True)
         self.reports = 0
@@ -191,9 +189,9 @@
         self.waiting_most = max(self.waiting_most, len(leader.scheduler.unschedulable))
         if leader.now % constants.PLAN_EVERY_S < STEP_S:
             with self.parts["fleet"]:
-                self._fleet._choose_returns(leader.now)
-                self._fleet._choose_rentals(leader.now)
-            self._fleet._open_requests.clear()
+                self._fleet.scale_in.choose(leader.now)
+                self._fleet.scale_out.plan(leader.now)
+            self._fleet.scale_out.open_requests.clear()
         if leader.now % constants.LIST_EVERY_S < STEP_S:
             found = {name: ListedMachine(name, "running", age_s=leader.now) for name in leader.names}
             with self.parts["list"]:
