--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -1,21 +1,20 @@
-"""Rounds of placing: best fit among a few sampled machines, under a time budget.
+"""Scheduling cycles: each waiting task goes to the best fit among a few sampled machines, under a time budget.
 
-The order of jobs is told in `order.py`. A round that runs out of time is continued by the next one where it stopped."""
+The order of jobs is that of `order.py`. A cycle that runs out of time is continued by the next one where it stopped."""
 
 from __future__ import annotations
 
 import enum
-import logging
 import random
 from collections import deque
 from collections.abc import Callable
 
 from sorrelsill import constants
 from sorrelsill.model import Priority
-from sorrelsill.placement import gang_placement
 from sorrelsill.placement.borrowing_teams import BorrowingTeams
 from sorrelsill.placement.candidates import CandidatePool, MachineChooser
 from sorrelsill.placement.gang_headroom import GangHeadroom
+from sorrelsill.placement.gang_scheduler import GangScheduler
 from sorrelsill.placement.guaranteed_shares import GuaranteedShares
 from sorrelsill.placement.job_queue import JobQueue
 from sorrelsill.placement.objectives import ServiceLevelObjectives
@@ -27,21 +26,19 @@
 from sorrelsill.settings import Objective, Team
 from sorrelsill.workers import ClusterState, Job, Machine, UnschedulableDemand
 
-log = logging.getLogger(__name__)
-
 
 class _BindOutcome(enum.Enum):
-    """Why no further task of a job was bound in a round."""
+    """Why no further task of a job was bound in a scheduling cycle."""
 
     ALL_BOUND = enum.auto()
     NO_ROOM = enum.auto()
-    QUOTA_EXCEEDED = enum.auto()  # the team's limit stands in the way
-    TRIAL_RUNS = enum.auto()  # a job that failed wherever it was tried waits for the outcome of its trial
+    QUOTA_EXCEEDED = enum.auto()  # the team's quota is used up
+    TRIAL_RUNS = enum.auto()  # a job that failed on every machine waits for the outcome of its trial tasks
     OUT_OF_TIME = enum.auto()
 
 
 class Scheduler:
-    """Binds waiting tasks to machines, round by round."""
+    """Binds waiting tasks to machines, one scheduling cycle after the other."""
 
     def __init__(
         self,
@@ -69,10 +66,19 @@
             self._borrowing_teams,
             rng,
         )
-        self._cluster: ClusterState | None = None  # the one that the queue follows
-        self._remaining: deque[str] = deque()  # jobs that the last round did not get to
-        self._warm_until: dict[str, float] = {}  # job -> until when room on machines with its image is awaited
-        self.unschedulable: dict[str, UnschedulableDemand] = {}
+        self._cluster: ClusterState | None = None  # the one whose changes the queue follows
+        self._remaining: deque[str] = deque()  # jobs that the last cycle did not get to
+        self._warm_until: dict[str, float] = {}  # job -> until when room preempted on warm machines is awaited
+        self.unschedulable: dict[str, UnschedulableDemand] = {}  # by job; what the fleet may rent capacity for
+        self._gangs = GangScheduler(
+            self._teams,
+            self._objectives,
+            self._reservations,
+            self._gang_headroom,
+            self._chooser,
+            self._preemption,
+            self.unschedulable,
+        )
 
     def reset(self) -> None:
         """A new term begins."""
@@ -85,10 +91,10 @@
         self._reservations.reset()
         self.unschedulable.clear()
 
-    # --- a round ---
+    # --- scheduling cycle ---
 
     def run_cycle(self, cluster: ClusterState, now: float, clock: Callable[[], float], budget: float) -> bool:
-        """Place what fits. False if the budget ran out before all jobs were seen."""
+        """Bind what fits. `budget` is in seconds of `clock`; False if it ran out before all jobs were considered."""
         begun = clock()
         if not self._remaining:
             self._start_cycle(cluster, now)
@@ -97,7 +103,7 @@
         while self._remaining:
             job = cluster.jobs.get(self._remaining[0])
             if job is not None and job.waiting > 0:
-                if not self._place_job(cycle, job):
+                if not self._schedule_job(cycle, job):
                     return False
             elif job is not None:
                 self.unschedulable.pop(job.spec.job_id, None)
@@ -105,7 +111,7 @@
         return True
 
     def _start_cycle(self, cluster: ClusterState, now: float) -> None:
-        """All waiting jobs are looked at anew, in their order."""
+        """Queue all waiting jobs again, in their order."""
         changed = cluster.take_changed_jobs()
         if self._cluster is not cluster:
             self._cluster = cluster
@@ -120,13 +126,13 @@
                 self._warm_until.pop(job_id, None)
         self._reservations.expire(cluster, now)
 
-    def _place_job(self, cycle: SchedulingCycle, job: Job) -> bool:
-        """False if the round's time is used up before the job was seen whole."""
+    def _schedule_job(self, cycle: SchedulingCycle, job: Job) -> bool:
+        """False if the cycle's time budget is used up before all tasks of the job were considered."""
         self.unschedulable.pop(job.spec.job_id, None)
         if not cycle.cluster.failover.reconciled(job) or job.failures.next_trial_at > cycle.now:
             return True
         if job.spec.is_gang:
-            self._place_gang(cycle, job)
+            self._gangs.schedule(cycle, job)
             return not cycle.out_of_time()
         end = self._start_tasks(cycle, job)
         if end is _BindOutcome.OUT_OF_TIME:
@@ -138,7 +144,7 @@
     # --- single tasks ---
 
     def _start_tasks(self, cycle: SchedulingCycle, job: Job) -> _BindOutcome:
-        """Bind tasks of a job, one after the other, until something stands in the way."""
+        """Bind tasks of a job, one after the other, until none is left or none may be bound."""
         spec = job.spec
         kind = equivalence_class(spec)
         plain = not (spec.spread_zones or spec.one_zone or job.avoid)
@@ -169,9 +175,9 @@
         return _BindOutcome.ALL_BOUND
 
     def _handle_unschedulable(self, cycle: SchedulingCycle, job: Job, limited: bool) -> None:
-        """Tasks of a job found no room: the fleet learns of it, and room is made where that is allowed."""
+        """Record the tasks that fit nowhere as demand for the fleet, and preempt for them where that is allowed."""
         if job.failures.suspect(len(job.bound)):
-            return  # it fails wherever it is tried: nothing is rented or stopped for it
+            return  # it fails on every machine: nothing is rented or preempted for it
         count = max(0, job.waiting - self._reservations.tasks_awaiting_room(job.spec.job_id, cycle.now))
         self.unschedulable[job.spec.job_id] = UnschedulableDemand(job, count, limited)
         if limited:
@@ -182,20 +188,20 @@
             self._reserve_for_starved_job(cycle, job)
 
     def _reserve_for_starved_job(self, cycle: SchedulingCycle, job: Job) -> None:
-        """Keep one machine for a job that has waited too long, until enough of it is free: small tasks of others
-        would take its pieces for ever. For one job at a time."""
+        """Reserve one machine for a starved job until enough of it is free: small tasks of others would take each gap
+        for ever. For one job at a time."""
         jobs, now = cycle.cluster.jobs, cycle.now
         if any(
             job_id in jobs and is_starved(jobs[job_id], now)
             for job_id in self._reservations.jobs_with_reservations(now)
         ):
             return
-        fitting = [machine for machine in cycle.machines if self._could_run_once_free(job, machine, now)]
+        fitting = [machine for machine in cycle.machines if self._could_run_once_drained(job, machine, now)]
         if fitting:
-            held = max(fitting, key=_cpus_without_arrays)
-            self._reservations.reserve(held, job.spec.job_id, now + constants.STARVED_RESERVATION_S)
+            reserved = max(fitting, key=_cpus_without_arrays)
+            self._reservations.reserve(reserved, job.spec.job_id, now + constants.STARVED_RESERVATION_S)
 
-    def _could_run_once_free(self, job: Job, machine: Machine, now: float) -> bool:
+    def _could_run_once_drained(self, job: Job, machine: Machine, now: float) -> bool:
         """Whether the job could run on the machine once enough of it is free."""
         spec = job.spec
         return (
@@ -207,7 +213,7 @@
         )
 
     def _cold_start_misses_objective(self, cluster: ClusterState, job: Job, machine: Machine) -> bool:
-        """Whether fetching the image on this machine alone makes the start too late for its class's aim."""
+        """Whether fetching the image on this machine alone makes the start miss its class's objective."""
         spec = job.spec
         within_s = self._objectives.start_within_s.get(spec.job_class)
         machine_type = cluster.catalog.machine_types.get(machine.machine_type)
@@ -221,8 +227,8 @@
         return spec.image_gb / machine_type.fetch_gb_per_s > within_s
 
     def _preempt_on_warm_machines(self, cycle: SchedulingCycle, job: Job) -> bool:
-        """Make room on machines that hold the image already; True while that room is awaited. Only for that:
-        found on a measured day, room that had been freed elsewhere was refused again and again."""
+        """Preempt on machines that hold the image already; True while that room is awaited. No other
+        room is awaited: on a measured day, room that had been freed elsewhere was refused again and again."""
         job_id, now = job.spec.job_id, cycle.now
         if job_id not in self._warm_until:
             warm = cycle.cluster.index.holders(job.spec.image)
@@ -230,91 +236,8 @@
             self._warm_until[job_id] = now + constants.WARM_PREEMPTION_WAIT_S if evicted_for else now
         return now < self._warm_until[job_id]
 
-    # --- groups ---
-
-    def _place_gang(self, cycle: SchedulingCycle, job: Job) -> None:
-        """All tasks at once, under one attempt number, or none: nothing is bound before all have their place."""
-        cluster, now, spec = cycle.cluster, cycle.now, job.spec
-        if job.bound or cluster.attempts.alive(spec.job_id):
-            return  # what is left of the last start is ending; its places and its zone are not free before
-        if not self._teams.allows(cluster, spec, job.waiting):
-            self.unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
-            job.note(f"waiting: the limit of {spec.team} is reached")
-            return
-        kind = ("group", equivalence_class(spec), spec.task_count)
-        reservations = self._reservations
-        kept = reservations.has_reservation(spec.job_id) or reservations.holds_machines_for(spec.job_id)
-        if kind in cycle.full_classes and not kept:
-            self.unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, False, spec.zone)
-            return
-        room = [m for m in cluster.index.with_room(spec) if self._chooser.may_take(job, m, now)]
-        zones = [zone for zone in cluster.catalog.zones if spec.zone in (None, zone)]
-        placements = gang_placement.find_placements(spec, room, zones)
-        if placements and not placements[0].missing_tasks:
-            self._bind_gang(cycle, job, placements[0])
-            return
-        cycle.full_classes.add(kind)
-        job.note("waiting: the whole group does not fit at once")
-        self._wait_for_gang_room(cycle, job, placements)
-
-    def _bind_gang(self, cycle: SchedulingCycle, job: Job, placement: gang_placement.GangPlacement) -> None:
-        cluster, spec = cycle.cluster, job.spec
-        attempt_number = cluster.next_attempt_number()
-        places = [share.machine for share in placement.shares for _ in range(share.count)]
-        for index, machine in enumerate(places):
-            cluster.bind(job, index, machine, cycle.now, attempt_number)
-            self._gang_headroom.task_bound(spec, machine)
-        log.debug(
-            "group %s: %d tasks on %d machines in %s, %.2f s after submission, image %s",
-            spec.job_id,
-            spec.task_count,
-            len(placement.shares),
-            placement.zone,
-            cycle.now - job.submitted,
-            "cold" if placement.needs_fetch else "held",
-        )
-        self._reservations.release(spec.job_id)
-
-    def _wait_for_gang_room(
-        self, cycle: SchedulingCycle, job: Job, placements: list[gang_placement.GangPlacement]
-    ) -> None:
-        """Make room for the whole group, or keep machines filling up for it, or let the fleet know what it lacks."""
-        spec, now = job.spec, cycle.now
-        if self._reservations.tasks_awaiting_room(spec.job_id, now):
-            return  # room is being made
-        if placements and not self._preemption.make_room_for_gang(cycle, job, placements):
-            self._hold_machines_for_gang(cycle, job, placements)
-        if self._reservations.tasks_awaiting_room(spec.job_id, now):
-            return
-        best = placements[0] if placements else None
-        count = best.missing_tasks if best is not None else job.waiting
-        self.unschedulable[spec.job_id] = UnschedulableDemand(
-            job, count, False, best.zone if best is not None else spec.zone
-        )
-
-    def _hold_machines_for_gang(
-        self, cycle: SchedulingCycle, job: Job, placements: list[gang_placement.GangPlacement]
-    ) -> None:
-        """Keep machines filling up for a group, or small tasks would take each gap for ever: for one that should start
-        within seconds at once, for others once they waited too long; few at a time, so that arrays go on too."""
-        spec, now, reservations = job.spec, cycle.now, self._reservations
-        urgent = self._objectives.should_start_at_once(spec.job_class) or is_starved(job, now)
-        if reservations.holds_machines_for(spec.job_id) or not urgent:
-            return
-        if reservations.gang_hold_count() >= constants.GANG_HOLD_SHARE * len(cycle.machines):
-            return
-        may = [
-            machine
-            for machine in cycle.machines
-            if machine.allows(spec)
-            and reservations.admits(job, machine, now)
-            and not reservations.is_held_for_gang(machine)
-        ]
-        for machine in gang_placement.machines_to_hold(spec, placements, may):
-            reservations.hold_for_gang(machine, job, now + constants.GANG_HOLD_S)
-
 
 def _cpus_without_arrays(machine: Machine) -> float:
-    """CPUs that are or come free once the tasks that end are through."""
+    """CPUs that are free or become free once the tasks other than services have ended."""
     services = sum(a.spec.cpus for a in machine.attempts.values() if a.spec is not None and a.spec.is_service)
     return machine.capacity_cpus - machine.cpus - services
