--- a/sorrelsill/fleet/boot_times.py
+++ b/sorrelsill/fleet/boot_times.py
@@ -1,7 +1,7 @@
-"""How long machines take to come up, as published and as seen lately: when one is late, when it is given up.
+"""Boot times of instances, as published and as observed lately: when a boot is late, when it has failed.
 
 A late machine may still come up, so it is kept, but the plan stops counting on it. One that has been booting for
-longer than any machine seen lately will most likely never come up, and is paid for until it is deleted."""
+longer than any observed lately will most likely never come up, and is paid for until it is deleted."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
         self._observed_s: dict[str, deque[float]] = {}
 
     def record(self, machine_type: str, boot_s: float) -> None:
-        """A machine that we rented has reported for the first time, `boot_s` after it was rented."""
+        """An instance rented by this process has sent its first heartbeat, `boot_s` seconds after it was rented."""
         self._observed_s.setdefault(machine_type, deque(maxlen=constants.BOOTS_KEPT)).append(boot_s)
 
     def late_after_s(self, machine_type: str, catalog: Catalog) -> float:
-        """A machine that takes longer than this is late: the plan no longer counts on it."""
+        """An instance that takes longer than so many seconds is late: the plan no longer counts on it."""
         published_s = _published_s(machine_type, catalog)
         observed_s = self._enough_observed(machine_type)
         usual_s = constants.BOOT_LATE_OF_SEEN * statistics.median(observed_s) if observed_s else 0.0
         return max(constants.BOOT_LATE * published_s, usual_s) + constants.BOOT_EXTRA_S
 
     def failed_after_s(self, machine_type: str, catalog: Catalog) -> float:
-        """A machine that takes longer than this is deleted."""
+        """The boot of an instance that takes longer than so many seconds has failed: it is returned."""
         published_s = _published_s(machine_type, catalog)
         observed_s = self._enough_observed(machine_type)
         if not observed_s:
--- a/sorrelsill/fleet/catalog.py
+++ b/sorrelsill/fleet/catalog.py
@@ -1,4 +1,4 @@
-"""The cloud's catalog as it comes over the wire."""
+"""Parses the cloud's catalog, under the names of the wire."""
 
 from __future__ import annotations
 
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -1,4 +1,4 @@
-"""What the fleet should have room for: tasks that wait, and room kept ready where aims leave no time to boot."""
+"""Capacity demand on the fleet: unschedulable tasks, and headroom where objectives leave no time to boot."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FleetDemand:
-    """Pure decisions on the cluster state and the machines on their way."""
+    """Decisions on the cluster state and the booting instances."""
 
     def __init__(self, state: FleetState) -> None:
         self._state = state
@@ -28,7 +28,7 @@
         self._free_capacity = FreeCapacity(state.cluster.index)
 
     def demands(self, now: float) -> list[CapacityDemand]:
-        """Room that is missing for waiting tasks, and what is kept ready ahead of work."""
+        """Capacity that is missing for unschedulable tasks, and headroom."""
         out = []
         for item in self._state.unschedulable():
             if item.limited:
@@ -61,8 +61,8 @@
         )
 
     def _latency_headroom_demands(self) -> list[CapacityDemand]:
-        """Where time counts, whole machines ahead of the work: in a burst of arrays a boot costs more than their run.
-        What is coming up is filled first, by the plan."""
+        """Where latency is optimised for, whole machines ahead of the work: in a burst of arrays a boot costs more than
+        their run. Booting instances are filled first, by the plan."""
         kinds = list(self._cluster.catalog.machine_types.values())
         if not kinds:
             return []
@@ -75,7 +75,7 @@
         return [CapacityDemand(missing, kind.cpus, 0.0, kind.memory_gb, None, None, True, None)] if missing > 0 else []
 
     def gang_headroom(self) -> tuple[dict[str, float], float]:
-        """CPUs on ordinary machines, free or coming, by zone; and how many are kept ready in one zone for groups."""
+        """CPUs on on-demand machines, free or booting, by zone; and how many are kept free in one zone for gangs."""
         kept = 0.0 if self._optimise_latency else self._cluster.gang_headroom_cpus(self._latency_sensitive)
         if not kept:
             return {}, 0.0
@@ -109,7 +109,7 @@
         return max(jobs, key=lambda s: (s.zone_limit * s.cpus, s.job_id), default=None)
 
     def service_capacity(self, spec: JobSpec) -> dict[str, int]:
-        """Tasks of this kind that could start at once, by zone: in free room or in place of lesser work."""
+        """Tasks of this kind that could start at once, by zone: on free capacity or by preemption."""
         room: dict[str, int] = {z: 0 for z in self._cluster.catalog.zones if spec.zone in (None, z)}
         room |= {zone: tasks for zone, tasks in self._free_capacity.by_zone(spec).items() if tasks or zone in room}
         for p in self._state.expected_instances(trio.current_time()):
@@ -131,14 +131,14 @@
         ]
 
     def _can_wait_for_spot(self, item: UnschedulableDemand, now: float) -> bool:
-        """Whether a task started on a machine that is rented later can still be in time."""
+        """Whether a task started on an instance that is rented later can still meet its deadline."""
         spec = item.job.spec
         if spec.deadline_s is None:
             return False
         return can_wait_for_scale_out(spec, self._cluster.catalog, item.job.submitted + spec.deadline_s - now)
 
     def _tasks_needed_at_once(self, item: UnschedulableDemand, now: float) -> int:
-        """How many more tasks at once meet the deadline: machines beyond that cost without use."""
+        """How many more concurrent tasks meet the deadline: capacity beyond that costs without use."""
         job, spec = item.job, item.job.spec
         assert spec.deadline_s is not None
         boot, pull = lead_time_s(spec, self._cluster.catalog)
@@ -149,19 +149,21 @@
 
 
 class RetainedHeadroom:
-    """The room that returns must leave: for gangs that wait, for one more gang, for one more service."""
+    """Headroom that scaling in must leave: for gangs that wait, for one more gang, for one more service."""
 
     def __init__(self, demand: FleetDemand, unschedulable: list[UnschedulableDemand]) -> None:
         self._demand = demand
         self._spare = demand.service_headroom_spec()
-        # A gang that waits needs several machines at once. Guards against each machine rented for it going back as
-        # idle before the next one is up.
+        # A gang that waits needs several machines at once. Guards against each machine rented for it being returned
+        # as idle before the next one is up.
         self._awaited = [(u.job.spec, u.zone) for u in unschedulable if u.job.spec.is_gang and not u.limited]
         self._free, self._kept = demand.gang_headroom()
-        self._room: dict[str, int] | None = None  # worked out only if a machine could go, since it walks all of them
+        self._room: dict[str, int] | None = (
+            None  # computed only if a machine could be returned, since it walks all of them
+        )
 
     def permits_return(self, machine: Machine) -> bool:
-        """Whether an idle machine may go back; if so it is counted as gone."""
+        """Whether an idle machine may be returned; if so it no longer counts."""
         if any(zone in (None, machine.zone) and machine.allows(spec) for spec, zone in self._awaited):
             return False
         if self._kept and not machine.spot:
--- a/sorrelsill/fleet/free_capacity.py
+++ b/sorrelsill/fleet/free_capacity.py
@@ -1,4 +1,4 @@
-"""How many more tasks of one kind could start at once, by zone: kept up to date by the machines that changed. Pure."""
+"""How many more tasks of one kind could start at once, by zone, kept current from the machines that changed. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def tasks_that_could_start(machine: Machine, spec: JobSpec) -> int:
-    """On one machine, in free room or in place of lesser work."""
+    """Tasks that could start on one machine, on free capacity or by preemption."""
     cpus, memory_gb = machine.capacity_cpus, machine.capacity_memory_gb
     for attempt in machine.attempts.values() if machine.bound_count else ():
         kept = attempt.spec
@@ -24,14 +24,14 @@
 
 
 def tasks_that_fit(cpus: float, memory_gb: float, spec: JobSpec) -> int:
-    """How many tasks so much room holds."""
+    """How many tasks fit into so much free capacity (CPUs, GB)."""
     by_cpus = cpus / max(spec.cpus, _SMALLEST_AMOUNT)
     by_memory = memory_gb / max(spec.memory_gb, _SMALLEST_AMOUNT)
     return max(0, int(min(by_cpus, by_memory) + _TOLERANCE))
 
 
 class FreeCapacity:
-    """The room on all machines that may be given work, for the kind of task that was last asked for."""
+    """Free capacity of all schedulable machines, for the kind of task that was last queried."""
 
     def __init__(self, index: MachineIndex) -> None:
         self._index = index
@@ -48,10 +48,10 @@
             self._by_zone.clear()
             changed = list(self._index.ready)
         for machine in changed:
-            self._count_anew(machine, spec)
+            self._recount(machine, spec)
         return dict(self._by_zone)
 
-    def _count_anew(self, machine: Machine, spec: JobSpec) -> None:
+    def _recount(self, machine: Machine, spec: JobSpec) -> None:
         zone, tasks = self._counted.pop(machine.name, (machine.zone, 0))
         if tasks:
             self._by_zone[zone] -= tasks
--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -1,4 +1,4 @@
-"""Which machine's services to move together elsewhere, so that it can go back: pure decisions."""
+"""Which machines to drain, since their services fit on others, so that they can be returned: pure decisions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class _FreeAmounts:
-    """What would be left on a machine."""
+    """Amounts that would be free on a machine."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
@@ -34,7 +34,7 @@
 
 
 class _ServiceHeadroom:
-    """How many tasks of a service could start in each zone; room for one more service is to stay ready in all."""
+    """How many tasks of a service could start in each zone; headroom for one more service is to stay free in all."""
 
     def __init__(self, spare: JobSpec, zones: list[str]) -> None:
         self._spec = spare
@@ -42,7 +42,7 @@
         self._counted: dict[str, int] = {}  # by machine
 
     def count(self, room: _FreeAmounts) -> None:
-        """Count the machine, anew if it was counted."""
+        """Count the machine, again if it was counted."""
         self.uncount(room)
         machine, spec = room.machine, self._spec
         if machine.zone not in self._by_zone or not machine.allows(spec):
@@ -51,24 +51,24 @@
         self._by_zone[machine.zone] += self._counted[machine.name]
 
     def uncount(self, room: _FreeAmounts) -> None:
-        """The machine goes, or is counted anew."""
+        """The machine is returned, or counted again."""
         tasks = self._counted.pop(room.machine.name, 0)
         if tasks:
             self._by_zone[room.machine.zone] -= tasks
 
     def enough(self) -> bool:
-        """Whether room for one more service is ready in every zone."""
+        """Whether headroom for one more service is free in every zone."""
         return all(tasks >= self._spec.zone_limit for tasks in self._by_zone.values())
 
 
 class _MovePlan:
-    """What is moved where, machine by machine."""
+    """Which tasks move where, machine by machine."""
 
     def __init__(self, usable: list[Machine], jobs: dict[str, Job], spare: _ServiceHeadroom | None) -> None:
         self.jobs = jobs
         self._spare = spare
         self._rooms = {machine.name: _FreeAmounts(machine) for machine in usable}
-        # A service moves to machines that hold its image alone, the fullest first; the others are not looked at.
+        # A service moves to machines that hold its image alone, the fullest first; the others are not considered.
         self._by_image: dict[str, list[_FreeAmounts]] = {}
         for room in sorted(self._rooms.values(), key=lambda r: r.cpus):
             for image in room.machine.images:
@@ -76,11 +76,11 @@
             if spare is not None:
                 spare.count(room)
         self.zones: dict[str, dict[str, int]] = {}  # job -> zone -> tasks
-        self.gone: set[str] = set()  # machines that are emptied
-        self.targets: set[str] = set()  # machines that are moved to: these stay
+        self.gone: set[str] = set()  # machines that are drained
+        self.targets: set[str] = set()  # machines that tasks move to: these stay
 
     def move(self, machine: Machine) -> bool:
-        """Find a place for everything on a machine, or change nothing."""
+        """Find a machine for each task of this one, or change nothing."""
         made: list[tuple[_FreeAmounts, JobSpec]] = []
         tasks = [a for a in machine.attempts.values() if a.spec is not None]
         for attempt in sorted(tasks, key=lambda a: -(a.spec.cpus if a.spec is not None else 0.0)):
@@ -135,8 +135,8 @@
     zones: list[str],
     most: int = 1,
 ) -> list[Machine]:
-    """Machines whose services fit on others that hold their images, dearest for what they carry first.
-    Room for one more service stays ready in every zone, or a machine would be rented again at once."""
+    """Machines whose services fit on others that hold their images, those that cost most for what they run
+    first. Headroom for one more service stays free in every zone, or a machine would be rented again at once."""
     usable = [h for h in machines if h.usable]
     found: list[tuple[float, Machine]] = []
     for machine in usable:
--- a/sorrelsill/placement/borrowing_teams.py
+++ b/sorrelsill/placement/borrowing_teams.py
@@ -23,7 +23,7 @@
         self._jobs.clear()
 
     def update(self, cluster: ClusterState, changed: Iterable[str]) -> None:
-        """Take in jobs that came, changed or are over."""
+        """Take in jobs that were submitted, changed or have ended."""
         for job_id in changed:
             job = cluster.jobs.get(job_id)
             if job is not None and job.bound and self._teams.is_borrower(job.spec.team):
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -19,8 +19,8 @@
 
 
 class _MachineSampler:
-    """Machines drawn at random until one fits. What did not fit is not drawn again; after some draws in vain the rest
-    is listed and sifted, so that a machine that fits is always found."""
+    """Random samples of machines until one is feasible. What was not feasible is not sampled again; after some failed
+    samples the rest is listed and filtered, so that a feasible machine is always found."""
 
     __slots__ = ("_failed_draws", "_image", "_machines", "_rejected", "_unsampled")
 
@@ -32,7 +32,7 @@
         self._failed_draws = 0
 
     def fitting(self, rng: random.Random, sample: int, fits: Callable[[Machine], bool]) -> list[Machine]:
-        """Those that fit of a sample in which one does at least; none if no machine does."""
+        """The feasible machines of a sample that has one at least; none if no machine is feasible."""
         while self._unsampled is None:
             found = self._draw(rng, sample, fits)
             if found:
@@ -61,7 +61,7 @@
     def _filter_remaining(
         self, rest: list[Machine], rng: random.Random, sample: int, fits: Callable[[Machine], bool]
     ) -> list[Machine]:
-        """Those of a sample that fit; the others of the sample leave the rest."""
+        """The feasible machines of a sample of the rest; the others of the sample leave the rest."""
         found = []
         for at in sorted(rng.sample(range(len(rest)), min(sample, len(rest))), reverse=True):
             machine = rest[at]
@@ -77,15 +77,15 @@
 
 
 class CandidatePool:
-    """Machines that may take a job's tasks, those with its image before the others; the fleet is neither walked nor
-    copied as long as a sample finds room."""
+    """Machines that may take a job's tasks, those with its image first; the fleet is neither walked nor copied while
+    a sample has a feasible machine."""
 
     __slots__ = ("current", "draws", "replicas")
 
     def __init__(self, cluster: ClusterState, spec: JobSpec) -> None:
         roomy = cluster.index.with_room(spec)
         holders = cluster.index.holders(spec.image)
-        # The smaller set is drawn from: of an image that all machines hold, most holders may be full.
+        # The smaller set is sampled: of an image that all machines hold, most holders may be full.
         warm = _MachineSampler(holders) if len(holders) <= len(roomy) else _MachineSampler(roomy, spec.image)
         self.draws = (warm, _MachineSampler(roomy))
         self.replicas: dict[str, int] | None = None  # machine -> replicas there, of a job that is to be spread out
@@ -109,13 +109,11 @@
         self._gang_headroom = gang_headroom
         self._rng = rng
         self._sample = sample
-        self._optimise_latency = (
-            optimise_latency  # time counts, not money: work that may use spot machines runs there last
-        )
+        self._optimise_latency = optimise_latency  # latency, not cost: work that may use spot machines runs there last
 
     def choose(self, job: Job, pool: CandidatePool, now: float) -> Machine | None:
-        """Best fit among a sample, first of the machines with the image; what no longer fits is sifted out. Further
-        tasks go where the last one went as long as they fit, since one fetch serves them all."""
+        """Best fit among a sample, first of the machines with the image; what is no longer feasible is filtered out.
+        Further tasks go where the last one went as long as they fit, since one fetch serves them all."""
         if pool.replicas is None and self._spreads(job):
             pool.replicas = {}
             for attempt in job.bound.values():
@@ -140,12 +138,12 @@
             return False
         if not spec.may_add_in(machine.zone, job.zones):
             return False
-        # Without the reservation small tasks take what is freed piece by piece, and more is stopped for nothing.
+        # Without the reservation small tasks take what is freed piece by piece, and victims are evicted for nothing.
         return self._reservations.admits(job, machine, now) and self._gang_headroom.permits(job, machine, now)
 
     def _spreads(self, job: Job) -> bool:
         """Replicas that should start within seconds go to many machines: each then holds the image for the next ones,
-        and one that fails takes few along. They fetch side by side, so it takes no longer than on one machine."""
+        and one that fails takes few along. They fetch concurrently, so it takes no longer than on one machine."""
         return job.spec.is_service and self._objectives.should_start_at_once(job.spec.job_class)
 
     def _score(self, job: Job, machine: Machine, replicas: dict[str, int] | None) -> float:
@@ -158,8 +156,8 @@
             score += constants.FETCH_WEIGHT * (_FETCH_SHARED if joins else 1.0)
         if replicas is not None:
             score += constants.SPREAD_WEIGHT * replicas.get(machine.name, 0)
-        # Money asks for spot machines first, which leaves the ordinary ones to work that needs them. Where only time
-        # counts, a task lost with its machine makes its whole job late, so what is paid for anyway is used first.
+        # For cost spot machines go first, which leaves the on-demand ones to work that needs them. For latency a task
+        # lost with its spot machine makes its whole job late, so on-demand machines, paid for anyway, go first.
         if spec.spot_allowed and machine.spot == self._optimise_latency:
             score += constants.SPOT_MISMATCH_WEIGHT
         return score + constants.ZONE_BALANCE_WEIGHT * job.zones.get(machine.zone, 0) / spec.task_count
--- a/sorrelsill/placement/gang_headroom.py
+++ b/sorrelsill/placement/gang_headroom.py
@@ -1,5 +1,5 @@
-"""Room that is kept for groups that should start within seconds, where money counts: other work that has no higher
-rank leaves it free. Where time counts there is headroom for all."""
+"""Headroom for latency-sensitive gangs, where cost is optimised for: other work that has no higher priority leaves it
+free. Where latency is optimised for there is headroom for all."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class GangHeadroom:
-    """CPUs kept free on ordinary machines of one zone."""
+    """CPUs kept free on on-demand machines of one zone."""
 
     def __init__(self, objectives: ServiceLevelObjectives, optimise_latency: bool) -> None:
         self._objectives = objectives
-        self._optimise_latency = optimise_latency  # time counts, not money
+        self._optimise_latency = optimise_latency
         self._kept_cpus = 0.0
         self._zone = ""
-        self._free: dict[str, float] = {}  # CPUs free on ordinary machines, by zone
+        self._free: dict[str, float] = {}  # CPUs free on on-demand machines, by zone
 
     def update(self, cluster: ClusterState) -> None:
-        """Work out anew how much is kept, and in which zone."""
+        """Compute again how much is kept, and in which zone."""
         self._kept_cpus = 0.0 if self._optimise_latency else cluster.gang_headroom_cpus(self._objectives.start_within_s)
         self._free = cluster.index.free.ordinary_cpus() if self._kept_cpus else {}
         self._zone = max(sorted(self._free), key=lambda zone: self._free[zone], default="")
@@ -36,7 +36,7 @@
             self._free[machine.zone] -= spec.cpus
 
     def permits(self, job: Job, machine: Machine, now: float) -> bool:
-        """Whether a task may go there without taking that room. What has waited too long may take it, or an array
+        """Whether a task may start there without taking headroom. A starved job may take it, or an array
         could wait for ever where the cloud has no more machines to give."""
         spec = job.spec
         return (
--- a/sorrelsill/placement/gang_placement.py
+++ b/sorrelsill/placement/gang_placement.py
@@ -1,8 +1,8 @@
-"""Where a group goes as a whole: pure decisions over machines that may take tasks of it.
+"""Gang placement, which machines take a gang as a whole: pure decisions over machines that may take tasks of it.
 
-A task of a group that waits for the others occupies its place for nothing, so the whole is judged at once: by zone,
-with the image at hand, on few machines of one type, since the slowest sets the pace. Unlike single tasks it is not
-judged on a sample: a sample of the machines that have room shows whether one task fits, not whether the rest does."""
+A task of a gang that waits for the others occupies its machine for nothing, so the whole gang is placed at once: by
+zone, with the image at hand, on few machines of one type, since the slowest sets the pace. Unlike single tasks it is
+placed on no sample: a sample of the machines that have room shows whether one task fits, not whether the rest does."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from sorrelsill.model import JobSpec
 from sorrelsill.workers import Attempt, Machine
 
-# What would have to be stopped on a machine to let so many more tasks in than fit, and its cost.
+# Victims on a machine that let so many more tasks in than fit, and their cost.
 VictimSelector = Callable[[Machine, int], tuple[float, list[Attempt]] | None]
 
 
 @dataclass(slots=True)
 class MachineShare:
-    """A machine and how many tasks of the group it can take."""
+    """A machine and how many tasks of the gang it can take."""
 
     machine: Machine
     count: int
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class GangPlacement:
-    """Machines for a group in one zone, or anywhere if it may be spread; `short` is what finds no room."""
+    """Machines for a gang in one zone, or in any if it may be spread; `missing_tasks` find no room."""
 
     zone: str | None
     shares: list[MachineShare]
@@ -51,7 +51,7 @@
 
 
 def find_placements(spec: JobSpec, machines: Iterable[Machine], zones: Iterable[str]) -> list[GangPlacement]:
-    """For each zone (one entry for all if the group may be spread) the machines it would go to, best first."""
+    """For each zone (one entry for all if the gang may be spread) the machines it would go to, best first."""
     pools: dict[str | None, list[MachineShare]] = {z: [] for z in zones} if spec.one_zone else {None: []}
     for machine in machines:
         count = task_capacity(machine, spec)
@@ -59,7 +59,7 @@
             pools.setdefault(machine.zone if spec.one_zone else None, []).append(MachineShare(machine, count))
     out = []
     for zone, shares in pools.items():
-        # Fetches side by side share a machine's rate; a type that most of the room is on makes for an even pace.
+        # Concurrent fetches share a machine's rate; a type that most of the room is on makes for an even pace.
         kinds: dict[str, int] = {}
         for s in shares:
             kinds[s.machine.machine_type] = kinds.get(s.machine.machine_type, 0) + s.count
@@ -93,7 +93,7 @@
 def find_preemption(
     spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine], select_victims: VictimSelector
 ) -> tuple[GangPlacement, list[Attempt]] | None:
-    """The zone in which stopping the least lets the whole group in, and what to stop there; None if nothing does."""
+    """The zone in which the cheapest victims let the whole gang in, and these victims; None if none do."""
     candidates: dict[str | None, list[tuple[float, str, Machine]]] = {}
     for machine in machines:
         found = select_victims(machine, 1)
@@ -131,8 +131,8 @@
 
 
 def machines_to_hold(spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine]) -> list[Machine]:
-    """Machines to keep filling up for a group that finds no room: in the zone that lacks least, those with most room
-    that is not a service's, until all would fit. None are kept if even all of them would not do."""
+    """Machines to hold for a gang that finds no room: in the zone that lacks least, those with most capacity that is
+    not a service's, until all would fit. None are held if even all of them would not do."""
     by_zone: dict[str | None, list[tuple[int, float, Machine]]] = {}
     for machine in machines:
         tasks = [a for a in machine.attempts.values() if a.spec is not None]
--- a/sorrelsill/placement/gang_scheduler.py
+++ b/sorrelsill/placement/gang_scheduler.py
@@ -51,7 +51,7 @@
             self._unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
             job.note(f"waiting: the limit of {spec.team} is reached")
             return
-        kind = ("group", equivalence_class(spec), spec.task_count)
+        kind = ("gang", equivalence_class(spec), spec.task_count)
         reservations = self._reservations
         has_room_kept = reservations.has_reservation(spec.job_id) or reservations.holds_machines_for(spec.job_id)
         if kind in cycle.full_classes and not has_room_kept:
--- a/sorrelsill/placement/guaranteed_shares.py
+++ b/sorrelsill/placement/guaranteed_shares.py
@@ -1,7 +1,7 @@
-"""Which jobs lie within their team's guarantee: those that fit into it together with the team's earlier ones. Pure.
+"""Which jobs are covered by their team's guaranteed share: those that fit into it with the team's earlier ones. Pure.
 
-In the order of submission these are the first jobs of each team, up to where the sum passes the guarantee. So a job
-that comes or ends moves that border, and nothing else has to be added up anew."""
+In the order of submission these are the first jobs of each team, up to where the sum exceeds the share. So a job
+that is submitted or ends moves that boundary, and nothing else has to be summed again."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class _TeamShare:
-    """The jobs of one team; the first `inside` of them lie within its guarantee."""
+    """The jobs of one team; the first `_covered_count` of them are covered by its guaranteed share."""
 
     def __init__(self, team: Team) -> None:
         self._cpus = round(team.cpus * _MICRO) + 1
@@ -40,7 +40,7 @@
         self._used_gpus = 0
 
     def add(self, entry: _ShareEntry) -> bool:
-        """Whether it lies inside, as long as the border stays where it is."""
+        """Whether it is covered, as long as the boundary stays where it is."""
         at = self._entries.bisect_left(entry)
         self._entries.add(entry)
         if at >= self._covered_count:
@@ -66,7 +66,7 @@
         return cpus <= self._cpus and gpus <= self._gpus
 
     def update_coverage(self, guaranteed_jobs: set[str], changed_jobs: set[str]) -> None:
-        """Bring the border to where the guarantee ends; jobs that it passes are noted."""
+        """Move the boundary to where the guaranteed share ends; jobs that it passes are added to `changed_jobs`."""
         while self._covered_count and not self._fits():
             self._covered_count -= 1
             last = self._entries[self._covered_count]
@@ -82,7 +82,7 @@
 
 
 class GuaranteedShares:
-    """Follows the live jobs; `inside` holds those within their team's guarantee."""
+    """Follows the live jobs; `guaranteed_jobs` holds those covered by their team's guaranteed share."""
 
     def __init__(self, teams: TeamQuotas) -> None:
         self._teams = teams
@@ -97,8 +97,8 @@
         self.guaranteed_jobs.clear()
 
     def update(self, cluster: ClusterState, changed: Iterable[str]) -> set[str]:
-        """Take in jobs that have come or are over. Returns the live jobs that are inside now and were not, or the
-        other way round."""
+        """Take in jobs that were submitted or have ended. Returns the live jobs that are covered now and were not, or
+        the other way round."""
         changed_jobs: set[str] = set()
         touched: dict[int, _TeamShare] = {}
         for job_id in changed:
--- a/sorrelsill/placement/job_queue.py
+++ b/sorrelsill/placement/job_queue.py
@@ -1,7 +1,7 @@
 """The waiting jobs in the order in which they are served, kept up to date by what changes. Pure: time is given.
 
-A job moves when it changes, when the border of its team's guarantee passes it, or when a moment comes at which its
-place depends on the time: a mark is missed, or nothing of it ran for too long."""
+A job moves when it changes, when the boundary of its team's guaranteed share passes it, or at a time at which its
+precedence changes by itself: an objective is missed, or the job is starved."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from sorrelsill.timers import Timers
 from sorrelsill.workers import ClusterState, Job
 
-_QueueKey = tuple[Precedence, int, str]  # where a job stands, then the order of arrival, then its name
+_QueueKey = tuple[Precedence, int, str]  # precedence, then order of submission, then job id
 
 
 class JobQueue:
@@ -26,7 +26,7 @@
         self._guaranteed = guaranteed
         self._sorted: SortedList[_QueueKey] = SortedList()
         self._keys: dict[str, _QueueKey] = {}  # by job
-        self._timers: Timers[str] = Timers()  # when the place of a job will change by itself
+        self._timers: Timers[str] = Timers()  # when the precedence of a job will change by itself
 
     def reset(self) -> None:
         """A new term begins."""
@@ -35,7 +35,7 @@
         self._timers.clear()
 
     def update(self, cluster: ClusterState, changed: Iterable[str], now: float) -> None:
-        """Take in jobs that came, changed or are over, and what the time has changed."""
+        """Take in jobs that were submitted, changed or have ended, and those whose precedence changes by now."""
         for job_id in changed:
             self._place(cluster.jobs.get(job_id), job_id, now)
         due = []
--- a/sorrelsill/placement/objectives.py
+++ b/sorrelsill/placement/objectives.py
@@ -1,4 +1,4 @@
-"""What the settings' aims ask of each class of jobs: when its tasks should start and its jobs be done. Pure."""
+"""Service-level objectives of each class of jobs: when its tasks should start and its jobs be done. Pure."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class NextObjective(NamedTuple):
-    """The next moment that matters to a job's user and can still be met, after how many missed ones."""
+    """The next completion target of a job that can still be met, after how many missed ones."""
 
     missed: int
     at: float
 
 
 class ServiceLevelObjectives:
-    """The aims by class of jobs."""
+    """The objectives by class of jobs."""
 
     def __init__(self, objectives: list[Objective]) -> None:
-        self._finish_within_s: dict[str, list[float]] = {}  # class -> seconds after submission that its aims name
-        self._deadline_factors: dict[str, list[float]] = {}  # class -> multiples of the deadline that its aims name
+        self._finish_within_s: dict[str, list[float]] = {}  # class -> seconds after submission of its objectives
+        self._deadline_factors: dict[str, list[float]] = {}  # class -> multiples of the deadline
         self.start_within_s: dict[str, float] = {}  # class -> seconds within which its tasks should start
         for objective in objectives:
             if not objective.job_class:
@@ -41,7 +41,7 @@
         return sorted(targets)
 
     def next_objective(self, job: Job, now: float) -> NextObjective:
-        """A job that is late for good waits behind those that are not."""
+        """A job that can meet none any more waits behind those that can."""
         missed = 0
         for target_s in self.completion_targets_s(job):
             if job.submitted + target_s >= now + job.spec.expected_run_s:
@@ -50,5 +50,5 @@
         return NextObjective(missed, job.submitted)
 
     def should_start_at_once(self, job_class: str) -> bool:
-        """Whether an aim names seconds within which tasks of the class should start."""
+        """Whether the class is latency-sensitive: an objective names seconds within which its tasks should start."""
         return job_class in self.start_within_s
--- a/sorrelsill/placement/order.py
+++ b/sorrelsill/placement/order.py
@@ -1,5 +1,5 @@
-"""Which job is served first: production, then what nothing of which ran for too long, then what lies within its team's
-guarantee, then by rank; inside these by marks missed, then the least remaining work. Pure: time is given."""
+"""Which job is served first: production, then starved jobs, then those covered by their team's guaranteed share, then
+by priority; among equals by objectives missed, then the least remaining work. Pure: time is given."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     """Where a waiting job stands in the order."""
     spec = job.spec
     objective = objectives.next_objective(job, now)
-    # The least work first: by their marks alone, in a burst all jobs share what room there is and all miss.
+    # The least work first: by their targets alone, in a burst all jobs share what capacity there is and all miss.
     work = 0.0 if spec.is_service else (spec.task_count - job.done.count) * spec.cpus * spec.expected_run_s
     return Precedence(
         spec.priority > 0, not is_starved(job, now), not guaranteed, spec.priority, objective.missed, work, objective.at
@@ -34,5 +34,5 @@
 
 
 def is_starved(job: Job, now: float) -> bool:
-    """Nothing of it has run for so long that the order of jobs must not keep it waiting any more."""
+    """Whether the job is starved: none of its tasks ran for so long that it must not be kept waiting any more."""
     return not job.bound and now - job.served_at > constants.STARVATION_S
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Making room for a job by stopping lesser work: who may stop whom, and what costs least."""
+"""Preemption: which attempts of lower priority are evicted for a job, and which victims cost least."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from typing import TYPE_CHECKING
 
 from sorrelsill import constants
+from sorrelsill.events import log_event
 from sorrelsill.fleet import can_wait_for_scale_out
 from sorrelsill.model import Priority
 from sorrelsill.placement import gang_placement
@@ -34,7 +35,7 @@
 
 
 class Preemption:
-    """Stops lesser work, and reserves the machine for the claimant until it is gone."""
+    """Evicts victims, and reserves their machine for the preempting job until they have ended."""
 
     def __init__(
         self,
@@ -52,10 +53,10 @@
         self._borrowing_teams = borrowing_teams
         self._rng = rng
 
-    # --- who may stop whom ---
+    # --- eligible victims ---
 
     def _is_eligible_victim(self, job: Job, attempt: Attempt) -> bool:
-        """By higher rank, or to give a team its guarantee out of what another runs beyond its own."""
+        """By higher priority, or to give a team its guaranteed share out of what another runs beyond its own."""
         victim = attempt.spec
         if victim is None or attempt.exited:
             return False
@@ -70,18 +71,18 @@
         )
 
     def _may_preempt(self, job: Job) -> bool:
-        """Whether the job may take room from any lower work: others wait, so that low work gets done as well."""
+        """Whether the job may preempt any work of lower priority: others wait, so that such work gets done as well."""
         return job.spec.priority is Priority.PRODUCTION or job.spec.is_gang or job.spec.job_id in self._guaranteed
 
     def _objective_at_risk(self, cluster: ClusterState, job: Job, now: float) -> bool:
-        """Whether the next moment that matters to the job's user would pass before a rented machine could help. Until
-        then guests keep their room: guards against stopping work for a job that can be in time without."""
+        """Whether the job would miss its next objective before a rented machine could help. Until then borrowing teams
+        keep their machines: guards against preempting for a job that can be in time without."""
         objective = self._objectives.next_objective(job, now)
         return objective.at > now and not can_wait_for_scale_out(job.spec, cluster.catalog, objective.at - now)
 
     def _runs_on_borrowed_capacity(self, victim: JobSpec, claimant: JobSpec) -> bool:
-        """Guests, whose team has no guarantee, run on what nobody else needs: guards against their arrays filling all
-        machines while work of others with a deadline waits."""
+        """Teams without a guarantee borrow what nobody else needs: guards against their arrays filling all machines
+        while work of others with a deadline waits."""
         return victim.team != claimant.team and self._teams.is_borrower(victim.team)
 
     # --- single tasks ---
@@ -93,7 +94,8 @@
         machines: Sequence[Machine],
         reservation_s: float = constants.PREEMPTION_WAIT_S,
     ) -> int:
-        """Stop the least work that lets waiting tasks in; their room is awaited before more is stopped."""
+        """Evict the cheapest victims that let waiting tasks in; their room is awaited before more are evicted. Returns
+        for how many tasks; `reservation_s` is how long the room is awaited beyond the grace period."""
         cluster, now, spec = cycle.cluster, cycle.now, job.spec
         if not self._may_preempt(job) and not (
             self._borrowing_teams.any_other_than(spec.team) and self._objective_at_risk(cluster, job, now)
@@ -102,27 +104,27 @@
         wanted = min(
             job.waiting - self._reservations.tasks_awaiting_room(spec.job_id, now), constants.PREEMPT_PER_CYCLE
         )
-        kind = self._search_class(job)
-        if wanted <= 0 or self._reservations.search_failed_recently(kind, now):
+        search_class = self._search_class(job)
+        if wanted <= 0 or self._reservations.search_failed_recently(search_class, now):
             return 0
         looked_at = self._sample_machines(job, machines, now)
         candidates = [found for m in looked_at if (found := self._select_victims(cluster, job, m, now)) is not None]
         if not candidates and len(machines) > len(looked_at):
-            self._reservations.record_failed_search(kind, now)
-        # Found on a measured day: a service that came in a busy minute stopped group after group, each whole.
+            self._reservations.record_failed_search(search_class, now)
+        # Found on a measured day: a service submitted in a busy minute preempted gang after gang, each as a whole.
         candidates.sort(
             key=lambda candidate: (any(a.job_id in cluster.gangs for a in candidate.attempts), candidate.cost)
         )
         return self._evict_cheapest(cluster, job, candidates, wanted, reservation_s, now)
 
     def _search_class(self, job: Job) -> Hashable:
-        """Jobs of one kind find room in the same places."""
+        """Jobs of one class find victims on the same machines."""
         spec = job.spec
         guaranteed = spec.job_id in self._guaranteed
         return spec.priority, spec.team, guaranteed, spec.cpus, spec.memory_gb, spec.gpus, spec.spot_allowed
 
     def _sample_machines(self, job: Job, machines: Sequence[Machine], now: float) -> list[Machine]:
-        """Few of the machines where room may be made, by the dice; all are asked only if hardly any will do."""
+        """A random sample of the machines that may have victims; all are considered only if hardly any has."""
         found: list[Machine] = []
         for few in (4 * constants.PREEMPT_SAMPLE, len(machines)):
             for machine in self._rng.sample(machines, min(few, len(machines))):
@@ -149,10 +151,10 @@
         reservation_s: float,
         now: float,
     ) -> int:
-        """Stop what is offered, cheapest first, until enough tasks have room; returns for how many."""
+        """Evict candidates, cheapest first, until enough tasks have room; returns for how many."""
         spec = job.spec
         made = 0
-        zones = dict(job.zones)  # with what the room made in this round will add
+        zones = dict(job.zones)  # with what the room made in this cycle will add
         for candidate in candidates:
             if made >= wanted:
                 break
@@ -168,11 +170,18 @@
 
     @staticmethod
     def _evict(cluster: ClusterState, spec: JobSpec, attempts: list[Attempt], reservation_s: float) -> float:
-        """Stop these for the job; returns how long their room is to be awaited."""
-        names = [f"{a.task_id} on {a.machine.name} {a.machine.zone}" for a in attempts]
-        log.debug("room for %s: %s", spec.job_id, names)
+        """Evict these for the job; returns for how many seconds their room is to be awaited."""
         wait_s = reservation_s
         for attempt in attempts:
+            log_event(
+                log,
+                logging.DEBUG,
+                "preempted",
+                job=spec.job_id,
+                task=attempt.task_id,
+                machine=attempt.machine.name,
+                zone=attempt.machine.zone,
+            )
             cluster.stop(attempt, _reason(spec), immediately=spec.priority is Priority.PRODUCTION)
             wait_s = max(wait_s, reservation_s + attempt.grace_period_s)
         return wait_s
@@ -180,7 +189,7 @@
     def _select_victims(
         self, cluster: ClusterState, job: Job, machine: Machine, now: float, count: int = 1
     ) -> VictimSet | None:
-        """The least to stop so that `count` tasks of the job fit; None if nothing is or need be stopped there."""
+        """The cheapest victims whose end lets `count` tasks of the job fit; None if none are found or needed."""
         spec = job.spec
         mine = _reason(spec)
         if any(a.stop_requested and a.spec is not None and a.stop_reason == mine for a in machine.attempts.values()):
@@ -213,18 +222,19 @@
             return None
         return VictimSet(cost, chosen)
 
-    # --- groups ---
+    # --- gangs ---
 
     def make_room_for_gang(
         self, cycle: SchedulingCycle, job: Job, placements: list[gang_placement.GangPlacement]
     ) -> bool:
-        """Stop lesser work if that lets the whole group in; the machines are reserved until it is gone."""
+        """Evict victims if that lets the whole gang in; their machines are reserved until they have ended. Returns
+        whether any were evicted."""
         cluster, now, machines, spec = cycle.cluster, cycle.now, cycle.machines, job.spec
         if not any(machine.bound_count for machine in machines):
             return False
         guaranteed = spec.job_id in self._guaranteed
-        kind = ("group", spec.priority, spec.team, guaranteed, spec.cpus, spec.task_count, spec.spot_allowed)
-        if self._reservations.search_failed_recently(kind, now):
+        search_class = ("gang", spec.priority, spec.team, guaranteed, spec.cpus, spec.task_count, spec.spot_allowed)
+        if self._reservations.search_failed_recently(search_class, now):
             return False
         sample = self._rng.sample(machines, min(len(machines), constants.PREEMPT_SAMPLE * constants.GANG_SAMPLES))
         may = [
@@ -239,7 +249,7 @@
 
         found = gang_placement.find_preemption(spec, placements, may, select_victims)
         if found is None:
-            self._reservations.record_failed_search(kind, now)
+            self._reservations.record_failed_search(search_class, now)
             return False
         placement, victims = found
         until = now + self._evict(cluster, spec, victims, constants.PREEMPTION_WAIT_S)
@@ -254,13 +264,13 @@
 
 
 def _preemption_cost_s(cluster: ClusterState, attempt: Attempt, now: float) -> float:
-    """Seconds of work thrown away; of a group, by all of its tasks."""
+    """Seconds of work lost; for a gang, by all of its tasks."""
     gang = cluster.gangs.get(attempt.job_id)
     return gang_loss(gang, now) if gang is not None else _lost_work(attempt, now)
 
 
 def _lost_work(attempt: Attempt, now: float) -> float:
-    """Seconds of work that stopping the attempt throws away."""
+    """Seconds of work that evicting the attempt loses."""
     if attempt.running_since is None or attempt.spec is None:
         return 0.0
     if attempt.spec.checkpoint_interval_s > 0:
--- a/sorrelsill/placement/reservations.py
+++ b/sorrelsill/placement/reservations.py
@@ -1,5 +1,5 @@
-"""Room that is kept for a job until it can use it: machines where lesser work was stopped for it, machines that fill
-up for it, and how many of its tasks such room is on its way for. Pure: time is given."""
+"""Capacity that is kept for a job until it can use it: machines where victims were preempted for it, machines held for
+a gang, which drain until it fits, and how many of its tasks await preempted room. Pure: time is given."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reservation:
-    """A machine where room was made for a job: nobody else may take it."""
+    """A machine where room was made for a job: no other job may take it."""
 
     job_id: str
     until: float
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _GangHold:
-    """A machine that is kept filling up for a group: work of no higher rank than the group's stays away."""
+    """A machine held for a gang, which drains until it fits: only work of higher priority than the gang's may start."""
 
     job_id: str
     priority: int
@@ -31,13 +31,15 @@
 
 
 class Reservations:
-    """Reserved machines, machines filling up, and claims: tasks for which room was made but is not free yet."""
+    """Reserved machines, gang holds, and tasks for which room was preempted but is not free yet."""
 
     def __init__(self) -> None:
-        self._expected_room: dict[str, list[float]] = {}  # job -> until when room made for one of its tasks is awaited
+        self._expected_room: dict[
+            str, list[float]
+        ] = {}  # job -> until when room preempted for one of its tasks is awaited
         self._reserved: dict[str, _Reservation] = {}  # by machine
         self._gang_holds: dict[str, _GangHold] = {}  # by machine
-        self._failed_searches: dict[Hashable, float] = {}  # kind of work -> until when no room is looked for
+        self._failed_searches: dict[Hashable, float] = {}  # class of jobs -> until when no victims are searched for
 
     def reset(self) -> None:
         """A new term begins."""
@@ -47,7 +49,7 @@
         self._failed_searches.clear()
 
     def expire(self, cluster: ClusterState, now: float) -> None:
-        """Forget what has run out, and what is kept for jobs that wait no more."""
+        """Drop what has expired, and what is kept for jobs that no longer wait."""
 
         def waits(job_id: str) -> bool:
             job = cluster.jobs.get(job_id)
@@ -59,18 +61,18 @@
         self._reserved = {m: r for m, r in self._reserved.items() if r.until > now and waits(r.job_id)}
         self._gang_holds = {m: f for m, f in self._gang_holds.items() if f.until > now and waits(f.job_id)}
 
-    # --- claims ---
+    # --- room awaited ---
 
     def expect_room(self, job_id: str, until: float, tasks: int = 1) -> None:
         """Room for so many tasks of the job will be free by then."""
         self._expected_room.setdefault(job_id, []).extend([until] * tasks)
 
     def tasks_awaiting_room(self, job_id: str, now: float) -> int:
-        """For how many tasks of the job room is on its way."""
+        """For how many tasks of the job preempted room is awaited."""
         return sum(1 for until in self._expected_room.get(job_id, ()) if until > now)
 
     def task_placed(self, job_id: str, machine: Machine) -> None:
-        """A task of the job was bound: it used a claim, and the reservation there if it was the job's own."""
+        """A task of the job was bound: it used awaited room, and the reservation there if it was the job's own."""
         reservation = self._reserved.get(machine.name)
         if reservation is not None and reservation.job_id == job_id:
             del self._reserved[machine.name]
@@ -80,11 +82,11 @@
     # --- machines ---
 
     def reserve(self, machine: Machine, job_id: str, until: float) -> None:
-        """Nobody but the job may take room there."""
+        """Only the job may start tasks there."""
         self._reserved[machine.name] = _Reservation(job_id, until)
 
     def reserved(self, machine: Machine) -> bool:
-        """Whether the machine is reserved for anybody."""
+        """Whether the machine is reserved for any job."""
         return machine.name in self._reserved
 
     def has_reservation(self, job_id: str) -> bool:
@@ -96,29 +98,29 @@
         return {reservation.job_id for reservation in self._reserved.values() if reservation.until > now}
 
     def hold_for_gang(self, machine: Machine, job: Job, until: float) -> None:
-        """Work of no higher rank stays away from the machine until the group can use it."""
+        """Only work of higher priority may start on the machine until the gang can use it."""
         self._gang_holds[machine.name] = _GangHold(job.spec.job_id, job.spec.priority, until)
 
     def is_held_for_gang(self, machine: Machine) -> bool:
-        """Whether the machine fills up for any group."""
+        """Whether the machine is held for any gang."""
         return machine.name in self._gang_holds
 
     def holds_machines_for(self, job_id: str) -> bool:
-        """Whether any machine fills up for the group."""
+        """Whether any machine is held for the gang."""
         return any(gang_hold.job_id == job_id for gang_hold in self._gang_holds.values())
 
     def gang_hold_count(self) -> int:
-        """How many machines fill up for groups."""
+        """How many machines are held for gangs."""
         return len(self._gang_holds)
 
     def release(self, job_id: str) -> None:
-        """The job has its places: what was kept for it is free for others."""
+        """The job is placed: what was kept for it is free for others."""
         self._expected_room.pop(job_id, None)
         self._reserved = {m: r for m, r in self._reserved.items() if r.job_id != job_id}
         self._gang_holds = {m: f for m, f in self._gang_holds.items() if f.job_id != job_id}
 
     def admits(self, job: Job, machine: Machine, now: float) -> bool:
-        """Whether nothing keeps the job off a machine that it may use: room kept for others, or its own bad luck."""
+        """Whether a machine that the job may use is neither kept for others nor avoided after failures of the job."""
         reservation = self._reserved.get(machine.name)
         if reservation is not None and reservation.job_id != job.spec.job_id and reservation.until > now:
             return False
@@ -127,12 +129,12 @@
             return job.spec.priority < gang_hold.priority and job.avoid.get(machine.name, 0.0) <= now
         return job.avoid.get(machine.name, 0.0) <= now
 
-    # --- searches in vain ---
+    # --- failed searches for victims ---
 
-    def search_failed_recently(self, kind: Hashable, now: float) -> bool:
-        """Whether room for this kind of work was looked for lately and none was found."""
-        return self._failed_searches.get(kind, float("-inf")) > now
+    def search_failed_recently(self, search_class: Hashable, now: float) -> bool:
+        """Whether victims were searched for this class of jobs lately and none were found."""
+        return self._failed_searches.get(search_class, float("-inf")) > now
 
-    def record_failed_search(self, kind: Hashable, now: float) -> None:
-        """Guards against all waiting jobs asking in each round, so that nothing else would get done."""
-        self._failed_searches[kind] = now + constants.FAILED_SEARCH_PAUSE_S
+    def record_failed_search(self, search_class: Hashable, now: float) -> None:
+        """Guards against all waiting jobs searching in each scheduling cycle, so that nothing else would get done."""
+        self._failed_searches[search_class] = now + constants.FAILED_SEARCH_PAUSE_S
--- a/sorrelsill/placement/scheduling_cycle.py
+++ b/sorrelsill/placement/scheduling_cycle.py
@@ -1,4 +1,4 @@
-"""What the parts of the placer share during one round."""
+"""What the parts of the scheduler share during one scheduling cycle."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(slots=True)
 class SchedulingCycle:
-    """One round of placing: the state it works on, its time, and what it has found to be full."""
+    """The state that the cycle works on, its time, and the job classes it found unschedulable."""
 
     cluster: ClusterState
     now: float
-    out_of_time: Callable[[], bool]  # whether the round's time budget is used up
+    out_of_time: Callable[[], bool]  # whether the cycle's time budget is used up
     machines: MachineSet  # those that may be given work
-    full_classes: set[Hashable] = field(default_factory=set)  # kinds of work for which no machine has room
+    full_classes: set[Hashable] = field(default_factory=set)  # classes of jobs for which no machine has room
 
 
 def equivalence_class(spec: JobSpec) -> Hashable:
-    """Jobs of one kind fit on the same machines."""
+    """Jobs of one class fit on the same machines."""
     return spec.machine_types, spec.zone, spec.cpus, spec.gpus, spec.memory_gb, spec.spot_allowed
--- a/sorrelsill/placement/team_quotas.py
+++ b/sorrelsill/placement/team_quotas.py
@@ -1,4 +1,4 @@
-"""Teams' guarantees and limits, as far as placing keeps them. Pure."""
+"""Teams' quotas and guarantees, as far as the scheduler enforces them. Pure."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TeamQuotas:
-    """What each team may use at the most, and which teams are guests."""
+    """The quota of each team, and which teams borrow."""
 
     def __init__(self, teams: list[Team]) -> None:
         self._teams = {team.name: team for team in teams}
@@ -24,14 +24,14 @@
         return self._teams.get(name)
 
     def allows(self, cluster: ClusterState, spec: JobSpec, tasks: int = 1) -> bool:
-        """Whether so many more tasks of the job keep its team under its limit: the one place where that is decided."""
+        """Whether so many more tasks of the job keep its team within its quota: the one place where that is decided."""
         team = self._teams.get(spec.team)
         if team is None:
             return False
         if not team.cpus_max and not team.gpus_max:
             return True
         use = cluster.team_use(spec.team)
-        # Asked thousands of times a second while teams are at their limits: plain sums, no amounts made on the way.
+        # Called thousands of times a second while teams are at their quota: plain sums, no objects allocated.
         cpus = use.bound.cpus + use.unobserved.cpus + spec.cpus * tasks
         gpus = use.bound.gpus + use.unobserved.gpus + spec.gpus * tasks
         allowed = (not team.cpus_max or cpus <= team.cpus_max + constants.AMOUNT_TOLERANCE) and (
@@ -44,7 +44,7 @@
         return allowed
 
     def is_borrower(self, name: str) -> bool:
-        """Guests are teams without a guarantee: they run on what nobody else needs."""
+        """Teams without a guarantee borrow: they run on what nobody else needs."""
         team = self._teams.get(name)
         return team is not None and not team.cpus and not team.gpus
 
