--- a/sorrelsill/placement/gang_placement.py
+++ b/sorrelsill/placement/gang_placement.py
@@ -9,13 +9,15 @@
 import math
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from sorrelsill import constants
 from sorrelsill.model import JobSpec
+from sorrelsill.placement.victims import VictimSet
 from sorrelsill.workers import Attempt, Machine
 
 # Victims on a machine that let so many more tasks in than fit, and their cost.
-VictimSelector = Callable[[Machine, int], tuple[float, list[Attempt]] | None]
+VictimSelector = Callable[[Machine, int], VictimSet | None]
 
 
 @dataclass(slots=True)
@@ -36,6 +38,23 @@
     needs_fetch: bool  # an image has to be fetched
 
 
+@dataclass(slots=True)
+class GangPreemption:
+    """A placement of the whole gang once its victims have ended."""
+
+    cost: float  # CPU seconds
+    placement: GangPlacement
+    victims: list[Attempt]
+
+
+class _Candidate(NamedTuple):
+    """A machine with victims; lower cost goes first, then the name."""
+
+    cost: float
+    name: str
+    machine: Machine
+
+
 def task_capacity(machine: Machine, spec: JobSpec, gone: Iterable[Attempt] = ()) -> int:
     """Tasks that fit on a machine, as it stands or once some others are gone."""
     freed = [a.spec for a in gone if a.spec is not None]
@@ -56,78 +75,98 @@
     for machine in machines:
         count = task_capacity(machine, spec)
         if count > 0:
-            pools.setdefault(machine.zone if spec.one_zone else None, []).append(MachineShare(machine, count))
-    out = []
-    for zone, shares in pools.items():
-        # Concurrent fetches share a machine's rate; a type that most of the room is on makes for an even pace.
-        kinds: dict[str, int] = {}
-        for s in shares:
-            kinds[s.machine.machine_type] = kinds.get(s.machine.machine_type, 0) + s.count
-        shares.sort(key=lambda s: _sort_key(s, spec, kinds))
-        taken: list[MachineShare] = []
-        in_zone: dict[str, int] = {}
-        left = spec.task_count
-        for s in shares:
-            count = min(left, s.count)
-            if spec.spread_zones:
-                count = min(count, spec.zone_limit - in_zone.get(s.machine.zone, 0))
-            if count > 0:
-                taken.append(MachineShare(s.machine, count))
-                in_zone[s.machine.zone] = in_zone.get(s.machine.zone, 0) + count
-                left -= count
-            if not left:
-                break
-        out.append(GangPlacement(zone, taken, left, any(spec.image not in s.machine.images for s in taken)))
-    out.sort(key=lambda o: (o.missing_tasks, o.needs_fetch, len(o.shares), o.zone or ""))
-    return out
-
-
-def _sort_key(s: MachineShare, spec: JobSpec, kinds: dict[str, int]) -> tuple[float, bool, int, int, float]:
-    machine = s.machine
-    fetch = 0.0 if spec.image in machine.images else 1.0 + len(machine.fetching - {spec.image})
-    enough = kinds[machine.machine_type] >= spec.task_count
-    left = machine.capacity_cpus - machine.cpus - min(s.count, spec.task_count) * spec.cpus
-    return fetch, machine.spot, 0 if enough else 1, -min(s.count, spec.task_count), left
+            pools.setdefault(_zone_key(machine, spec), []).append(MachineShare(machine, count))
+    placements = [_fill_zone(spec, zone, shares) for zone, shares in pools.items()]
+    placements.sort(key=lambda each: (each.missing_tasks, each.needs_fetch, len(each.shares), each.zone or ""))
+    return placements
+
+
+def _fill_zone(spec: JobSpec, zone: str | None, shares: list[MachineShare]) -> GangPlacement:
+    """Take the best machines of a zone until the gang fits."""
+    # Concurrent fetches share a machine's rate; a type that most of the room is on makes for an even pace.
+    capacity_by_type: dict[str, int] = {}
+    for share in shares:
+        machine_type = share.machine.machine_type
+        capacity_by_type[machine_type] = capacity_by_type.get(machine_type, 0) + share.count
+    shares.sort(key=lambda share: _sort_key(share, spec, capacity_by_type))
+    taken: list[MachineShare] = []
+    in_zone: dict[str, int] = {}
+    missing_tasks = spec.task_count
+    for share in shares:
+        count = min(missing_tasks, share.count)
+        if spec.spread_zones:
+            count = min(count, spec.zone_limit - in_zone.get(share.machine.zone, 0))
+        if count > 0:
+            taken.append(MachineShare(share.machine, count))
+            in_zone[share.machine.zone] = in_zone.get(share.machine.zone, 0) + count
+            missing_tasks -= count
+        if not missing_tasks:
+            break
+    needs_fetch = any(spec.image not in share.machine.images for share in taken)
+    return GangPlacement(zone, taken, missing_tasks, needs_fetch)
+
+
+def _sort_key(
+    share: MachineShare, spec: JobSpec, capacity_by_type: dict[str, int]
+) -> tuple[float, bool, int, int, float]:
+    """Lower goes first: least to fetch, on-demand, one type for all, most tasks, least CPUs left over."""
+    machine, count = share.machine, min(share.count, spec.task_count)
+    fetches = 0.0 if spec.image in machine.images else 1.0 + len(machine.fetching - {spec.image})
+    enough = capacity_by_type[machine.machine_type] >= spec.task_count
+    left_over = machine.capacity_cpus - machine.cpus - count * spec.cpus
+    return fetches, machine.spot, 0 if enough else 1, -count, left_over
 
 
 def find_preemption(
     spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine], select_victims: VictimSelector
-) -> tuple[GangPlacement, list[Attempt]] | None:
+) -> GangPreemption | None:
     """The zone in which the cheapest victims let the whole gang in, and these victims; None if none do."""
-    candidates: dict[str | None, list[tuple[float, str, Machine]]] = {}
+    candidates: dict[str | None, list[_Candidate]] = {}
     for machine in machines:
-        found = select_victims(machine, 1)
-        if found is not None:
-            candidates.setdefault(machine.zone if spec.one_zone else None, []).append((found[0], machine.name, machine))
-    best: tuple[float, GangPlacement, list[Attempt]] | None = None
+        victims = select_victims(machine, 1)
+        if victims is not None:
+            candidates.setdefault(_zone_key(machine, spec), []).append(_Candidate(victims.cost, machine.name, machine))
+    best: GangPreemption | None = None
     for placement in placements:
-        missing_tasks, cost = placement.missing_tasks, 0.0
-        chosen: list[Attempt] = []
-        shares = list(placement.shares)
-        in_zone: dict[str, int] = {}
-        for s in shares:
-            in_zone[s.machine.zone] = in_zone.get(s.machine.zone, 0) + s.count
-        for _, _, machine in sorted(candidates.get(placement.zone, ()), key=lambda o: o[:2]):
-            most = (
-                min(missing_tasks, spec.zone_limit - in_zone.get(machine.zone, 0))
-                if spec.spread_zones
-                else missing_tasks
-            )
-            # As many as may go there at once: each further machine is one more that may be slow or fail.
-            for count in range(most, 0, -1):
-                found = select_victims(machine, count)
-                if found is not None:
-                    missing_tasks -= count
-                    cost += found[0]
-                    chosen += found[1]
-                    in_zone[machine.zone] = in_zone.get(machine.zone, 0) + count
-                    shares.append(MachineShare(machine, count))
-                    break
-            if missing_tasks <= 0:
+        cheapest_first = sorted(candidates.get(placement.zone, ()), key=lambda each: each[:2])
+        found = _complete(spec, placement, cheapest_first, select_victims)
+        if found is not None and (best is None or found.cost < best.cost):
+            best = found
+    return best
+
+
+def _complete(
+    spec: JobSpec, placement: GangPlacement, candidates: list[_Candidate], select_victims: VictimSelector
+) -> GangPreemption | None:
+    """Place the missing tasks on machines with victims; None if some still find no room."""
+    missing_tasks, cost = placement.missing_tasks, 0.0
+    victims: list[Attempt] = []
+    shares = list(placement.shares)
+    in_zone: dict[str, int] = {}
+    for share in shares:
+        in_zone[share.machine.zone] = in_zone.get(share.machine.zone, 0) + share.count
+    for _, _, machine in candidates:
+        most = missing_tasks
+        if spec.spread_zones:
+            most = min(most, spec.zone_limit - in_zone.get(machine.zone, 0))
+        # As many as may go there at once: each further machine is one more that may be slow or fail.
+        for count in range(most, 0, -1):
+            found = select_victims(machine, count)
+            if found is not None:
+                missing_tasks -= count
+                cost += found.cost
+                victims += found.attempts
+                in_zone[machine.zone] = in_zone.get(machine.zone, 0) + count
+                shares.append(MachineShare(machine, count))
                 break
-        if missing_tasks <= 0 and (best is None or cost < best[0]):
-            best = cost, GangPlacement(placement.zone, shares, 0, placement.needs_fetch), chosen
-    return (best[1], best[2]) if best is not None else None
+        if missing_tasks <= 0:
+            return GangPreemption(cost, GangPlacement(placement.zone, shares, 0, placement.needs_fetch), victims)
+    return None
+
+
+def _zone_key(machine: Machine, spec: JobSpec) -> str | None:
+    """The zone if the gang must stay in one; None, for all machines together, if it may be spread."""
+    return machine.zone if spec.one_zone else None
 
 
 def machines_to_hold(spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine]) -> list[Machine]:
@@ -140,7 +179,7 @@
         count = task_capacity(machine, spec, ending)
         if count > 0:
             ease = machine.capacity_cpus - machine.cpus - (len(tasks) - len(ending))
-            by_zone.setdefault(machine.zone if spec.one_zone else None, []).append((count, ease, machine))
+            by_zone.setdefault(_zone_key(machine, spec), []).append((count, ease, machine))
     for placement in placements:
         kept: list[Machine] = []
         left = spec.task_count
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -5,7 +5,6 @@
 import logging
 import random
 from collections.abc import Hashable, Sequence
-from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 from sorrelsill import constants
@@ -13,6 +12,7 @@
 from sorrelsill.fleet import can_wait_for_scale_out
 from sorrelsill.model import Priority
 from sorrelsill.placement import gang_placement
+from sorrelsill.placement.victims import VictimSet
 from sorrelsill.workers import Attempt, ClusterState, Job, Machine, gang_loss
 
 if TYPE_CHECKING:
@@ -26,14 +26,6 @@
 log = logging.getLogger(__name__)
 
 
-@dataclass(frozen=True, slots=True)
-class VictimSet:
-    """Attempts whose end makes room on their machine, and the work that is lost with them."""
-
-    cost: float  # CPU seconds
-    attempts: list[Attempt]
-
-
 class Preemption:
     """Evicts victims, and reserves their machine for the preempting job until they have ended."""
 
@@ -243,18 +235,16 @@
             if m.bound_count and m.usable and m.allows(spec) and self._reservations.admits(job, m, now)
         ]
 
-        def select_victims(machine: Machine, more: int) -> tuple[float, list[Attempt]] | None:
-            found = self._select_victims(cluster, job, machine, now, gang_placement.task_capacity(machine, spec) + more)
-            return (found.cost, found.attempts) if found is not None else None
+        def select_victims(machine: Machine, more: int) -> VictimSet | None:
+            return self._select_victims(cluster, job, machine, now, gang_placement.task_capacity(machine, spec) + more)
 
         found = gang_placement.find_preemption(spec, placements, may, select_victims)
         if found is None:
             self._reservations.record_failed_search(search_class, now)
             return False
-        placement, victims = found
-        until = now + self._evict(cluster, spec, victims, constants.PREEMPTION_WAIT_S)
+        until = now + self._evict(cluster, spec, found.victims, constants.PREEMPTION_WAIT_S)
         self._reservations.expect_room(spec.job_id, until, spec.task_count)
-        for share in placement.shares:
+        for share in found.placement.shares:
             self._reservations.reserve(share.machine, spec.job_id, until)
         return True
 
