--- a/sorrelsill/fleet/free_capacity.py
+++ b/sorrelsill/fleet/free_capacity.py
@@ -8,7 +8,7 @@
     from sorrelsill.model import JobSpec
     from sorrelsill.workers import Machine, MachineIndex
 
-_SMALLEST_AMOUNT = 0.1  # CPUs or GB; tasks that ask for less count as this much
+SMALLEST_AMOUNT = 0.1  # CPUs or GB; tasks that ask for less count as this much
 _TOLERANCE = 1e-6  # tasks
 
 
@@ -25,8 +25,8 @@
 
 def tasks_that_fit(cpus: float, memory_gb: float, spec: JobSpec) -> int:
     """How many tasks fit into so much free capacity (CPUs, GB)."""
-    by_cpus = cpus / max(spec.cpus, _SMALLEST_AMOUNT)
-    by_memory = memory_gb / max(spec.memory_gb, _SMALLEST_AMOUNT)
+    by_cpus = cpus / max(spec.cpus, SMALLEST_AMOUNT)
+    by_memory = memory_gb / max(spec.memory_gb, SMALLEST_AMOUNT)
     return max(0, int(min(by_cpus, by_memory) + _TOLERANCE))
 
 
--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -10,7 +10,10 @@
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
-    from sorrelsill.workers import Job, Machine
+    from sorrelsill.workers import Attempt, Job, Machine
+
+
+_LEAST_PRICE = 1e-9  # guards against a division by zero where a price is not known
 
 
 class _FreeAmounts:
@@ -23,8 +26,11 @@
         self.memory_gb = machine.capacity_memory_gb - machine.memory_gb
 
     def fits(self, spec: JobSpec) -> bool:
+        tolerance = constants.AMOUNT_TOLERANCE
         return (
-            self.cpus + 1e-6 >= spec.cpus and self.gpus + 1e-6 >= spec.gpus and self.memory_gb + 1e-6 >= spec.memory_gb
+            self.cpus + tolerance >= spec.cpus
+            and self.gpus + tolerance >= spec.gpus
+            and self.memory_gb + tolerance >= spec.memory_gb
         )
 
     def take(self, spec: JobSpec, sign: int = 1) -> None:
@@ -36,8 +42,8 @@
 class _ServiceHeadroom:
     """How many tasks of a service could start in each zone; headroom for one more service is to stay free in all."""
 
-    def __init__(self, spare: JobSpec, zones: list[str]) -> None:
-        self._spec = spare
+    def __init__(self, spec: JobSpec, zones: list[str]) -> None:
+        self._spec = spec
         self._by_zone = dict.fromkeys(zones, 0)
         self._counted: dict[str, int] = {}  # by machine
 
@@ -64,17 +70,17 @@
 class _MovePlan:
     """Which tasks move where, machine by machine."""
 
-    def __init__(self, usable: list[Machine], jobs: dict[str, Job], spare: _ServiceHeadroom | None) -> None:
+    def __init__(self, usable: list[Machine], jobs: dict[str, Job], headroom: _ServiceHeadroom | None) -> None:
         self.jobs = jobs
-        self._spare = spare
+        self._headroom = headroom
         self._rooms = {machine.name: _FreeAmounts(machine) for machine in usable}
         # A service moves to machines that hold its image alone, the fullest first; the others are not considered.
         self._by_image: dict[str, list[_FreeAmounts]] = {}
         for room in sorted(self._rooms.values(), key=lambda r: r.cpus):
             for image in room.machine.images:
                 self._by_image.setdefault(image, []).append(room)
-            if spare is not None:
-                spare.count(room)
+            if headroom is not None:
+                headroom.count(room)
         self.zones: dict[str, dict[str, int]] = {}  # job -> zone -> tasks
         self.gone: set[str] = set()  # machines that are drained
         self.targets: set[str] = set()  # machines that tasks move to: these stay
@@ -96,10 +102,10 @@
             made.append((room, spec))
         self.gone.add(machine.name)
         self.targets.update(room.machine.name for room, _ in made)
-        if self._spare is not None:
-            self._spare.uncount(self._rooms[machine.name])
+        if self._headroom is not None:
+            self._headroom.uncount(self._rooms[machine.name])
             for room, _ in made:
-                self._spare.count(room)
+                self._headroom.count(room)
         return True
 
     def _shift(self, spec: JobSpec, source: str, target: str) -> None:
@@ -131,38 +137,45 @@
     jobs: dict[str, Job],
     now: float,
     price: Callable[[Machine], float],
-    spare: JobSpec | None,
+    headroom_spec: JobSpec | None,
     zones: list[str],
     most: int = 1,
 ) -> list[Machine]:
-    """Machines whose services fit on others that hold their images, those that cost most for what they run
-    first. Headroom for one more service stays free in every zone, or a machine would be rented again at once."""
-    usable = [h for h in machines if h.usable]
-    found: list[tuple[float, Machine]] = []
-    for machine in usable:
-        tasks = [a for a in machine.attempts.values() if a.spec is not None]
-        if machine.spot or not tasks or any(not a.exited for a in machine.attempts.values() if a.spec is None):
-            continue
-        if any(
-            a.stop_requested
-            or a.spec is None
-            or not a.spec.is_service
-            or a.running_since is None
-            or now - a.running_since < constants.MIN_RUN_BEFORE_MOVE_S
-            for a in tasks
-        ):
-            continue
-        found.append((machine.cpus / max(price(machine), 1e-9), machine))
-    found.sort(key=lambda item: item[0])
-    slots = _ServiceHeadroom(spare, zones) if spare is not None else None
-    plan = _MovePlan(usable, jobs, slots)
-    out: list[Machine] = []
-    for _, machine in found[: constants.DRAIN_TRIES * most]:
-        if len(out) == most:
+    """Machines whose services fit on others that hold their images, those that cost most for what they run first.
+    Headroom for one more service stays free in every zone, or a machine would be rented again at once."""
+    usable = [machine for machine in machines if machine.usable]
+    movable = [machine for machine in usable if _runs_only_movable_services(machine, now)]
+    movable.sort(key=lambda machine: machine.cpus / max(price(machine), _LEAST_PRICE))
+    headroom = _ServiceHeadroom(headroom_spec, zones) if headroom_spec is not None else None
+    plan = _MovePlan(usable, jobs, headroom)
+    drained: list[Machine] = []
+    for machine in movable[: constants.DRAIN_TRIES * most]:
+        if len(drained) == most:
             break
         if machine.name in plan.targets or not plan.move(machine):
             continue
-        if slots is not None and not slots.enough():
+        if headroom is not None and not headroom.enough():
             break
-        out.append(machine)
-    return out
+        drained.append(machine)
+    return drained
+
+
+def _runs_only_movable_services(machine: Machine, now: float) -> bool:
+    """Whether an on-demand machine runs services alone, all of them for long enough to be moved."""
+    if machine.spot:
+        return False
+    attempts = machine.attempts.values()
+    if any(attempt.spec is None and not attempt.exited for attempt in attempts):
+        return False
+    known = [attempt for attempt in attempts if attempt.spec is not None]
+    return bool(known) and all(_is_movable(attempt, now) for attempt in known)
+
+
+def _is_movable(attempt: Attempt, now: float) -> bool:
+    return (
+        not attempt.stop_requested
+        and attempt.spec is not None
+        and attempt.spec.is_service
+        and attempt.running_since is not None
+        and now - attempt.running_since >= constants.MIN_RUN_BEFORE_MOVE_S
+    )
--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -11,9 +11,10 @@
 from sorrelsill import constants
 from sorrelsill.events import log_event
 from sorrelsill.fleet.cloud import Cloud, CloudError
-from sorrelsill.fleet.demand import FleetDemand, RetainedHeadroom
+from sorrelsill.fleet.demand import FleetDemand
 from sorrelsill.fleet.fleet_state import FleetState
 from sorrelsill.fleet.instances import BootingInstance, boot_failed
+from sorrelsill.fleet.retained_headroom import RetainedHeadroom
 from sorrelsill.workers import Machine
 
 log = logging.getLogger(__name__)
--- a/sorrelsill/placement/gang_placement.py
+++ b/sorrelsill/placement/gang_placement.py
@@ -65,7 +65,7 @@
         (machine.capacity_gpus - machine.gpus + sum(s.gpus for s in freed), spec.gpus),
     ):
         if want > 0:
-            fits.append((have + 1e-6) / want)
+            fits.append((have + constants.AMOUNT_TOLERANCE) / want)
     return max(0, math.floor(min(fits)))
 
 
--- a/sorrelsill/placement/gang_scheduler.py
+++ b/sorrelsill/placement/gang_scheduler.py
@@ -51,10 +51,10 @@
             self._unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
             job.note(f"waiting: the limit of {spec.team} is reached")
             return
-        kind = ("gang", equivalence_class(spec), spec.task_count)
+        equivalent_jobs = ("gang", equivalence_class(spec), spec.task_count)
         reservations = self._reservations
         has_room_kept = reservations.has_reservation(spec.job_id) or reservations.holds_machines_for(spec.job_id)
-        if kind in cycle.full_classes and not has_room_kept:
+        if equivalent_jobs in cycle.unschedulable_classes and not has_room_kept:
             self._unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, False, spec.zone)
             return
         room = [m for m in cluster.index.with_room(spec) if self._chooser.may_take(job, m, now)]
@@ -63,7 +63,7 @@
         if placements and not placements[0].missing_tasks:
             self._bind_gang(cycle, job, placements[0])
             return
-        cycle.full_classes.add(kind)
+        cycle.unschedulable_classes.add(equivalent_jobs)
         job.note("waiting: the whole group does not fit at once")
         self._wait_for_gang_room(cycle, job, placements)
 
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -146,7 +146,7 @@
     def _start_tasks(self, cycle: SchedulingCycle, job: Job) -> _BindOutcome:
         """Bind tasks of a job, one after the other, until none is left or none may be bound."""
         spec = job.spec
-        kind = equivalence_class(spec)
+        equivalent_jobs = equivalence_class(spec)
         plain = not (spec.spread_zones or spec.one_zone or job.avoid)
         pool: CandidatePool | None = None
         while (index := job.next_task()) is not None:
@@ -158,12 +158,12 @@
                 job.note(f"waiting: the limit of {spec.team} is reached")
                 return _BindOutcome.QUOTA_EXCEEDED
             machine = None
-            if not (plain and kind in cycle.full_classes):
+            if not (plain and equivalent_jobs in cycle.unschedulable_classes):
                 pool = pool or CandidatePool(cycle.cluster, spec)
                 machine = self._chooser.choose(job, pool, cycle.now)
             if machine is None:
                 if plain:
-                    cycle.full_classes.add(kind)
+                    cycle.unschedulable_classes.add(equivalent_jobs)
                 return _BindOutcome.NO_ROOM
             if self._cold_start_misses_objective(cycle.cluster, job, machine) and self._preempt_on_warm_machines(
                 cycle, job
--- a/sorrelsill/placement/scheduling_cycle.py
+++ b/sorrelsill/placement/scheduling_cycle.py
@@ -17,7 +17,7 @@
     now: float
     out_of_time: Callable[[], bool]  # whether the cycle's time budget is used up
     machines: MachineSet  # those that may be given work
-    full_classes: set[Hashable] = field(default_factory=set)  # classes of jobs for which no machine has room
+    unschedulable_classes: set[Hashable] = field(default_factory=set)  # classes of jobs for which no machine has room
 
 
 def equivalence_class(spec: JobSpec) -> Hashable:
