--- a/sorrelsill/fleet/__init__.py
+++ b/sorrelsill/fleet/__init__.py
@@ -4,6 +4,7 @@
 from sorrelsill.fleet.capacity_plan import plan
 from sorrelsill.fleet.catalog import parse_catalog
 from sorrelsill.fleet.cloud import Cloud
+from sorrelsill.fleet.errors import CatalogError, CloudError, FleetError
 from sorrelsill.fleet.fleet_state import FleetSettings
 from sorrelsill.fleet.instances import (
     BootingInstance,
@@ -20,7 +21,10 @@
     "BootTimes",
     "BootingInstance",
     "CapacityDemand",
+    "CatalogError",
     "Cloud",
+    "CloudError",
+    "FleetError",
     "FleetManager",
     "FleetSettings",
     "InstanceOffer",
--- a/sorrelsill/fleet/catalog.py
+++ b/sorrelsill/fleet/catalog.py
@@ -4,29 +4,30 @@
 
 from typing import Any
 
+from sorrelsill.fleet.errors import CatalogError
 from sorrelsill.model import Catalog, MachineType
 
 
 def parse_catalog(answer: Any) -> Catalog:
-    """ValueError if the answer is not a catalog."""
+    """CatalogError if the answer is not a catalog."""
     try:
         machine_types = [
             MachineType(
-                name=str(f["sku"]),
-                cpus=float(f["vcpus"]),
-                gpus=float(f.get("gpus") or 0),
-                memory_gb=float(f["memoryGb"]),
-                cache_gb=float(f.get("cacheGb") or 0),
-                fetch_gb_per_s=max(1e-3, float(f.get("pullGbPerS") or 1)),
-                price=float(f["price"]),
-                spot_price=float(f.get("spotPrice") or f["price"]),
-                boot_s=float(f.get("bootS") or 60),
-                zones=tuple(str(r) for r in f["regions"]),
+                name=str(offered["sku"]),
+                cpus=float(offered["vcpus"]),
+                gpus=float(offered.get("gpus") or 0),
+                memory_gb=float(offered["memoryGb"]),
+                cache_gb=float(offered.get("cacheGb") or 0),
+                fetch_gb_per_s=max(1e-3, float(offered.get("pullGbPerS") or 1)),
+                price=float(offered["price"]),
+                spot_price=float(offered.get("spotPrice") or offered["price"]),
+                boot_s=float(offered.get("bootS") or 60),
+                zones=tuple(str(zone) for zone in offered["regions"]),
             )
-            for f in answer["flavours"]
+            for offered in answer["flavours"]
         ]
-    except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"not a catalog: {error!r}") from None
+    except (KeyError, TypeError, AttributeError, ValueError) as error:
+        raise CatalogError(f"not a catalog: {error!r}") from None
     if not machine_types:
-        raise ValueError("not a catalog: no machine types")
-    return Catalog({f.name: f for f in machine_types})
+        raise CatalogError("not a catalog: no machine types")
+    return Catalog({each.name: each for each in machine_types})
--- a/sorrelsill/fleet/cloud.py
+++ b/sorrelsill/fleet/cloud.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from sorrelsill import constants
+from sorrelsill.fleet.errors import CloudError
 from sorrelsill.http import Client, NoAnswerError, NotSentError, always
 from sorrelsill.settings import CloudLimits
 from sorrelsill.token_bucket import TokenBucket
@@ -16,15 +17,6 @@
 _decode = msgspec.msgpack.Decoder().decode
 
 
-class CloudError(Exception):
-    """The cloud refused a request or did not answer; `sent` tells whether it may have been carried out."""
-
-    def __init__(self, text: str, status: int = 0, sent: bool = False) -> None:
-        super().__init__(text)
-        self.status = status
-        self.sent = sent
-
-
 class Cloud:
     """The cloud's calls, under its rate limit."""
 
--- a/sorrelsill/fleet/machine_list.py
+++ b/sorrelsill/fleet/machine_list.py
@@ -12,7 +12,8 @@
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.fleet.cloud import Cloud, CloudError
+from sorrelsill.fleet.cloud import Cloud
+from sorrelsill.fleet.errors import CloudError
 
 log = logging.getLogger(__name__)
 
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -11,8 +11,9 @@
 from sorrelsill import constants
 from sorrelsill.events import log_event
 from sorrelsill.fleet.catalog import parse_catalog
-from sorrelsill.fleet.cloud import Cloud, CloudError
+from sorrelsill.fleet.cloud import Cloud
 from sorrelsill.fleet.demand import FleetDemand
+from sorrelsill.fleet.errors import FleetError
 from sorrelsill.fleet.fleet_state import FleetSettings, FleetState
 from sorrelsill.fleet.instances import BootingInstance
 from sorrelsill.fleet.machine_list import MachineList, MachineListReader
@@ -101,7 +102,7 @@
         try:
             raw = await self._cloud.call("GET", "/catalog")
             catalog = parse_catalog(raw)
-        except (CloudError, ValueError) as error:
+        except FleetError as error:
             log_event(log, logging.INFO, "catalog_failed", reason=error)
             self._catalog_at += _CATALOG_RETRY_S - constants.CATALOG_EVERY_S
             return
--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -10,8 +10,9 @@
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.fleet.cloud import Cloud, CloudError
+from sorrelsill.fleet.cloud import Cloud
 from sorrelsill.fleet.demand import FleetDemand
+from sorrelsill.fleet.errors import CloudError
 from sorrelsill.fleet.fleet_state import FleetState
 from sorrelsill.fleet.instances import BootingInstance, boot_failed
 from sorrelsill.fleet.retained_headroom import RetainedHeadroom
