--- a/sorrelsill/fleet/test_boot_times.py
+++ b/sorrelsill/fleet/test_boot_times.py
@@ -4,8 +4,8 @@
 from sorrelsill.fleet import BootingInstance, BootTimes, boot_failed, expected_instances
 from sorrelsill.model import Catalog, MachineType
 
-KIND = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
-CATALOG = Catalog({"c8": KIND})
+MACHINE_TYPE = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
+CATALOG = Catalog({"c8": MACHINE_TYPE})
 
 
 def pending(number: int, since: float) -> BootingInstance:
@@ -19,13 +19,13 @@
     return boots
 
 
-def test_few_boots_seen_leave_the_published_time_in_force() -> None:
+def test_few_boots_observed_leave_the_published_time_in_force() -> None:
     boots = seen(200.0, 200.0)
     assert boots.late_after_s("c8", CATALOG) == constants.BOOT_LATE * 30.0 + constants.BOOT_EXTRA_S
     assert boots.failed_after_s("c8", CATALOG) == constants.BOOT_GIVE_UP * 30.0 + constants.BOOT_EXTRA_S
 
 
-def test_quick_boots_end_the_patience_sooner_and_slow_ones_later() -> None:
+def test_quick_boots_lower_the_time_limit_and_slow_ones_raise_it() -> None:
     quick, slow = seen(*[25.0] * 10), seen(*[30.0] * 10, 160.0)
     assert quick.failed_after_s("c8", CATALOG) == constants.BOOT_GIVE_UP_SEEN * 30.0 + constants.BOOT_EXTRA_S
     assert slow.failed_after_s("c8", CATALOG) > 160.0
@@ -41,7 +41,7 @@
     assert len(expected_instances(all_late, boots, CATALOG, now)) == 10
 
 
-def test_a_new_leader_gives_up_only_what_the_list_calls_booting() -> None:
+def test_for_a_new_leader_only_what_the_list_calls_booting_has_failed() -> None:
     """It must not take every machine that has not reported to it yet for one that never came up."""
     boots, now = seen(), 1000.0
     machine = pending(0, 0.0)
--- a/sorrelsill/fleet/test_machine_list.py
+++ b/sorrelsill/fleet/test_machine_list.py
@@ -27,7 +27,7 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_a_long_list_comes_whole_and_leaves_half_of_the_rate_to_other_calls() -> None:
+def test_a_long_list_is_read_completely_and_leaves_half_of_the_rate_to_other_calls() -> None:
     async def scenario(reader: MachineListReader, cloud: Cloud, fake: FakeCloud) -> None:
         other_calls, listings = 0, []
         while trio.current_time() < 120.0:
@@ -43,7 +43,7 @@
     play(8000, scenario)
 
 
-def test_a_list_of_one_page_is_read_as_often_as_ever() -> None:
+def test_a_list_of_one_page_is_read_at_the_usual_interval() -> None:
     async def scenario(reader: MachineListReader, cloud: Cloud, fake: FakeCloud) -> None:
         read = 0
         while trio.current_time() < 40.0:
@@ -55,7 +55,7 @@
     play(400, scenario)
 
 
-def test_a_reading_that_fails_begins_anew_and_is_never_taken_for_whole() -> None:
+def test_a_failed_reading_starts_again_and_is_never_taken_as_complete() -> None:
     async def scenario(reader: MachineListReader, cloud: Cloud, fake: FakeCloud) -> None:
         assert await reader.read_page(0.0) is None and reader.due(0.0)
         fake.outage = True
--- a/sorrelsill/placement/test_job_queue.py
+++ b/sorrelsill/placement/test_job_queue.py
@@ -1,4 +1,4 @@
-"""The order of jobs and the shares of guarantees, kept up to date by changes, against both worked out anew."""
+"""The order of jobs and the guaranteed shares, kept current by changes, against both computed from scratch."""
 
 import random
 
@@ -15,19 +15,19 @@
 from tests.simulation import count_calls, job
 
 TEAMS = TeamQuotas([Team("red", cpus=30.0), Team("blue", cpus=12.5, gpus=2.0), Team("guests")])
-AIMS = ServiceLevelObjectives(
+OBJECTIVES = ServiceLevelObjectives(
     [Objective("finished", "w", 20.0), Objective("finished", "w", 40.0), Objective("deadline", "batch")]
 )
-KIND = MachineType("c8", 1000.0, 100.0, 4000.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
+MACHINE_TYPE = MachineType("c8", 1000.0, 100.0, 4000.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a",))
 
 
 def cluster_with_a_machine() -> ClusterState:
-    cluster = ClusterState(1, 0.0, Catalog({"c8": KIND}), 1e9, 2.7)
+    cluster = ClusterState(1, 0.0, Catalog({"c8": MACHINE_TYPE}), 1e9, 2.7)
     cluster.machine("m1", "c8", "a", False, 0.0)
     return cluster
 
 
-def guaranteed_anew(cluster: ClusterState) -> set[str]:
+def guaranteed_from_scratch(cluster: ClusterState) -> set[str]:
     """All live jobs added up in the order of submission."""
     used: dict[str, tuple[float, float]] = {}
     inside = set()
@@ -42,10 +42,10 @@
     return inside
 
 
-def order_anew(cluster: ClusterState, inside: set[str], now: float) -> list[str]:
+def order_from_scratch(cluster: ClusterState, inside: set[str], now: float) -> list[str]:
     """All waiting jobs sorted."""
     waiting = [each for each in cluster.jobs.values() if each.waiting > 0]
-    waiting.sort(key=lambda each: precedence(each, AIMS, each.spec.job_id in inside, now))
+    waiting.sort(key=lambda each: precedence(each, OBJECTIVES, each.spec.job_id in inside, now))
     return [each.spec.job_id for each in waiting]
 
 
@@ -91,27 +91,29 @@
             self.cluster.end_job(self.rng.choice(list(self.cluster.jobs)))
 
 
-def test_the_order_and_the_guarantees_are_those_worked_out_anew() -> None:
+def test_the_order_and_the_guaranteed_shares_are_those_computed_from_scratch() -> None:
     for seed in range(20):
         history = History(seed)
         guaranteed_shares = GuaranteedShares(TEAMS)
-        queue = JobQueue(AIMS, guaranteed_shares.guaranteed_jobs)
+        queue = JobQueue(OBJECTIVES, guaranteed_shares.guaranteed_jobs)
         for _ in range(150):
             history.step()
             changed = history.cluster.take_changed_jobs()
             moved = guaranteed_shares.update(history.cluster, changed)
             queue.update(history.cluster, [*changed, *moved], history.now)
-            assert guaranteed_shares.guaranteed_jobs == guaranteed_anew(history.cluster)
-            assert queue.in_order() == order_anew(history.cluster, guaranteed_shares.guaranteed_jobs, history.now)
+            assert guaranteed_shares.guaranteed_jobs == guaranteed_from_scratch(history.cluster)
+            assert queue.in_order() == order_from_scratch(
+                history.cluster, guaranteed_shares.guaranteed_jobs, history.now
+            )
 
 
-def test_a_job_nothing_of_which_ran_for_too_long_moves_without_any_event() -> None:
+def test_a_starved_job_moves_without_any_event() -> None:
     history = History(1)
     spec = parse_spec(job("run-old", rank="best_effort", workload="other"))
     history.cluster.add_job(spec, TaskSet(spec.task_count), 1, False, 0.0, [])
     spec = parse_spec(job("run-new", rank="high", workload="other"))
     history.cluster.add_job(spec, TaskSet(spec.task_count), 1, False, 70.0, [])
-    queue = JobQueue(AIMS, set())
+    queue = JobQueue(OBJECTIVES, set())
     queue.update(history.cluster, history.cluster.take_changed_jobs(), 70.0)
     assert queue.in_order() == ["run-new", "run-old"]
     queue.update(history.cluster, [], constants.STARVATION_S + 0.1)
@@ -122,7 +124,7 @@
     def calls(jobs: int) -> int:
         cluster = cluster_with_a_machine()
         guaranteed_shares = GuaranteedShares(TEAMS)
-        queue = JobQueue(AIMS, guaranteed_shares.guaranteed_jobs)
+        queue = JobQueue(OBJECTIVES, guaranteed_shares.guaranteed_jobs)
         for number in range(jobs):
             spec = parse_spec(job(f"run-{number:05d}", owner="red"))
             cluster.add_job(spec, TaskSet(spec.task_count), 1, False, float(number), [])
--- a/sorrelsill/placement/test_scheduler.py
+++ b/sorrelsill/placement/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Which machine and which job first, on a cluster state alone."""
+"""Which machine and which job first: the scheduler on a cluster state alone."""
 
 import random
 
@@ -11,12 +11,12 @@
 from sorrelsill.workers import ClusterState, Job, Machine
 from tests.simulation import count_calls, job
 
-KIND = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a", "b"))
-AIMS = [Objective("wait", "live", 1.0), Objective("finished", "w", 60.0)]
+MACHINE_TYPE = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a", "b"))
+OBJECTIVES = [Objective("wait", "live", 1.0), Objective("finished", "w", 60.0)]
 
 
 def cluster_with(*machines: tuple[str, str, bool]) -> ClusterState:
-    cluster = ClusterState(1, 0.0, Catalog({"c8": KIND}), 11.5, 2.7)
+    cluster = ClusterState(1, 0.0, Catalog({"c8": MACHINE_TYPE}), 11.5, 2.7)
     for name, zone, spot in machines:
         machine = cluster.machine(name, "c8", zone, spot, 0.0)
         machine.token_acknowledged = machine.reachable = machine.registered = True
@@ -28,58 +28,60 @@
     return cluster.add_job(spec, TaskSet(spec.task_count), 2, False, submitted, [])
 
 
-def place(cluster: ClusterState, now: float = 1.0, optimise_latency: bool = False, budget: float = 1.0) -> Scheduler:
-    scheduler = Scheduler([Team("red")], AIMS, random.Random(1), 24, optimise_latency)
+def run_cycle(
+    cluster: ClusterState, now: float = 1.0, optimise_latency: bool = False, budget: float = 1.0
+) -> Scheduler:
+    scheduler = Scheduler([Team("red")], OBJECTIVES, random.Random(1), 24, optimise_latency)
     scheduler.run_cycle(cluster, now, lambda: now, budget)
     return scheduler
 
 
-def at(job: Job) -> list[Machine]:
+def machines_of(job: Job) -> list[Machine]:
     return [a.machine for a in job.bound.values()]
 
 
-def test_where_time_counts_spot_machines_are_used_last_and_where_money_counts_first() -> None:
+def test_spot_machines_are_used_last_for_latency_and_first_for_cost() -> None:
     for optimise_latency in (True, False):
         cluster = cluster_with(("m1", "a", True), ("m2", "a", False))
         low = add(cluster, "run-1", shards=2, reclaimable=True)
-        place(cluster, optimise_latency=optimise_latency)
-        assert {h.spot for h in at(low)} == {not optimise_latency}
+        run_cycle(cluster, optimise_latency=optimise_latency)
+        assert {h.spot for h in machines_of(low)} == {not optimise_latency}
 
 
 def test_the_least_work_goes_first_so_that_a_burst_does_not_make_all_late() -> None:
     cluster = cluster_with(("m1", "a", False))
     large = add(cluster, "run-large", submitted=0.0, shards=50)
     small = add(cluster, "run-small", submitted=0.5, shards=3)
-    place(cluster)
+    run_cycle(cluster)
     assert len(small.bound) == 3 and len(large.bound) == 1
 
 
-def test_replicas_of_a_prompt_service_go_to_many_machines_and_tasks_that_end_share_a_fetch() -> None:
+def test_replicas_of_a_latency_sensitive_service_spread_and_tasks_of_an_array_share_a_fetch() -> None:
     machines = [(f"m{n}", "ab"[n % 2], False) for n in range(8)]
     cluster = cluster_with(*machines)
     service = add(cluster, "run-s", shape="standing", rank="prod", workload="live", shards=6, scatter=True)
-    place(cluster)
-    assert len({h.name for h in at(service)}) == 6
+    run_cycle(cluster)
+    assert len({h.name for h in machines_of(service)}) == 6
     cluster = cluster_with(*machines)
     array = add(cluster, "run-a", shards=4)
-    place(cluster)
-    assert len({h.name for h in at(array)}) == 1
+    run_cycle(cluster)
+    assert len({h.name for h in machines_of(array)}) == 1
 
 
-def test_a_machine_that_has_not_shown_that_it_hears_gets_no_work() -> None:
+def test_a_machine_not_known_to_be_reachable_gets_no_work() -> None:
     cluster = cluster_with(("m1", "a", False))
     cluster.machines["m1"].reachable = False
     waiting = add(cluster, "run-a")
-    scheduler = place(cluster)
+    scheduler = run_cycle(cluster)
     assert not waiting.bound and scheduler.unschedulable["run-a"].count == 2
 
 
 def test_the_indices_agree_with_what_is_on_the_machines() -> None:
-    """What tasks of jobs that are over take is counted toward every team until they are gone, whoever adopts them."""
+    """What tasks of ended jobs take is counted toward every team until they are gone, whoever adopts them."""
     cluster = cluster_with(("m1", "a", False), ("m2", "b", False))
     work = add(cluster, "run-a", shards=4)
-    place(cluster)
-    machine = at(work)[0]
+    run_cycle(cluster)
+    machine = machines_of(work)[0]
     assert (
         set(cluster.attempts.by_job["run-a"]) == set(work.bound.values())
         and machine.bound_count == 4
@@ -95,15 +97,15 @@
     )
 
 
-def test_the_index_of_machines_that_may_be_given_work_follows_them() -> None:
-    """Placing no longer asks all machines in each round, so what it asks has to be right."""
+def test_the_index_of_schedulable_machines_follows_their_state() -> None:
+    """A scheduling cycle does not look at all machines, so the index that it looks at has to be right."""
     cluster = cluster_with(("m1", "a", False), ("m2", "b", False))
     work = add(cluster, "run-a", shards=4)
-    place(cluster)
-    full, other = at(work)[0].name, {"m1": "m2", "m2": "m1"}[at(work)[0].name]
+    run_cycle(cluster)
+    full, other = machines_of(work)[0].name, {"m1": "m2", "m2": "m1"}[machines_of(work)[0].name]
     index = cluster.index
     assert index.ready.names() == {"m1", "m2"} and index.free.names() == {other} and index.idle.names() == {other}
-    cluster.machines[other].draining = True  # nobody has to say so: the indices follow at once
+    cluster.machines[other].draining = True  # without a call: the indices follow at once
     assert index.ready.names() == {full} and not index.free.names()
     index.hold_image(cluster.machines[full], work.spec)
     assert index.holders("img").names() == {full}
@@ -113,25 +115,28 @@
     assert index.ready.names() == index.free.names() == {other}
 
 
-@pytest.mark.parametrize("condition", ["token_acknowledged", "reachable", "registered"])
-def test_a_condition_that_fails_takes_the_machine_out_of_the_indices_at_once(condition: str) -> None:
+@pytest.mark.parametrize(
+    ("condition", "schedulable"),
+    [
+        ("token_acknowledged", True),
+        ("reachable", True),
+        ("registered", True),
+        ("lease_expired", False),
+        ("heartbeat_overdue", False),
+        ("draining", False),
+        ("returning", False),
+        ("quarantined", False),
+    ],
+)
+def test_each_condition_takes_a_machine_out_of_the_indices_at_once(condition: str, schedulable: bool) -> None:
     cluster = cluster_with(("m1", "a", False))
-    setattr(cluster.machines["m1"], condition, False)
+    setattr(cluster.machines["m1"], condition, not schedulable)
     assert not cluster.index.ready and not cluster.index.free
-    setattr(cluster.machines["m1"], condition, True)
+    setattr(cluster.machines["m1"], condition, schedulable)
     assert cluster.index.ready.names() == cluster.index.free.names() == {"m1"}
 
 
-@pytest.mark.parametrize("trouble", ["lease_expired", "heartbeat_overdue", "draining", "returning", "quarantined"])
-def test_a_trouble_takes_the_machine_out_of_the_indices_at_once(trouble: str) -> None:
-    cluster = cluster_with(("m1", "a", False))
-    setattr(cluster.machines["m1"], trouble, True)
-    assert not cluster.index.ready and not cluster.index.free
-    setattr(cluster.machines["m1"], trouble, False)
-    assert cluster.index.ready.names() == cluster.index.free.names() == {"m1"}
-
-
-def test_a_machine_that_is_to_be_taken_back_or_has_grown_is_indexed_anew() -> None:
+def test_a_machine_to_be_reclaimed_or_of_a_new_size_is_indexed_again() -> None:
     cluster = cluster_with(("m1", "a", False), ("m2", "a", False))
     cluster.machines["m1"].spot_reclaim_at = 30.0
     assert cluster.index.ready.names() == {"m2"}
@@ -141,15 +146,15 @@
     assert {m.name for m in cluster.index.with_room(spec)} == {"m2"}
 
 
-def test_a_round_costs_no_more_on_three_times_as_many_machines() -> None:
-    """Counted in calls, so the verdict is the same every time: a round that finds no work that waits, and one that
-    places one small job, ask only the machines they sample."""
+def test_a_scheduling_cycle_costs_no_more_on_three_times_as_many_machines() -> None:
+    """Counted in calls, so the verdict is the same every time: a cycle without waiting work, and one that binds one
+    small job, look only at the machines they sample."""
 
     def calls(machines: int, work: int) -> int:
         cluster = cluster_with(*((f"m{n}", "ab"[n % 2], False) for n in range(machines)))
         for number in range(work):
             add(cluster, f"run-{number}")
-        scheduler = Scheduler([Team("red")], AIMS, random.Random(1), 24, False)
+        scheduler = Scheduler([Team("red")], OBJECTIVES, random.Random(1), 24, False)
         return count_calls(lambda: scheduler.run_cycle(cluster, 1.0, lambda: 1.0, 1.0))
 
     for work in (0, 1, 5):
