--- a/sorrelsill/placement/gang_scheduler.py
+++ b/sorrelsill/placement/gang_scheduler.py
@@ -34,7 +34,7 @@
         preemption: Preemption,
         unschedulable: dict[str, UnschedulableDemand],
     ) -> None:
-        self._teams = teams
+        self._quotas = teams
         self._objectives = objectives
         self._reservations = reservations
         self._gang_headroom = gang_headroom
@@ -47,14 +47,14 @@
         cluster, now, spec = cycle.cluster, cycle.now, job.spec
         if job.bound or cluster.attempts.alive(spec.job_id):
             return  # the former attempts are ending; their room and their zone are not free before
-        if not self._teams.allows(cluster, spec, job.waiting):
+        if not self._quotas.allows(cluster, spec, job.waiting):
             self._unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
             job.note(f"waiting: the limit of {spec.team} is reached")
             return
-        equivalent_jobs = ("gang", equivalence_class(spec), spec.task_count)
+        equivalence = ("gang", equivalence_class(spec), spec.task_count)
         reservations = self._reservations
         has_room_kept = reservations.has_reservation(spec.job_id) or reservations.holds_machines_for(spec.job_id)
-        if equivalent_jobs in cycle.unschedulable_classes and not has_room_kept:
+        if equivalence in cycle.unschedulable_classes and not has_room_kept:
             self._unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, False, spec.zone)
             return
         room = [m for m in cluster.index.with_room(spec) if self._chooser.may_take(job, m, now)]
@@ -63,7 +63,7 @@
         if placements and not placements[0].missing_tasks:
             self._bind_gang(cycle, job, placements[0])
             return
-        cycle.unschedulable_classes.add(equivalent_jobs)
+        cycle.unschedulable_classes.add(equivalence)
         job.note("waiting: the whole group does not fit at once")
         self._wait_for_gang_room(cycle, job, placements)
 
@@ -111,12 +111,12 @@
             return
         if reservations.gang_hold_count() >= constants.GANG_HOLD_SHARE * len(cycle.machines):
             return
-        may = [
+        eligible = [
             machine
             for machine in cycle.machines
             if machine.allows(spec)
             and reservations.admits(job, machine, now)
             and not reservations.is_held_for_gang(machine)
         ]
-        for machine in gang_placement.machines_to_hold(spec, placements, may):
+        for machine in gang_placement.machines_to_hold(spec, placements, eligible):
             reservations.hold_for_gang(machine, job, now + constants.GANG_HOLD_S)
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -38,7 +38,7 @@
         borrowing_teams: BorrowingTeams,
         rng: random.Random,
     ) -> None:
-        self._teams = teams
+        self._quotas = teams
         self._objectives = objectives
         self._reservations = reservations
         self._guaranteed = guaranteed  # jobs within their team's guarantee
@@ -75,7 +75,7 @@
     def _runs_on_borrowed_capacity(self, victim: JobSpec, claimant: JobSpec) -> bool:
         """Teams without a guarantee borrow what nobody else needs: guards against their arrays filling all machines
         while work of others with a deadline waits."""
-        return victim.team != claimant.team and self._teams.is_borrower(victim.team)
+        return victim.team != claimant.team and self._quotas.is_borrower(victim.team)
 
     # --- single tasks ---
 
@@ -99,9 +99,9 @@
         search_class = self._search_class(job)
         if wanted <= 0 or self._reservations.search_failed_recently(search_class, now):
             return 0
-        looked_at = self._sample_machines(job, machines, now)
-        candidates = [found for m in looked_at if (found := self._select_victims(cluster, job, m, now)) is not None]
-        if not candidates and len(machines) > len(looked_at):
+        sampled = self._sample_machines(job, machines, now)
+        candidates = [found for m in sampled if (found := self._select_victims(cluster, job, m, now)) is not None]
+        if not candidates and len(machines) > len(sampled):
             self._reservations.record_failed_search(search_class, now)
         # Found on a measured day: a service submitted in a busy minute preempted gang after gang, each as a whole.
         candidates.sort(
@@ -124,8 +124,7 @@
                     machine.bound_count
                     and machine.usable
                     and machine.allows(job.spec)
-                    and not self._reservations.reserved(machine)
-                    and job.avoid.get(machine.name, 0.0) <= now
+                    and self._reservations.may_be_reserved(job, machine, now)
                 ):
                     found.append(machine)
                     if len(found) == constants.PREEMPT_SAMPLE:
@@ -145,10 +144,10 @@
     ) -> int:
         """Evict candidates, cheapest first, until enough tasks have room; returns for how many."""
         spec = job.spec
-        made = 0
+        tasks_with_room = 0
         zones = dict(job.zones)  # with what the room made in this cycle will add
         for candidate in candidates:
-            if made >= wanted:
+            if tasks_with_room >= wanted:
                 break
             machine = candidate.attempts[0].machine
             if not spec.may_add_in(machine.zone, zones):
@@ -157,8 +156,8 @@
             zones[machine.zone] = zones.get(machine.zone, 0) + 1
             self._reservations.expect_room(spec.job_id, until)
             self._reservations.reserve(machine, spec.job_id, until)
-            made += 1
-        return made
+            tasks_with_room += 1
+        return tasks_with_room
 
     @staticmethod
     def _evict(cluster: ClusterState, spec: JobSpec, attempts: list[Attempt], reservation_s: float) -> float:
@@ -191,8 +190,8 @@
         lack_memory = (
             spec.memory_gb * count - (machine.capacity_memory_gb - machine.memory_gb) - constants.AMOUNT_TOLERANCE
         )
-        can = [a for a in machine.attempts.values() if not a.stop_requested and self._is_eligible_victim(job, a)]
-        can.sort(
+        eligible = [a for a in machine.attempts.values() if not a.stop_requested and self._is_eligible_victim(job, a)]
+        eligible.sort(
             key=lambda a: (
                 -(a.spec.priority if a.spec else 0),
                 a.job_id in cluster.gangs,
@@ -200,7 +199,7 @@
             )
         )
         cost, chosen = 0.0, []
-        for attempt in can:
+        for attempt in eligible:
             if lack_cpus <= 0 and lack_gpus <= 0 and lack_memory <= 0:
                 break
             victim = attempt.spec
@@ -229,7 +228,7 @@
         if self._reservations.search_failed_recently(search_class, now):
             return False
         sample = self._rng.sample(machines, min(len(machines), constants.PREEMPT_SAMPLE * constants.GANG_SAMPLES))
-        may = [
+        eligible = [
             m
             for m in sample
             if m.bound_count and m.usable and m.allows(spec) and self._reservations.admits(job, m, now)
@@ -238,7 +237,7 @@
         def select_victims(machine: Machine, more: int) -> VictimSet | None:
             return self._select_victims(cluster, job, machine, now, gang_placement.task_capacity(machine, spec) + more)
 
-        found = gang_placement.find_preemption(spec, placements, may, select_victims)
+        found = gang_placement.find_preemption(spec, placements, eligible, select_victims)
         if found is None:
             self._reservations.record_failed_search(search_class, now)
             return False
--- a/sorrelsill/placement/reservations.py
+++ b/sorrelsill/placement/reservations.py
@@ -85,9 +85,9 @@
         """Only the job may start tasks there."""
         self._reserved[machine.name] = _Reservation(job_id, until)
 
-    def reserved(self, machine: Machine) -> bool:
-        """Whether the machine is reserved for any job."""
-        return machine.name in self._reserved
+    def may_be_reserved(self, job: Job, machine: Machine, now: float) -> bool:
+        """Whether no job has reserved the machine and this job does not avoid it after failures there."""
+        return machine.name not in self._reserved and job.avoid.get(machine.name, 0.0) <= now
 
     def has_reservation(self, job_id: str) -> bool:
         """Whether any machine is reserved for the job."""
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -33,7 +33,7 @@
     ALL_BOUND = enum.auto()
     NO_ROOM = enum.auto()
     QUOTA_EXCEEDED = enum.auto()  # the team's quota is used up
-    TRIAL_RUNS = enum.auto()  # a job that failed on every machine waits for the outcome of its trial tasks
+    TRIAL_PENDING = enum.auto()  # a job that failed on every machine waits for the outcome of its trial tasks
     OUT_OF_TIME = enum.auto()
 
 
@@ -49,17 +49,17 @@
         optimise_latency: bool = False,
     ) -> None:
         self._objectives = ServiceLevelObjectives(objectives)
-        self._teams = TeamQuotas(teams)
+        self._quotas = TeamQuotas(teams)
         self._reservations = Reservations()
         self._gang_headroom = GangHeadroom(self._objectives, optimise_latency)
         self._chooser = MachineChooser(
             self._objectives, self._reservations, self._gang_headroom, rng, sample, optimise_latency
         )
-        self._guaranteed_shares = GuaranteedShares(self._teams)
+        self._guaranteed_shares = GuaranteedShares(self._quotas)
         self._queue = JobQueue(self._objectives, self._guaranteed_shares.guaranteed_jobs)
-        self._borrowing_teams = BorrowingTeams(self._teams)
+        self._borrowing_teams = BorrowingTeams(self._quotas)
         self._preemption = Preemption(
-            self._teams,
+            self._quotas,
             self._objectives,
             self._reservations,
             self._guaranteed_shares.guaranteed_jobs,
@@ -71,7 +71,7 @@
         self._warm_until: dict[str, float] = {}  # job -> until when room preempted on warm machines is awaited
         self.unschedulable: dict[str, UnschedulableDemand] = {}  # by job; what the fleet may rent capacity for
         self._gangs = GangScheduler(
-            self._teams,
+            self._quotas,
             self._objectives,
             self._reservations,
             self._gang_headroom,
@@ -116,9 +116,9 @@
         if self._cluster is not cluster:
             self._cluster = cluster
             changed = list(cluster.jobs)
-        moved = self._guaranteed_shares.update(cluster, changed)
+        moved_jobs = self._guaranteed_shares.update(cluster, changed)
         self._borrowing_teams.update(cluster, changed)
-        self._queue.update(cluster, [*changed, *sorted(moved)], now)
+        self._queue.update(cluster, [*changed, *sorted(moved_jobs)], now)
         self._remaining.extend(self._queue.in_order())
         for job_id in changed:
             if job_id not in cluster.jobs:
@@ -134,40 +134,39 @@
         if job.spec.is_gang:
             self._gangs.schedule(cycle, job)
             return not cycle.out_of_time()
-        end = self._start_tasks(cycle, job)
-        if end is _BindOutcome.OUT_OF_TIME:
+        outcome = self._bind_tasks(cycle, job)
+        if outcome is _BindOutcome.OUT_OF_TIME:
             return False
-        if end is not _BindOutcome.TRIAL_RUNS and job.waiting > 0:
-            self._handle_unschedulable(cycle, job, limited=end is _BindOutcome.QUOTA_EXCEEDED)
+        if outcome is not _BindOutcome.TRIAL_PENDING and job.waiting > 0:
+            self._handle_unschedulable(cycle, job, limited=outcome is _BindOutcome.QUOTA_EXCEEDED)
         return True
 
     # --- single tasks ---
 
-    def _start_tasks(self, cycle: SchedulingCycle, job: Job) -> _BindOutcome:
+    def _bind_tasks(self, cycle: SchedulingCycle, job: Job) -> _BindOutcome:
         """Bind tasks of a job, one after the other, until none is left or none may be bound."""
         spec = job.spec
-        equivalent_jobs = equivalence_class(spec)
-        plain = not (spec.spread_zones or spec.one_zone or job.avoid)
+        equivalence = equivalence_class(spec)
+        unconstrained = not (spec.spread_zones or spec.one_zone or job.avoid)
         pool: CandidatePool | None = None
         while (index := job.next_task()) is not None:
             if cycle.out_of_time():
                 return _BindOutcome.OUT_OF_TIME
             if job.trials_left() <= 0:
-                return _BindOutcome.TRIAL_RUNS
-            if not self._teams.allows(cycle.cluster, spec):
+                return _BindOutcome.TRIAL_PENDING
+            if not self._quotas.allows(cycle.cluster, spec):
                 job.note(f"waiting: the limit of {spec.team} is reached")
                 return _BindOutcome.QUOTA_EXCEEDED
             machine = None
-            if not (plain and equivalent_jobs in cycle.unschedulable_classes):
+            if not (unconstrained and equivalence in cycle.unschedulable_classes):
                 pool = pool or CandidatePool(cycle.cluster, spec)
                 machine = self._chooser.choose(job, pool, cycle.now)
             if machine is None:
-                if plain:
-                    cycle.unschedulable_classes.add(equivalent_jobs)
+                if unconstrained:
+                    cycle.unschedulable_classes.add(equivalence)
                 return _BindOutcome.NO_ROOM
-            if self._cold_start_misses_objective(cycle.cluster, job, machine) and self._preempt_on_warm_machines(
-                cycle, job
-            ):
+            misses_objective = self._cold_start_misses_objective(cycle.cluster, job, machine)
+            if misses_objective and self._preempt_on_warm_machines(cycle, job):
                 return _BindOutcome.NO_ROOM
             cycle.cluster.bind(job, index, machine, cycle.now)
             self._gang_headroom.task_bound(spec, machine)
@@ -206,8 +205,7 @@
         spec = job.spec
         return (
             machine.allows(spec)
-            and not self._reservations.reserved(machine)
-            and job.avoid.get(machine.name, 0.0) <= now
+            and self._reservations.may_be_reserved(job, machine, now)
             and machine.large_enough_for(spec)
             and spec.may_add_in(machine.zone, job.zones)
         )
