--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -171,11 +171,11 @@
 IDLE_RETURN_LATENCY_S: Final = 600.0
 HEADROOM: Final = 0.3  # ratio; of the CPUs in use, kept free where latency is optimised for: bursts come within minutes
 BOOT_LATE: Final = 1.6  # ratio; of its type's boot time, after which an instance is late: most need 0.6 to 1.5 of it
-BOOT_LATE_OF_SEEN: Final = 1.2  # ratio; of the median boot observed lately, if that is longer
+BOOT_LATE_OF_OBSERVED: Final = 1.2  # ratio; of the median boot observed lately, if that is longer
 # ratio; of the boot time, after which the boot counts as failed while few boots were observed
-BOOT_GIVE_UP: Final = 4.0
-BOOT_GIVE_UP_SEEN: Final = 2.2  # ratio; the same once enough boots were observed, ...
-BOOT_GIVE_UP_OF_SEEN: Final = 1.3  # ratio; ... or this of the longest observed lately, if that is longer
+BOOT_FAILED: Final = 4.0
+BOOT_FAILED_OBSERVED: Final = 2.2  # ratio; the same once enough boots were observed, ...
+BOOT_FAILED_OF_OBSERVED: Final = 1.3  # ratio; ... or this of the longest observed lately, if that is longer
 BOOT_EXTRA_S: Final = 10.0  # s; on top of each: short boot times say little about the time until the first heartbeat
 BOOTS_KEPT: Final = 32  # boots; of each machine type, from which the observed times are taken
 BOOTS_ENOUGH: Final = 8  # boots; with fewer the published boot time alone counts
@@ -192,7 +192,7 @@
 # s; between two capacity plans, which take long when much is unschedulable; a boot takes longer
 PLAN_EVERY_S: Final = 1.0
 FLEET_TICK_S: Final = 0.25  # s; between two steps of the fleet loop: rent, list or return
-USE_LOG_S: Final = 10.0  # s; between two debug log lines on the fleet's utilisation
+UTILISATION_LOG_S: Final = 10.0  # s; between two debug log lines on the fleet's utilisation
 DRAIN_EVERY_S: Final = 5.0  # s; between two rebalancings, which move services to fuller machines ...
 # ratio; ... draining this part of the machines at once, one at least; not while more are booting
 DRAIN_SHARE: Final = 0.01
--- a/sorrelsill/fleet/boot_times.py
+++ b/sorrelsill/fleet/boot_times.py
@@ -26,7 +26,7 @@
         """An instance that takes longer than so many seconds is late: the plan no longer counts on it."""
         published_s = _published_s(machine_type, catalog)
         observed_s = self._enough_observed(machine_type)
-        usual_s = constants.BOOT_LATE_OF_SEEN * statistics.median(observed_s) if observed_s else 0.0
+        usual_s = constants.BOOT_LATE_OF_OBSERVED * statistics.median(observed_s) if observed_s else 0.0
         return max(constants.BOOT_LATE * published_s, usual_s) + constants.BOOT_EXTRA_S
 
     def failed_after_s(self, machine_type: str, catalog: Catalog) -> float:
@@ -34,9 +34,9 @@
         published_s = _published_s(machine_type, catalog)
         observed_s = self._enough_observed(machine_type)
         if not observed_s:
-            return constants.BOOT_GIVE_UP * published_s + constants.BOOT_EXTRA_S
-        longest_s = constants.BOOT_GIVE_UP_OF_SEEN * max(observed_s)
-        return max(constants.BOOT_GIVE_UP_SEEN * published_s, longest_s) + constants.BOOT_EXTRA_S
+            return constants.BOOT_FAILED * published_s + constants.BOOT_EXTRA_S
+        longest_s = constants.BOOT_FAILED_OF_OBSERVED * max(observed_s)
+        return max(constants.BOOT_FAILED_OBSERVED * published_s, longest_s) + constants.BOOT_EXTRA_S
 
     def _enough_observed(self, machine_type: str) -> deque[float] | None:
         observed_s = self._observed_s.get(machine_type)
--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from sorrelsill import constants
 from sorrelsill.fleet.free_capacity import tasks_that_fit
@@ -39,6 +39,13 @@
         self.memory_gb -= sign * spec.memory_gb
 
 
+class _Move(NamedTuple):
+    """A task's move to a machine."""
+
+    target: _FreeAmounts
+    spec: JobSpec
+
+
 class _ServiceHeadroom:
     """How many tasks of a service could start in each zone; headroom for one more service is to stay free in all."""
 
@@ -47,20 +54,20 @@
         self._by_zone = dict.fromkeys(zones, 0)
         self._counted: dict[str, int] = {}  # by machine
 
-    def count(self, room: _FreeAmounts) -> None:
+    def count(self, free: _FreeAmounts) -> None:
         """Count the machine, again if it was counted."""
-        self.uncount(room)
-        machine, spec = room.machine, self._spec
+        self.uncount(free)
+        machine, spec = free.machine, self._spec
         if machine.zone not in self._by_zone or not machine.allows(spec):
             return
-        self._counted[machine.name] = tasks_that_fit(room.cpus, room.memory_gb, spec)
+        self._counted[machine.name] = tasks_that_fit(free.cpus, free.memory_gb, spec)
         self._by_zone[machine.zone] += self._counted[machine.name]
 
-    def uncount(self, room: _FreeAmounts) -> None:
+    def uncount(self, free: _FreeAmounts) -> None:
         """The machine is returned, or counted again."""
-        tasks = self._counted.pop(room.machine.name, 0)
+        tasks = self._counted.pop(free.machine.name, 0)
         if tasks:
-            self._by_zone[room.machine.zone] -= tasks
+            self._by_zone[free.machine.zone] -= tasks
 
     def enough(self) -> bool:
         """Whether headroom for one more service is free in every zone."""
@@ -73,62 +80,65 @@
     def __init__(self, usable: list[Machine], jobs: dict[str, Job], headroom: _ServiceHeadroom | None) -> None:
         self.jobs = jobs
         self._headroom = headroom
-        self._rooms = {machine.name: _FreeAmounts(machine) for machine in usable}
+        self._free = {machine.name: _FreeAmounts(machine) for machine in usable}
         # A service moves to machines that hold its image alone, the fullest first; the others are not considered.
         self._by_image: dict[str, list[_FreeAmounts]] = {}
-        for room in sorted(self._rooms.values(), key=lambda r: r.cpus):
-            for image in room.machine.images:
-                self._by_image.setdefault(image, []).append(room)
+        for free in sorted(self._free.values(), key=lambda each: each.cpus):
+            for image in free.machine.images:
+                self._by_image.setdefault(image, []).append(free)
             if headroom is not None:
-                headroom.count(room)
+                headroom.count(free)
         self.zones: dict[str, dict[str, int]] = {}  # job -> zone -> tasks
-        self.gone: set[str] = set()  # machines that are drained
+        self.drained: set[str] = set()  # machines that are drained
         self.targets: set[str] = set()  # machines that tasks move to: these stay
 
     def move(self, machine: Machine) -> bool:
         """Find a machine for each task of this one, or change nothing."""
-        made: list[tuple[_FreeAmounts, JobSpec]] = []
-        tasks = [a for a in machine.attempts.values() if a.spec is not None]
-        for attempt in sorted(tasks, key=lambda a: -(a.spec.cpus if a.spec is not None else 0.0)):
+        moves: list[_Move] = []
+        attempts = [attempt for attempt in machine.attempts.values() if attempt.spec is not None]
+        for attempt in sorted(attempts, key=lambda each: -(each.spec.cpus if each.spec is not None else 0.0)):
             spec, job = attempt.spec, self.jobs.get(attempt.job_id)
-            room = self._room_for(machine, spec, job) if spec is not None and job is not None else None
-            if room is None or spec is None:
-                for taken, moved in made:
-                    self._shift(moved, taken.machine.zone, machine.zone)
-                    taken.take(moved, -1)
+            target = self._target_for(machine, spec, job) if spec is not None and job is not None else None
+            if target is None or spec is None:
+                self._undo(machine, moves)
                 return False
-            self._shift(spec, machine.zone, room.machine.zone)
-            room.take(spec)
-            made.append((room, spec))
-        self.gone.add(machine.name)
-        self.targets.update(room.machine.name for room, _ in made)
+            self._shift(spec, machine.zone, target.machine.zone)
+            target.take(spec)
+            moves.append(_Move(target, spec))
+        self.drained.add(machine.name)
+        self.targets.update(move.target.machine.name for move in moves)
         if self._headroom is not None:
-            self._headroom.uncount(self._rooms[machine.name])
-            for room, _ in made:
-                self._headroom.count(room)
+            self._headroom.uncount(self._free[machine.name])
+            for move in moves:
+                self._headroom.count(move.target)
         return True
 
+    def _undo(self, machine: Machine, moves: list[_Move]) -> None:
+        for move in moves:
+            self._shift(move.spec, move.target.machine.zone, machine.zone)
+            move.target.take(move.spec, -1)
+
     def _shift(self, spec: JobSpec, source: str, target: str) -> None:
         zone = self.zones.setdefault(spec.job_id, dict(self.jobs[spec.job_id].zones))
         zone[source] = zone.get(source, 0) - 1
         zone[target] = zone.get(target, 0) + 1
 
-    def _room_for(self, machine: Machine, spec: JobSpec, job: Job) -> _FreeAmounts | None:
+    def _target_for(self, machine: Machine, spec: JobSpec, job: Job) -> _FreeAmounts | None:
         if spec.one_zone:
             return None
         zone = self.zones.setdefault(spec.job_id, dict(job.zones))
-        for room in self._by_image.get(spec.image, ()):
-            target = room.machine
+        for free in self._by_image.get(spec.image, ()):
+            target = free.machine
             left = 1 if target.zone == machine.zone else 0
             if (
                 target is not machine
-                and target.name not in self.gone
-                and room.fits(spec)
+                and target.name not in self.drained
+                and free.fits(spec)
                 and target.allows(spec)
                 and zone.get(target.zone, 0) + 1 - left <= spec.zone_limit
                 and job.avoid.get(target.name, 0.0) <= 0.0
             ):
-                return room
+                return free
         return None
 
 
--- a/sorrelsill/fleet/test_boot_times.py
+++ b/sorrelsill/fleet/test_boot_times.py
@@ -22,12 +22,12 @@
 def test_few_boots_observed_leave_the_published_time_in_force() -> None:
     boots = seen(200.0, 200.0)
     assert boots.late_after_s("c8", CATALOG) == constants.BOOT_LATE * 30.0 + constants.BOOT_EXTRA_S
-    assert boots.failed_after_s("c8", CATALOG) == constants.BOOT_GIVE_UP * 30.0 + constants.BOOT_EXTRA_S
+    assert boots.failed_after_s("c8", CATALOG) == constants.BOOT_FAILED * 30.0 + constants.BOOT_EXTRA_S
 
 
 def test_quick_boots_lower_the_time_limit_and_slow_ones_raise_it() -> None:
     quick, slow = seen(*[25.0] * 10), seen(*[30.0] * 10, 160.0)
-    assert quick.failed_after_s("c8", CATALOG) == constants.BOOT_GIVE_UP_SEEN * 30.0 + constants.BOOT_EXTRA_S
+    assert quick.failed_after_s("c8", CATALOG) == constants.BOOT_FAILED_OBSERVED * 30.0 + constants.BOOT_EXTRA_S
     assert slow.failed_after_s("c8", CATALOG) > 160.0
     assert seen(*[100.0] * 10).late_after_s("c8", CATALOG) > 100.0
 
--- a/sorrelsill/fleet/utilisation_log.py
+++ b/sorrelsill/fleet/utilisation_log.py
@@ -32,7 +32,7 @@
 
     def log_if_due(self, now: float) -> None:
         """One line for each machine type and market, and one for each unschedulable job."""
-        if not log.isEnabledFor(logging.DEBUG) or now - self._logged_at < constants.USE_LOG_S:
+        if not log.isEnabledFor(logging.DEBUG) or now - self._logged_at < constants.UTILISATION_LOG_S:
             return
         self._logged_at = now
         for (machine_type, spot), use in sorted(self._utilisation().items(), key=lambda item: item[0]):
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -20,56 +20,56 @@
 
 class _MachineSampler:
     """Random samples of machines until one is feasible. What was not feasible is not sampled again; after some failed
-    samples the rest is listed and filtered, so that a feasible machine is always found."""
+    samples the remaining ones are listed and filtered, so that a feasible machine is always found."""
 
-    __slots__ = ("_failed_draws", "_image", "_machines", "_rejected", "_unsampled")
+    __slots__ = ("_failed_draws", "_image", "_machines", "_rejected", "_remaining")
 
     def __init__(self, machines: MachineSet | MachineUnion, image: str | None = None) -> None:
         self._machines = machines  # as they are at any time
         self._image = image  # only machines that hold it
         self._rejected: set[str] = set()
-        self._unsampled: list[Machine] | None = None
+        self._remaining: list[Machine] | None = None
         self._failed_draws = 0
 
-    def fitting(self, rng: random.Random, sample: int, fits: Callable[[Machine], bool]) -> list[Machine]:
+    def feasible(self, rng: random.Random, sample: int, is_feasible: Callable[[Machine], bool]) -> list[Machine]:
         """The feasible machines of a sample that has one at least; none if no machine is feasible."""
-        while self._unsampled is None:
-            found = self._draw(rng, sample, fits)
+        while self._remaining is None:
+            found = self._draw(rng, sample, is_feasible)
             if found:
                 return found
             self._failed_draws += 1
             if self._failed_draws >= constants.DRAWS_BEFORE_LISTING or len(self._rejected) >= len(self._machines):
-                self._unsampled = [machine for machine in self._machines if machine.name not in self._rejected]
-        while self._unsampled:
-            found = self._filter_remaining(self._unsampled, rng, sample, fits)
+                self._remaining = [machine for machine in self._machines if machine.name not in self._rejected]
+        while self._remaining:
+            found = self._filter_remaining(self._remaining, rng, sample, is_feasible)
             if found:
                 return found
         return []
 
-    def _draw(self, rng: random.Random, sample: int, fits: Callable[[Machine], bool]) -> list[Machine]:
+    def _draw(self, rng: random.Random, sample: int, is_feasible: Callable[[Machine], bool]) -> list[Machine]:
         found = []
         count = len(self._machines)
         for machine in self._machines.at_positions(sorted(rng.sample(range(count), min(sample, count)))):
             if machine.name in self._rejected:
                 continue
-            if self._holds_image(machine) and fits(machine):
+            if self._holds_image(machine) and is_feasible(machine):
                 found.append(machine)
             else:
                 self._rejected.add(machine.name)
         return found
 
     def _filter_remaining(
-        self, rest: list[Machine], rng: random.Random, sample: int, fits: Callable[[Machine], bool]
+        self, remaining: list[Machine], rng: random.Random, sample: int, is_feasible: Callable[[Machine], bool]
     ) -> list[Machine]:
-        """The feasible machines of a sample of the rest; the others of the sample leave the rest."""
+        """The feasible machines of a sample of the remaining ones; the others of the sample are removed from these."""
         found = []
-        for at in sorted(rng.sample(range(len(rest)), min(sample, len(rest))), reverse=True):
-            machine = rest[at]
-            if self._holds_image(machine) and fits(machine):
+        for at in sorted(rng.sample(range(len(remaining)), min(sample, len(remaining))), reverse=True):
+            machine = remaining[at]
+            if self._holds_image(machine) and is_feasible(machine):
                 found.append(machine)
             else:
-                rest[at] = rest[-1]
-                rest.pop()
+                remaining[at] = remaining[-1]
+                remaining.pop()
         return found
 
     def _holds_image(self, machine: Machine) -> bool:
@@ -122,9 +122,9 @@
         if replicas is None and pool.current is not None and self.may_take(job, pool.current, now):
             return pool.current
         for draw in pool.draws:
-            fitting = draw.fitting(self._rng, self._sample, lambda machine: self.may_take(job, machine, now))
-            if fitting:
-                best = min(fitting, key=lambda machine: self._score(job, machine, replicas))
+            feasible = draw.feasible(self._rng, self._sample, lambda machine: self.may_take(job, machine, now))
+            if feasible:
+                best = min(feasible, key=lambda machine: self._score(job, machine, replicas))
                 if replicas is not None:
                     replicas[best.name] = replicas.get(best.name, 0) + 1
                 pool.current = best
--- a/sorrelsill/placement/reservations.py
+++ b/sorrelsill/placement/reservations.py
@@ -34,9 +34,8 @@
     """Reserved machines, gang holds, and tasks for which room was preempted but is not free yet."""
 
     def __init__(self) -> None:
-        self._expected_room: dict[
-            str, list[float]
-        ] = {}  # job -> until when room preempted for one of its tasks is awaited
+        # job -> until when room preempted for one of its tasks is awaited
+        self._expected_room: dict[str, list[float]] = {}
         self._reserved: dict[str, _Reservation] = {}  # by machine
         self._gang_holds: dict[str, _GangHold] = {}  # by machine
         self._failed_searches: dict[Hashable, float] = {}  # class of jobs -> until when no victims are searched for
@@ -56,10 +55,12 @@
             return job is not None and bool(job.waiting)
 
         self._expected_room = {
-            job_id: left for job_id, t in self._expected_room.items() if (left := [x for x in t if x > now])
+            job_id: awaited
+            for job_id, times in self._expected_room.items()
+            if (awaited := [until for until in times if until > now])
         }
         self._reserved = {m: r for m, r in self._reserved.items() if r.until > now and waits(r.job_id)}
-        self._gang_holds = {m: f for m, f in self._gang_holds.items() if f.until > now and waits(f.job_id)}
+        self._gang_holds = {m: hold for m, hold in self._gang_holds.items() if hold.until > now and waits(hold.job_id)}
 
     # --- room awaited ---
 
@@ -117,7 +118,7 @@
         """The job is placed: what was kept for it is free for others."""
         self._expected_room.pop(job_id, None)
         self._reserved = {m: r for m, r in self._reserved.items() if r.job_id != job_id}
-        self._gang_holds = {m: f for m, f in self._gang_holds.items() if f.job_id != job_id}
+        self._gang_holds = {m: hold for m, hold in self._gang_holds.items() if hold.job_id != job_id}
 
     def admits(self, job: Job, machine: Machine, now: float) -> bool:
         """Whether a machine that the job may use is neither kept for others nor avoided after failures of the job."""
