--- a/sorrelsill/fleet/scale_out.py
+++ b/sorrelsill/fleet/scale_out.py
@@ -120,17 +120,7 @@
             self.open_requests.remove(request)
         else:
             request.next_at = now + min(_RETRY_MAX_S, constants.RETRY_S * 2**request.tries)
-        machine_type, zone, spot = request.offer
-        log_event(
-            log,
-            logging.INFO,
-            "scale_out_failed",
-            machine_type=machine_type,
-            zone=zone,
-            spot=spot,
-            asked_machines=request.count,
-            reason=error,
-        )
+        _log_request("scale_out_failed", request, reason=error)
 
     def _succeeded(self, request: _OpenRequest, rented: list[str], now: float) -> None:
         machine_type, zone, spot = request.offer
@@ -141,19 +131,24 @@
         self._refusals.pop(request.offer, None)
         if len(rented) < request.count:
             self._back_off(request.offer, now)
-        log_event(
-            log,
-            logging.INFO,
-            "scaled_out",
-            machine_type=machine_type,
-            zone=zone,
-            spot=spot,
-            asked_machines=request.count,
-            rented_machines=len(rented),
-        )
+        _log_request("scaled_out", request, rented_machines=len(rented))
 
     def _back_off(self, offer: InstanceOffer, now: float) -> None:
         """Not again for a while, longer each time: refused calls use up the cloud's rate all the same."""
         refusals = self._refusals.get(offer, 0)
         self._refusals[offer] = refusals + 1
         self._refused[offer] = now + min(constants.NO_CAPACITY_MAX_S, constants.NO_CAPACITY_S * 2**refusals)
+
+
+def _log_request(event: str, request: _OpenRequest, **fields: object) -> None:
+    machine_type, zone, spot = request.offer
+    log_event(
+        log,
+        logging.INFO,
+        event,
+        machine_type=machine_type,
+        zone=zone,
+        spot=spot,
+        asked_machines=request.count,
+        **fields,
+    )
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -119,10 +119,10 @@
             for attempt in job.bound.values():
                 pool.replicas[attempt.machine.name] = pool.replicas.get(attempt.machine.name, 0) + 1
         replicas = pool.replicas
-        if replicas is None and pool.current is not None and self.may_take(job, pool.current, now):
+        if replicas is None and pool.current is not None and self.is_feasible(job, pool.current, now):
             return pool.current
         for draw in pool.draws:
-            feasible = draw.feasible(self._rng, self._sample, lambda machine: self.may_take(job, machine, now))
+            feasible = draw.feasible(self._rng, self._sample, lambda machine: self.is_feasible(job, machine, now))
             if feasible:
                 best = min(feasible, key=lambda machine: self._score(job, machine, replicas))
                 if replicas is not None:
@@ -131,7 +131,7 @@
                 return best
         return None
 
-    def may_take(self, job: Job, machine: Machine, now: float) -> bool:
+    def is_feasible(self, job: Job, machine: Machine, now: float) -> bool:
         """Whether a task of the job may start on the machine now."""
         spec = job.spec
         if not machine.room_for(spec) or not machine.allows(spec) or not machine.usable:
@@ -144,7 +144,7 @@
     def _spreads(self, job: Job) -> bool:
         """Replicas that should start within seconds go to many machines: each then holds the image for the next ones,
         and one that fails takes few along. They fetch concurrently, so it takes no longer than on one machine."""
-        return job.spec.is_service and self._objectives.should_start_at_once(job.spec.job_class)
+        return job.spec.is_service and self._objectives.is_latency_sensitive(job.spec.job_class)
 
     def _score(self, job: Job, machine: Machine, replicas: dict[str, int] | None) -> float:
         """Lower is better: the image is there, the machine is left fuller, the zones stay even."""
--- a/sorrelsill/placement/gang_placement.py
+++ b/sorrelsill/placement/gang_placement.py
@@ -47,6 +47,14 @@
     victims: list[Attempt]
 
 
+class _Drainable(NamedTuple):
+    """A machine and how many tasks of the gang it can take once all but its services have ended."""
+
+    tasks: int
+    spare_cpus: float  # free now, less one for each service
+    machine: Machine
+
+
 class _Candidate(NamedTuple):
     """A machine with victims; lower cost goes first, then the name."""
 
@@ -172,22 +180,28 @@
 def machines_to_hold(spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine]) -> list[Machine]:
     """Machines to hold for a gang that finds no room: in the zone that lacks least, those with most capacity that is
     not a service's, until all would fit. None are held if even all of them would not do."""
-    by_zone: dict[str | None, list[tuple[int, float, Machine]]] = {}
+    by_zone: dict[str | None, list[_Drainable]] = {}
     for machine in machines:
-        tasks = [a for a in machine.attempts.values() if a.spec is not None]
-        ending = [a for a in tasks if a.spec is not None and not a.spec.is_service]
-        count = task_capacity(machine, spec, ending)
-        if count > 0:
-            ease = machine.capacity_cpus - machine.cpus - (len(tasks) - len(ending))
-            by_zone.setdefault(_zone_key(machine, spec), []).append((count, ease, machine))
+        drainable = _drainable(machine, spec)
+        if drainable.tasks > 0:
+            by_zone.setdefault(_zone_key(machine, spec), []).append(drainable)
     for placement in placements:
-        kept: list[Machine] = []
-        left = spec.task_count
-        for count, _, machine in sorted(by_zone.get(placement.zone, ()), key=lambda i: (-i[1], i[2].name)):
-            kept.append(machine)
-            left -= count
-            if left <= 0 or len(kept) == constants.GANG_HOLD_MACHINES:
+        held: list[Machine] = []
+        missing_tasks = spec.task_count
+        for drainable in sorted(
+            by_zone.get(placement.zone, ()), key=lambda each: (-each.spare_cpus, each.machine.name)
+        ):
+            held.append(drainable.machine)
+            missing_tasks -= drainable.tasks
+            if missing_tasks <= 0 or len(held) == constants.GANG_HOLD_MACHINES:
                 break
-        if left <= 0:
-            return kept
+        if missing_tasks <= 0:
+            return held
     return []
+
+
+def _drainable(machine: Machine, spec: JobSpec) -> _Drainable:
+    attempts = [attempt for attempt in machine.attempts.values() if attempt.spec is not None]
+    ending = [attempt for attempt in attempts if attempt.spec is not None and not attempt.spec.is_service]
+    spare_cpus = machine.capacity_cpus - machine.cpus - (len(attempts) - len(ending))
+    return _Drainable(task_capacity(machine, spec, ending), spare_cpus, machine)
--- a/sorrelsill/placement/gang_scheduler.py
+++ b/sorrelsill/placement/gang_scheduler.py
@@ -57,7 +57,7 @@
         if equivalence in cycle.unschedulable_classes and not has_room_kept:
             self._unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, False, spec.zone)
             return
-        room = [m for m in cluster.index.with_room(spec) if self._chooser.may_take(job, m, now)]
+        room = [m for m in cluster.index.with_room(spec) if self._chooser.is_feasible(job, m, now)]
         zones = [zone for zone in cluster.catalog.zones if spec.zone in (None, zone)]
         placements = gang_placement.find_placements(spec, room, zones)
         if placements and not placements[0].missing_tasks:
@@ -106,7 +106,7 @@
         """Hold machines for a gang, which drain until it fits; otherwise small tasks would take each gap for ever. A
         latency-sensitive gang gets them at once, others once they are starved; few at a time, so that arrays go on."""
         spec, now, reservations = job.spec, cycle.now, self._reservations
-        urgent = self._objectives.should_start_at_once(spec.job_class) or is_starved(job, now)
+        urgent = self._objectives.is_latency_sensitive(spec.job_class) or is_starved(job, now)
         if reservations.holds_machines_for(spec.job_id) or not urgent:
             return
         if reservations.gang_hold_count() >= constants.GANG_HOLD_SHARE * len(cycle.machines):
--- a/sorrelsill/placement/objectives.py
+++ b/sorrelsill/placement/objectives.py
@@ -49,6 +49,6 @@
             missed += 1
         return NextObjective(missed, job.submitted)
 
-    def should_start_at_once(self, job_class: str) -> bool:
+    def is_latency_sensitive(self, job_class: str) -> bool:
         """Whether the class is latency-sensitive: an objective names seconds within which its tasks should start."""
         return job_class in self.start_within_s
