--- a/sorrelsill/fleet/__init__.py
+++ b/sorrelsill/fleet/__init__.py
@@ -1,22 +1,37 @@
-"""The fleet: machine types, rentals and returns."""
+"""The fleet of rented machines: machine catalog, scaling out and in, rebalancing of services."""
 
 from sorrelsill.fleet.boot_times import BootTimes
+from sorrelsill.fleet.capacity_plan import plan
 from sorrelsill.fleet.catalog import parse_catalog
 from sorrelsill.fleet.cloud import Cloud
+from sorrelsill.fleet.errors import CatalogError, CloudError, FleetError
+from sorrelsill.fleet.fleet_state import FleetSettings
+from sorrelsill.fleet.instances import (
+    BootingInstance,
+    CapacityDemand,
+    InstanceOffer,
+    boot_failed,
+    can_wait_for_scale_out,
+    expected_instances,
+    lead_time_s,
+)
 from sorrelsill.fleet.manager import FleetManager
-from sorrelsill.fleet.rentals import Need, Offer, Pending, counted_on, given_up, lead_time_s, plan, time_to_rent
 
 __all__ = [
     "BootTimes",
+    "BootingInstance",
+    "CapacityDemand",
+    "CatalogError",
     "Cloud",
+    "CloudError",
+    "FleetError",
     "FleetManager",
-    "Need",
-    "Offer",
-    "Pending",
-    "counted_on",
-    "given_up",
+    "FleetSettings",
+    "InstanceOffer",
+    "boot_failed",
+    "can_wait_for_scale_out",
+    "expected_instances",
     "lead_time_s",
     "parse_catalog",
     "plan",
-    "time_to_rent",
 ]
--- a/sorrelsill/fleet/boot_times.py
+++ b/sorrelsill/fleet/boot_times.py
@@ -1,7 +1,7 @@
-"""How long machines take to come up, as published and as seen lately: when one is late, when it is given up.
+"""Boot times of instances, as published and as observed lately: when a boot is late, when it has failed.
 
 A late machine may still come up, so it is kept, but the plan stops counting on it. One that has been booting for
-longer than any machine seen lately will most likely never come up, and is paid for until it is deleted."""
+longer than any observed lately will most likely never come up, and is paid for until it is deleted."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
     """Boot times by machine type. Pure: durations are given."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, deque[float]] = {}
+        self._observed_s: dict[str, deque[float]] = {}
 
-    def note(self, machine_type: str, boot_s: float) -> None:
-        """A machine that we rented has reported for the first time, `boot_s` after it was rented."""
-        self._seen.setdefault(machine_type, deque(maxlen=constants.BOOTS_KEPT)).append(boot_s)
+    def record(self, machine_type: str, boot_s: float) -> None:
+        """An instance rented by this process has sent its first heartbeat, `boot_s` seconds after it was rented."""
+        self._observed_s.setdefault(machine_type, deque(maxlen=constants.BOOTS_KEPT)).append(boot_s)
 
     def late_after_s(self, machine_type: str, catalog: Catalog) -> float:
-        """A machine that takes longer than this is late: the plan no longer counts on it."""
-        published = _published_s(machine_type, catalog)
-        seen = self._enough(machine_type)
-        usual = constants.BOOT_LATE_OF_SEEN * statistics.median(seen) if seen else 0.0
-        return max(constants.BOOT_LATE * published, usual) + constants.BOOT_EXTRA_S
-
-    def give_up_after_s(self, machine_type: str, catalog: Catalog) -> float:
-        """A machine that takes longer than this is deleted."""
-        published = _published_s(machine_type, catalog)
-        seen = self._enough(machine_type)
-        if not seen:
-            return constants.BOOT_GIVE_UP * published + constants.BOOT_EXTRA_S
-        longest = constants.BOOT_GIVE_UP_OF_SEEN * max(seen)
-        return max(constants.BOOT_GIVE_UP_SEEN * published, longest) + constants.BOOT_EXTRA_S
-
-    def _enough(self, machine_type: str) -> deque[float] | None:
-        seen = self._seen.get(machine_type)
-        return seen if seen is not None and len(seen) >= constants.BOOTS_ENOUGH else None
+        """An instance that takes longer than so many seconds is late: the plan no longer counts on it."""
+        published_s = _published_s(machine_type, catalog)
+        observed_s = self._enough_observed(machine_type)
+        usual_s = constants.BOOT_LATE_OF_OBSERVED * statistics.median(observed_s) if observed_s else 0.0
+        return max(constants.BOOT_LATE * published_s, usual_s) + constants.BOOT_EXTRA_S
+
+    def failed_after_s(self, machine_type: str, catalog: Catalog) -> float:
+        """The boot of an instance that takes longer than so many seconds has failed: it is returned."""
+        published_s = _published_s(machine_type, catalog)
+        observed_s = self._enough_observed(machine_type)
+        if not observed_s:
+            return constants.BOOT_FAILED * published_s + constants.BOOT_EXTRA_S
+        longest_s = constants.BOOT_FAILED_OF_OBSERVED * max(observed_s)
+        return max(constants.BOOT_FAILED_OBSERVED * published_s, longest_s) + constants.BOOT_EXTRA_S
+
+    def _enough_observed(self, machine_type: str) -> deque[float] | None:
+        observed_s = self._observed_s.get(machine_type)
+        return observed_s if observed_s is not None and len(observed_s) >= constants.BOOTS_ENOUGH else None
 
 
 def _published_s(machine_type: str, catalog: Catalog) -> float:
-    kind = catalog.machine_types.get(machine_type)
-    return kind.boot_s if kind is not None else constants.MIN_CHARGE_S
+    offered = catalog.machine_types.get(machine_type)
+    return offered.boot_s if offered is not None else constants.MIN_CHARGE_S
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -1,179 +1,176 @@
-"""What the fleet should have room for: tasks that wait, and room kept ready where aims leave no time to boot."""
+"""Capacity demand on the fleet: unschedulable tasks, and headroom where objectives leave no time to boot."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
+from collections.abc import Iterator
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+import trio
+
 from sorrelsill import constants
-from sorrelsill.fleet.rentals import Need, Pending, lead_time_s, time_to_rent
-from sorrelsill.fleet.spare_room import SpareRoom, tasks_that_could_start
+from sorrelsill.fleet.fleet_state import FleetState
+from sorrelsill.fleet.free_capacity import SMALLEST_AMOUNT, FreeCapacity
+from sorrelsill.fleet.instances import BootingInstance, CapacityDemand, can_wait_for_scale_out, lead_time_s
 
 if TYPE_CHECKING:
-    from sorrelsill.model import JobSpec
-    from sorrelsill.workers import ClusterState, Machine, UnschedulableDemand
-
-
-class Demand:
-    """Pure decisions on the cluster state and the machines on their way."""
-
-    def __init__(
-        self,
-        cluster: ClusterState,
-        unschedulable: Callable[[], list[UnschedulableDemand]],
-        counted_on: Callable[[], list[Pending]],
-        optimise_latency: bool,
-        prompt: set[str],
-    ) -> None:
-        self._cluster = cluster
-        self._unschedulable = unschedulable
-        self._counted_on = counted_on  # machines on their way that are expected to come up in time
-        self._optimise_latency = optimise_latency  # time counts, not money
-        self._prompt = prompt  # classes whose tasks should start within seconds
-        self._spare_room = SpareRoom(cluster.index)
-
-    def needs(self, now: float) -> list[Need]:
-        """Room that is missing for waiting tasks, and what is kept ready ahead of work."""
-        out = []
-        for item in self._unschedulable():
-            if item.limited:
-                continue
-            job, spec = item.job, item.job.spec
-            count = min(item.count, 40 * constants.RENT_MAX)
-            if spec.deadline_s is not None and not spec.is_service and not spec.is_gang:
-                count = min(count, self._enough(item, now))
-            if count > 0:
-                patient = spec.spot_allowed and not self._optimise_latency and self._can_wait(item, now)
-                out.append(
-                    Need(
-                        count,
-                        spec.cpus,
-                        spec.gpus,
-                        spec.memory_gb,
-                        spec.machine_types,
-                        spec.zone or item.zone,
-                        spec.spot_allowed,
-                        spec.zone_limit if spec.spread_zones else None,
-                        dict(job.zones),
-                        patient,
-                    )
-                )
-        return out + self._spare_needs() + self._group_needs() + (self._headroom() if self._optimise_latency else [])
-
-    def _headroom(self) -> list[Need]:
-        """Where time counts, whole machines ahead of the work: in a burst of arrays a boot costs more than their run.
-        What is coming up is filled first, by the plan."""
-        kinds = list(self._cluster.catalog.machine_types.values())
-        if not kinds:
+    from sorrelsill.model import JobSpec, MachineType
+    from sorrelsill.workers import UnschedulableDemand
+
+
+_MOST_TASKS = 40 * constants.SCALE_OUT_BATCH_MAX  # of one job, for which capacity is planned at a time
+
+
+@dataclass(slots=True)
+class GangCapacity:
+    """Capacity for latency-sensitive gangs on on-demand machines."""
+
+    free_cpus: dict[str, float]  # by zone, free or booting
+    kept_cpus: float  # in one zone; 0 if none are kept
+
+    def zone(self) -> str:
+        """The zone with most free CPUs, where the headroom is kept."""
+        return max(sorted(self.free_cpus), key=lambda zone: self.free_cpus[zone])
+
+
+class FleetDemand:
+    """Decisions on the cluster state and the booting instances."""
+
+    def __init__(self, state: FleetState) -> None:
+        self._state = state
+        self._cluster = state.cluster
+        self._optimise_latency = state.settings.optimise_latency
+        self._latency_sensitive = state.settings.latency_sensitive
+        self._free_capacity = FreeCapacity(state.cluster.index)
+
+    def demands(self, now: float) -> list[CapacityDemand]:
+        """Capacity that is missing for unschedulable tasks, and headroom."""
+        demands = [
+            self._demand_of(item, count, now)
+            for item in self._state.unschedulable()
+            if not item.limited and (count := self._tasks_to_rent_for(item, now)) > 0
+        ]
+        demands += self._service_headroom_demands()
+        demands += self._gang_headroom_demands()
+        if self._optimise_latency:
+            demands += self._latency_headroom_demands()
+        return demands
+
+    def _tasks_to_rent_for(self, item: UnschedulableDemand, now: float) -> int:
+        spec = item.job.spec
+        count = min(item.count, _MOST_TASKS)
+        if spec.deadline_s is not None and not spec.is_service and not spec.is_gang:
+            count = min(count, self._tasks_needed_at_once(item, now))
+        return count
+
+    def _demand_of(self, item: UnschedulableDemand, count: int, now: float) -> CapacityDemand:
+        spec = item.job.spec
+        return CapacityDemand(
+            count,
+            spec.cpus,
+            spec.gpus,
+            spec.memory_gb,
+            spec.machine_types,
+            zone=spec.zone or item.zone,
+            spot=spec.spot_allowed,
+            max_per_zone=spec.zone_limit if spec.spread_zones else None,
+            zones=dict(item.job.zones),
+            spot_only=spec.spot_allowed and not self._optimise_latency and self._can_wait_for_spot(item, now),
+        )
+
+    def _latency_headroom_demands(self) -> list[CapacityDemand]:
+        """Where latency is optimised for, whole machines ahead of the work: in a burst of arrays a boot costs more than
+        their run. Booting instances are filled first, by the plan."""
+        machine_types = self._cluster.catalog.machine_types.values()
+        if not machine_types:
             return []
         used = free = 0.0
         for machine in self._cluster.index.ready:
             used += machine.cpus
             free += machine.capacity_cpus - machine.cpus
-        kind = min(kinds, key=lambda f: f.cost(False) / max(f.cpus, 0.1))
-        missing = int((constants.HEADROOM * used - free) / max(kind.cpus, 0.1))
-        return [Need(missing, kind.cpus, 0.0, kind.memory_gb, None, None, True, None)] if missing > 0 else []
+        cheapest = min(machine_types, key=lambda each: each.cost(False) / max(each.cpus, SMALLEST_AMOUNT))
+        missing = int((constants.HEADROOM * used - free) / max(cheapest.cpus, SMALLEST_AMOUNT))
+        if missing <= 0:
+            return []
+        return [CapacityDemand(missing, cheapest.cpus, 0.0, cheapest.memory_gb, None, None, True, None)]
 
-    def gang_headroom(self) -> tuple[dict[str, float], float]:
-        """CPUs on ordinary machines, free or coming, by zone; and how many are kept ready in one zone for groups."""
-        kept = 0.0 if self._optimise_latency else self._cluster.gang_headroom_cpus(self._prompt)
+    def gang_headroom(self) -> GangCapacity:
+        """On-demand CPUs that are free or booting, and how many of them are kept free for gangs."""
+        kept = 0.0 if self._optimise_latency else self._cluster.gang_headroom_cpus(self._latency_sensitive)
         if not kept:
-            return {}, 0.0
+            return GangCapacity({}, 0.0)
         free = dict.fromkeys(self._cluster.catalog.zones, 0.0) | self._cluster.index.free.ordinary_cpus()
-        for p in self._counted_on():
-            kind = self._cluster.catalog.machine_types.get(p.machine_type)
-            if kind is not None and not p.spot:
-                free[p.zone] = free.get(p.zone, 0.0) + kind.cpus
-        return free, kept
-
-    def _group_needs(self) -> list[Need]:
-        free, kept = self.gang_headroom()
-        if not kept:
-            return []
-        zone = max(sorted(free), key=lambda z: free[z])
-        gangs = [s for name in self._prompt if (s := self._cluster.largest_gang.get(name)) is not None]
-        spec = max(gangs, key=lambda s: (s.cpus, s.job_id))
-        missing = math.ceil((kept - free[zone]) / max(spec.cpus, 0.1))
-        if missing <= 0:
+        for instance, machine_type in self._expected_on_demand():
+            free[instance.zone] = free.get(instance.zone, 0.0) + machine_type.cpus
+        return GangCapacity(free, kept)
+
+    def _expected_on_demand(self) -> Iterator[tuple[BootingInstance, MachineType]]:
+        """Booting on-demand instances that are expected to come up in time."""
+        for instance in self._state.expected_instances(trio.current_time()):
+            machine_type = self._cluster.catalog.machine_types.get(instance.machine_type)
+            if machine_type is not None and not instance.spot:
+                yield instance, machine_type
+
+    def _gang_headroom_demands(self) -> list[CapacityDemand]:
+        capacity = self.gang_headroom()
+        if not capacity.kept_cpus:
             return []
-        return [Need(missing, spec.cpus, spec.gpus, spec.memory_gb, spec.machine_types, zone, False, None)]
-
-    def spare_spec(self) -> JobSpec | None:
+        zone = capacity.zone()
+        largest = self._cluster.largest_gang
+        gangs = [spec for name in self._latency_sensitive if (spec := largest.get(name)) is not None]
+        spec = max(gangs, key=lambda gang: (gang.cpus, gang.job_id))
+        missing = math.ceil((capacity.kept_cpus - capacity.free_cpus[zone]) / max(spec.cpus, SMALLEST_AMOUNT))
+        return [_on_demand(spec, missing, zone)] if missing > 0 else []
+
+    def service_headroom_spec(self) -> JobSpec | None:
         """The largest live service of a class whose tasks should start within seconds: room for one more of
         it is kept ready, since a machine takes far longer to boot."""
-        jobs = [j.spec for j in self._cluster.jobs.values() if j.spec.is_service and j.spec.job_class in self._prompt]
+        jobs = [
+            j.spec
+            for j in self._cluster.jobs.values()
+            if j.spec.is_service and j.spec.job_class in self._latency_sensitive
+        ]
         return max(jobs, key=lambda s: (s.zone_limit * s.cpus, s.job_id), default=None)
 
-    def spare_room(self, spec: JobSpec) -> dict[str, int]:
-        """Tasks of this kind that could start at once, by zone: in free room or in place of lesser work."""
-        room: dict[str, int] = {z: 0 for z in self._cluster.catalog.zones if spec.zone in (None, z)}
-        room |= {zone: tasks for zone, tasks in self._spare_room.by_zone(spec).items() if tasks or zone in room}
-        for p in self._counted_on():
-            kind = self._cluster.catalog.machine_types.get(p.machine_type)
-            if kind is not None and not p.spot and (spec.machine_types is None or p.machine_type in spec.machine_types):
-                room[p.zone] = room.get(p.zone, 0) + int(kind.cpus // max(spec.cpus, 0.1))
-        return room
-
-    def _spare_needs(self) -> list[Need]:
-        spec = self.spare_spec()
+    def service_capacity(self, spec: JobSpec) -> dict[str, int]:
+        """Tasks of this kind that could start at once, by zone: on free capacity or by preemption."""
+        tasks: dict[str, int] = {zone: 0 for zone in self._cluster.catalog.zones if spec.zone in (None, zone)}
+        tasks |= {zone: free for zone, free in self._free_capacity.by_zone(spec).items() if free or zone in tasks}
+        for instance, machine_type in self._expected_on_demand():
+            if spec.machine_types is None or instance.machine_type in spec.machine_types:
+                fitting = int(machine_type.cpus // max(spec.cpus, SMALLEST_AMOUNT))
+                tasks[instance.zone] = tasks.get(instance.zone, 0) + fitting
+        return tasks
+
+    def _service_headroom_demands(self) -> list[CapacityDemand]:
+        spec = self.service_headroom_spec()
         if spec is None:
             return []
         return [
-            Need(spec.zone_limit - have, spec.cpus, spec.gpus, spec.memory_gb, spec.machine_types, zone, False, None)
-            for zone, have in sorted(self.spare_room(spec).items())
-            if have < spec.zone_limit
+            _on_demand(spec, spec.zone_limit - tasks, zone)
+            for zone, tasks in sorted(self.service_capacity(spec).items())
+            if tasks < spec.zone_limit
         ]
 
-    def _can_wait(self, item: UnschedulableDemand, now: float) -> bool:
-        """Whether a task started on a machine that is rented later can still be in time."""
+    def _can_wait_for_spot(self, item: UnschedulableDemand, now: float) -> bool:
+        """Whether a task started on an instance that is rented later can still meet its deadline."""
         spec = item.job.spec
         if spec.deadline_s is None:
             return False
-        return time_to_rent(spec, self._cluster.catalog, item.job.submitted + spec.deadline_s - now)
+        return can_wait_for_scale_out(spec, self._cluster.catalog, item.job.submitted + spec.deadline_s - now)
 
-    def _enough(self, item: UnschedulableDemand, now: float) -> int:
-        """How many more tasks at once meet the deadline: machines beyond that cost without use."""
+    def _tasks_needed_at_once(self, item: UnschedulableDemand, now: float) -> int:
+        """How many more concurrent tasks meet the deadline: capacity beyond that costs without use."""
         job, spec = item.job, item.job.spec
         assert spec.deadline_s is not None
-        boot, pull = lead_time_s(spec, self._cluster.catalog)
-        left = (job.submitted + spec.deadline_s - now) * constants.DEADLINE_USE - boot - pull
-        waves = max(1, int(left / max(1.0, spec.expected_run_s)))
+        boot_s, fetch_s = lead_time_s(spec, self._cluster.catalog)
+        left_s = (job.submitted + spec.deadline_s - now) * constants.DEADLINE_USE - boot_s - fetch_s
+        waves = max(1, int(left_s / max(1.0, spec.expected_run_s)))
         tasks = spec.task_count - job.done.count
         return max(0, -(-tasks // waves) - len(job.bound))
 
 
-class RoomToKeep:
-    """The room that returns must leave: for gangs that wait, for one more gang, for one more service."""
-
-    def __init__(self, demand: Demand, unschedulable: list[UnschedulableDemand]) -> None:
-        self._demand = demand
-        self._spare = demand.spare_spec()
-        # A gang that waits needs several machines at once. Guards against each machine rented for it going back as
-        # idle before the next one is up.
-        self._awaited = [(u.job.spec, u.zone) for u in unschedulable if u.job.spec.is_gang and not u.limited]
-        self._free, self._kept = demand.gang_headroom()
-        self._room: dict[str, int] | None = None  # worked out only if a machine could go, since it walks all of them
-
-    def lets_go(self, machine: Machine) -> bool:
-        """Whether an idle machine may go back; if so it is counted as gone."""
-        if any(zone in (None, machine.zone) and machine.allows(spec) for spec, zone in self._awaited):
-            return False
-        if self._kept and not machine.spot:
-            fullest = max(sorted(self._free), key=lambda zone: self._free[zone])
-            if machine.zone == fullest and self._free[machine.zone] - machine.capacity_cpus < self._kept:
-                return False
-            self._free[machine.zone] -= machine.capacity_cpus
-        return self._leaves_spare(machine)
-
-    def _leaves_spare(self, machine: Machine) -> bool:
-        spare = self._spare
-        if spare is None or not machine.allows(spare):
-            return True
-        if self._room is None:
-            self._room = self._demand.spare_room(spare)
-        mine = tasks_that_could_start(machine, spare)
-        if self._room.get(machine.zone, 0) - mine < spare.zone_limit:
-            return False
-        self._room[machine.zone] -= mine
-        return True
+def _on_demand(spec: JobSpec, count: int, zone: str) -> CapacityDemand:
+    """Headroom for so many tasks, on on-demand machines of the zone."""
+    return CapacityDemand(count, spec.cpus, spec.gpus, spec.memory_gb, spec.machine_types, zone, False, None)
--- a/sorrelsill/fleet/machine_list.py
+++ b/sorrelsill/fleet/machine_list.py
@@ -1,20 +1,31 @@
 """Reading the cloud's machine list, page by page, between other calls to the cloud.
 
-A large fleet's list takes many pages. Read in one go, at the cloud's rate, nothing could be rented or returned
-meanwhile; read as often as a small one, it would take the whole rate."""
+A large fleet's list takes many pages. Read without pauses, at the cloud's rate limit, it would keep rentals and returns
+waiting; read as often as a small one, it would use up the whole rate."""
 
 from __future__ import annotations
 
+import enum
 import logging
 
 import msgspec
 
 from sorrelsill import constants
-from sorrelsill.fleet.cloud import Cloud, CloudError
+from sorrelsill.events import log_event
+from sorrelsill.fleet.cloud import Cloud
+from sorrelsill.fleet.errors import CloudError
 
 log = logging.getLogger(__name__)
 
 
+class ListedPhase(enum.StrEnum):
+    """Phases of a machine that the fleet acts on; the list may name others."""
+
+    BOOTING = "booting"
+    RUNNING = "running"
+    FAILED = "failed"
+
+
 class ListedMachine(msgspec.Struct, frozen=True):
     """What the list says of a machine, under the names of the wire."""
 
@@ -26,15 +37,15 @@
     age_s: float = msgspec.field(name="ageS", default=0.0)
 
 
-Listing = dict[str, ListedMachine]  # by machine
+MachineList = dict[str, ListedMachine]  # by machine
 
 
 class MachineListReader:
-    """One page at a time; a reading that fails begins anew at the next time."""
+    """One page at a time; a failed reading starts again from the first page."""
 
     def __init__(self, cloud: Cloud) -> None:
         self._cloud = cloud
-        self._found: Listing | None = None  # by the reading under way
+        self._found: MachineList | None = None  # by the reading under way
         self._last = ""  # the last machine of the page read last
         self._pages = 0
         self._begun_at = float("-inf")
@@ -44,7 +55,7 @@
         """Whether the next page should be read."""
         return self._found is not None or now - self._begun_at >= self.interval_s
 
-    async def read_page(self, now: float) -> Listing | None:
+    async def read_page(self, now: float) -> MachineList | None:
         """Read the next page. The whole list, if that was its last page."""
         if self._found is None:
             self._found, self._last, self._pages = {}, "", 0
@@ -54,7 +65,7 @@
             answer = await self._cloud.call("GET", target)
             machines = msgspec.convert(answer.get("hosts") or [], list[ListedMachine])
         except (CloudError, msgspec.ValidationError) as error:
-            log.info("machine list: %s", error)
+            log_event(log, logging.INFO, "machine_list_failed", reason=error)
             self._found = None
             return None
         for machine in machines:
--- a/sorrelsill/placement/order.py
+++ b/sorrelsill/placement/order.py
@@ -1,5 +1,5 @@
-"""Which job is served first: production, then what nothing of which ran for too long, then what lies within its team's
-guarantee, then by rank; inside these by marks missed, then the least remaining work. Pure: time is given."""
+"""Which job is served first: production, then starved jobs, then those covered by their team's guaranteed share, then
+by priority; among equals by objectives missed, then the least remaining work. Pure: time is given."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
     """Compared field by field; lower goes first."""
 
     below_production: bool
-    not_aged: bool
+    not_starved: bool
     outside_guarantee: bool
     priority: int
-    missed_marks: int
+    missed_objectives: int
     work_left: float  # CPU seconds
-    next_mark: float
+    next_objective: float
 
 
 def precedence(job: Job, objectives: ServiceLevelObjectives, guaranteed: bool, now: float) -> Precedence:
     """Where a waiting job stands in the order."""
     spec = job.spec
-    mark = objectives.next_mark(job, now)
-    # The least work first: by their marks alone, in a burst all jobs share what room there is and all miss.
+    objective = objectives.next_objective(job, now)
+    # The least work first: by their targets alone, in a burst all jobs share what capacity there is and all miss.
     work = 0.0 if spec.is_service else (spec.task_count - job.done.count) * spec.cpus * spec.expected_run_s
     return Precedence(
-        spec.priority > 0, not aged_out(job, now), not guaranteed, spec.priority, mark.missed, work, mark.at
+        spec.priority > 0, not is_starved(job, now), not guaranteed, spec.priority, objective.missed, work, objective.at
     )
 
 
-def aged_out(job: Job, now: float) -> bool:
-    """Nothing of it has run for so long that the order of jobs must not keep it waiting any more."""
-    return not job.bound and now - job.last_activity_at > constants.AGED_S
+def is_starved(job: Job, now: float) -> bool:
+    """Whether the job is starved: none of its tasks ran for so long that it must not be kept waiting any more."""
+    return not job.bound and now - job.last_activity_at > constants.STARVATION_S
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -55,7 +55,7 @@
         self.avoid: dict[str, float] = {}
         # Of its finished tasks, `PART_SHARDS` to a part, the parts that are not recorded yet.
         self.unrecorded_parts: set[int] = set()
-        self.chunked = spec.task_count > constants.CHUNK_SHARDS  # its finished tasks are kept beside its record
+        self.chunked = spec.task_count > constants.CHUNK_TASKS  # its finished tasks are kept beside its record
         self.recorded_running = 0  # tasks that run, as the record says
         self.recorded_at = now
         self.order = 0
@@ -97,4 +97,4 @@
         """Tell its users why tasks stopped or wait; the newest notes are kept."""
         if not self.notes or self.notes[-1] != text:
             self.notes.append(text)
-            del self.notes[: -constants.WHY_NOTES]
+            del self.notes[: -constants.REASONS_KEPT]
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -81,7 +81,7 @@
         return False
     machines = cluster.machines.values()
     with_lease = sum(1 for m in machines if not m.lease_expired and m.lease_renewed_at is not None)
-    return with_lease >= constants.DEAF_HOSTS
+    return with_lease >= constants.NO_HEARTBEAT_MACHINES
 
 
 def drain(cluster: ClusterRecords, now: float) -> None:
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -25,7 +25,7 @@
     job = cluster.jobs.get(attempt.job_id)
     attempt.clearable = True
     if attempt.start_sent:
-        attempt.clear_after = now + constants.REPEAT_S
+        attempt.clear_after = now + constants.DUPLICATE_START_S
     cluster.unbind(attempt, now)
     if job is not None:
         _explain(cluster, job, attempt, status, now)
@@ -49,7 +49,7 @@
     """The tasks of a gang complete together, also those whose machines die before they say so."""
     for done_index in range(job.spec.task_count) if job.spec.is_gang else (index,):
         if job.done.add(done_index):
-            job.unrecorded_parts.add(done_index // constants.PART_SHARDS)
+            job.unrecorded_parts.add(done_index // constants.PART_TASKS)
             cluster.pending_writes.record_due(job.spec.job_id)
             cluster.job_changed(job.spec.job_id)
 
