--- /dev/null
+++ b/tests/scenarios/test_controller_restarts.py
@@ -0,0 +1,193 @@
+"""Controllers that are killed and started again: one, one after the other, or all for longer than a lease."""
+
+import pytest
+import trio
+
+from tests.simulation import SimulatedCluster, job, run_scenario, service
+from tests.simulation.rules import LEASE_S
+from tests.simulation.users import LABELS
+
+
+async def wait_for_steps(
+    simulation: SimulatedCluster, began: float, services: list[str], starts_before: int
+) -> dict[str, float]:
+    """Seconds from `began` until each step of a restart of all controllers."""
+    steps: dict[str, float] = {}
+
+    def note(step: str, reached: bool) -> None:
+        if reached and step not in steps:
+            steps[step] = trio.current_time() - began
+
+    while len(steps) < 6:
+        assert trio.current_time() - began < 90, steps
+        up = [node for label, node in simulation.nodes.items() if label not in simulation.net.down]
+        note("process up", bool(up))
+        note("view loaded", any(node.watch_cache.loaded for node in up))
+        label = simulation.leader()
+        note("leading", label is not None)
+        cluster = simulation.nodes[label].cluster if label is not None else None
+        note(
+            "machines confirmed", cluster is not None and not cluster.failover.unconfirmed and bool(cluster.index.ready)
+        )
+        note("first start", len(simulation.starts) > starts_before)
+        note("last service up", all(len(simulation.running(job_id)) == 3 for job_id in services))
+        await trio.sleep(0.01)
+    return steps
+
+
+@pytest.mark.parametrize("way", ["together", "one by one", "back and gone again"])
+def test_all_controllers_away_longer_than_a_lease(way: str) -> None:
+    """What was accepted is known and starts anew; users are answered as soon as one controller is up."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
+        services = [f"run-s{number}" for number in range(4)]
+        for job_id in services:
+            await simulation.submit(service(job_id, shards=3))
+        await simulation.until(lambda: all(len(simulation.running(job_id)) == 3 for job_id in services), 90)
+        await simulation.submit(job("run-a", shards=8, expectedRunS=20.0))
+        await trio.sleep(3)
+        for label in LABELS:
+            simulation.kill(label)
+        await trio.sleep(2 * LEASE_S)
+        assert not any(worker.on for worker in simulation.workers.values())
+        starts = len(simulation.starts)
+        began = trio.current_time()
+        if way == "back and gone again":
+            for label in LABELS:
+                simulation.start(label)
+            await trio.sleep(0.7)
+            for label in LABELS:
+                simulation.kill(label)
+            await trio.sleep(5)
+            began = trio.current_time()
+        if way == "one by one":
+            simulation.start("n2")
+            simulation.nursery.start_soon(_start_later, simulation, {"n0": 6.0, "n1": 12.0})
+        else:
+            for label in LABELS:
+                simulation.start(label)
+        simulation.nursery.start_soon(_ask_soon, simulation, [*services, "run-a"])
+        steps = await wait_for_steps(simulation, began, services, starts)
+        print(f"{way}: " + ", ".join(f"{step} {at:.2f} s" for step, at in steps.items()))
+        assert steps["view loaded"] < 0.5
+        assert steps["leading"] < 2.6, "a promise of the former process, and the key"
+        assert steps["first start"] - steps["leading"] < 2.0
+        assert steps["last service up"] - steps["first start"] < 5.0
+        await simulation.wait_for_convergence()
+
+    run_scenario(scenario)
+
+
+async def _ask_soon(simulation: SimulatedCluster, job_ids: list[str]) -> None:
+    """Users are answered long before anybody leads."""
+    await trio.sleep(0.5)
+    assert simulation.leader() is None
+    for job_id in job_ids:
+        status, _ = await simulation.ask("n2", "GET", f"/v2/runs/{job_id}")
+        assert status == 200, f"{job_id} is answered as soon as a controller is up"
+    assert (await simulation.ask("n2", "GET", "/v2/runs/run-never"))[0] == 404
+    job_id = "run-early"
+    simulation.specs[job_id] = job(job_id, shards=1)
+    status, _ = await simulation.ask("n2", "POST", "/v2/runs", simulation.specs[job_id])
+    assert status in (201, 503), "no machine types are known yet, or they are on record"
+
+
+async def _start_later(simulation: SimulatedCluster, delays: dict[str, float]) -> None:
+    began = trio.current_time()
+    for label, delay_s in delays.items():
+        await trio.sleep_until(began + delay_s)
+        simulation.start(label)
+
+
+def test_quick_restarts_in_the_middle_of_elections() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(service("run-s", shards=4))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        before = len(simulation.starts)
+        for turn in range(6):
+            label = simulation.leader() or sorted(simulation.nodes)[turn % 3]
+            simulation.kill(label)
+            await trio.sleep(0.2)
+            simulation.start(label)
+            await trio.sleep(0.7 * (turn + 1))
+        began = trio.current_time()
+        await simulation.until_leader(10)
+        assert trio.current_time() - began < 6
+        await simulation.submit(job("run-n"))
+        await simulation.until_phase("run-n", "done")
+        assert len(simulation.running("run-s")) == 4 and len(simulation.starts) == before + 2
+
+    run_scenario(scenario)
+
+
+def test_a_leader_back_at_once_does_not_leave_its_key_to_run_out() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        old = await simulation.until_leader()
+        simulation.kill(old)
+        await trio.sleep(0.1)
+        simulation.start(old)
+        began = trio.current_time()
+        await simulation.until_leader(10)
+        assert trio.current_time() - began < simulation.nodes[old].timings.lease_s / 2
+
+    run_scenario(scenario)
+
+
+def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(service("run-s", shards=4, vcpus=1.0))
+        await simulation.submit(job("run-a", shards=6, vcpus=1.0, expectedRunS=20.0))
+        await simulation.submit(service("run-c", shards=2, vcpus=1.0))
+        await simulation.until(lambda: len(simulation.running("run-c")) == 2 and len(simulation.running("run-a")) == 6)
+        await simulation.cancel("run-c")
+        for label in LABELS:
+            simulation.kill(label)
+        await trio.sleep(2 * LEASE_S)
+        assert not any(simulation.running(job_id) for job_id in ("run-s", "run-a", "run-c"))
+        simulation.start("n1")
+        assert (await simulation.poll("run-a", "n1"))[0] in (200, 503)
+        await trio.sleep(3)
+        assert (await simulation.poll("run-a", "n1"))[0] == 200 and await simulation.submit(job("run-n")) == 201
+        await simulation.until_leader(15)
+        await simulation.wait_for_convergence()
+
+    run_scenario(scenario)
+
+
+def test_all_controllers_restarted_forget_nothing() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(job("run-d"))
+        await simulation.until_phase("run-d", "done")
+        await simulation.submit(service("run-s", shards=2))
+        await simulation.submit(service("run-c", shards=2))
+        await simulation.cancel("run-c")
+        await simulation.until(lambda: len(simulation.running("run-s")) == 2)
+        for label in list(simulation.nodes):
+            simulation.kill(label)
+        await trio.sleep(4)
+        for label in list(simulation.nodes):
+            simulation.start(label)
+        assert (await simulation.poll("run-d"))[1]["phase"] == "done"
+        assert (await simulation.poll("run-c"))[1]["phase"] == "cancelled"
+        assert await simulation.submit(job("run-d")) == 200
+        await simulation.until_leader()
+        await trio.sleep(15)
+        assert len(simulation.running("run-s")) == 2
+
+    run_scenario(scenario)
+
+
+def test_controllers_restarted_one_after_the_other() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(service("run-s", shards=4))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        before = len(simulation.starts)
+        for label in list(simulation.nodes):
+            simulation.kill(label)
+            await trio.sleep(4)
+            simulation.start(label)
+            await trio.sleep(10)
+        assert len(simulation.running("run-s")) == 4 and len(simulation.starts) == before
+
+    run_scenario(scenario)
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -370,3 +370,17 @@
     assert not late.bound
     scheduler.run_cycle(cluster, 5.0 + constants.AGED_S, lambda: 0.0, 1.0)
     assert late.bound, "what waited too long may take it"
+
+
+def test_a_gang_starts_whole_or_not_at_all() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 1
+        await simulation.submit(job("run-g", shape="group", shards=6))
+        await trio.sleep(30)
+        assert simulation.running("run-g") == [], "four of six would fit"
+        simulation.cloud.capacity = 2
+        await simulation.until_phase("run-g", "done")
+        attempts = {k for w in simulation.workers.values() for k in w.tasks}
+        assert len({n for s, n in attempts if s.startswith("run-g/")}) <= 1, "its tasks share an attempt number"
+
+    run_scenario(scenario)
--- /dev/null
+++ b/tests/scenarios/test_job_lifecycle.py
@@ -0,0 +1,59 @@
+"""A job from its submission to its end."""
+
+import trio
+
+from sorrelsill.settings import Team
+from tests.simulation import SimulatedCluster, job, run_scenario
+
+
+def test_a_job_runs_to_its_end_and_stays_done() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        assert await simulation.submit(job("run-1", shards=5)) == 201
+        await simulation.until_phase("run-1", "done")
+        for label in simulation.nodes:
+            assert (await simulation.poll("run-1", label))[1]["phase"] == "done"
+        assert await simulation.submit(job("run-1", shards=5)) == 200
+        await trio.sleep(40)
+        assert len(simulation.starts) == 5
+        assert simulation.cloud.machines == {}, "idle machines go back"
+
+    run_scenario(scenario)
+
+
+def test_cancelled_services_go_and_stay_gone() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(job("run-s", shape="standing", shards=4, scatter=True, expectedRunS=0.0))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        assert (await simulation.cancel("run-s"))["phase"] == "cancelled"
+        await simulation.until(lambda: not simulation.running("run-s"), 5)
+        for label in simulation.nodes:
+            assert (await simulation.poll("run-s", label))[1]["phase"] == "cancelled"
+        assert (await simulation.cancel("run-s"))["phase"] == "cancelled"
+
+    run_scenario(scenario)
+
+
+def test_limits_hold_and_what_waits_runs_later() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(job("run-1", shards=12))
+        await simulation.submit(job("run-2", shards=6, owner="blue"))
+        await simulation.until_phase("run-2", "done")
+        await simulation.until_phase("run-1", "done")
+        _, answer = await simulation.ask("n0", "GET", "/v2/runs/run-1/why")
+        assert any("limit of red" in note for note in answer["why"])
+
+    run_scenario(scenario, teams=[Team("red", cpus_max=8.0), Team("blue")])
+
+
+def test_a_job_of_a_hundred_thousand_tasks_is_kept_in_parts() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(job("run-big", shards=100_000, vcpus=0.5, memoryGb=0.5, expectedRunS=1.0))
+        await simulation.until(lambda: len(simulation.finished) > 500, 120)
+        leader = await simulation.until_leader()
+        simulation.kill(leader)
+        await simulation.until_leader()
+        _, before = await simulation.poll("run-big")
+        assert before["done"] > 300
+        assert (await simulation.cancel("run-big"))["phase"] == "cancelled"
+
+    run_scenario(scenario)
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -7,6 +7,7 @@
 from sorrelsill.settings import Team
 from sorrelsill.store import registry_key
 from tests.simulation import SimulatedCluster, job, run_scenario, service
+from tests.simulation.recorded_messages import record_messages, send_copy
 
 
 def test_a_leader_crash_costs_no_running_task() -> None:
@@ -211,44 +212,6 @@
     run_scenario(scenario, teams=[Team("red", cpus_max=8.0), Team("blue")])
 
 
-def test_all_controllers_restarted_forget_nothing() -> None:
-    async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(job("run-d"))
-        await simulation.until_phase("run-d", "done")
-        await simulation.submit(service("run-s", shards=2))
-        await simulation.submit(service("run-c", shards=2))
-        await simulation.cancel("run-c")
-        await simulation.until(lambda: len(simulation.running("run-s")) == 2)
-        for label in list(simulation.nodes):
-            simulation.kill(label)
-        await trio.sleep(4)
-        for label in list(simulation.nodes):
-            simulation.start(label)
-        assert (await simulation.poll("run-d"))[1]["phase"] == "done"
-        assert (await simulation.poll("run-c"))[1]["phase"] == "cancelled"
-        assert await simulation.submit(job("run-d")) == 200
-        await simulation.until_leader()
-        await trio.sleep(15)
-        assert len(simulation.running("run-s")) == 2
-
-    run_scenario(scenario)
-
-
-def test_controllers_restarted_one_after_the_other() -> None:
-    async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
-        before = len(simulation.starts)
-        for label in list(simulation.nodes):
-            simulation.kill(label)
-            await trio.sleep(4)
-            simulation.start(label)
-            await trio.sleep(10)
-        assert len(simulation.running("run-s")) == 4 and len(simulation.starts) == before
-
-    run_scenario(scenario)
-
-
 def test_a_stalled_loop_makes_the_leader_yield() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await simulation.until_leader()
@@ -278,3 +241,27 @@
     first = run_scenario(scenario, seed=5).starts
     trio_run._r.seed(0)
     assert run_scenario(scenario, seed=5).starts == first
+
+
+def test_a_controller_with_only_its_workers_sends_them_away() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(service("run-s", shards=4))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        before = len(simulation.starts)
+        old = await simulation.until_leader()
+        others = [n for n in simulation.nodes if n != old]
+        for other in ("store", "cloud", *others, *(f"{n}:peer" for n in others)):
+            simulation.net.cut(old, other)
+        simulation.net.cut(f"{old}:peer", f"{old}:peer")
+        for other in others:
+            simulation.net.cut(other, f"{old}:peer")
+        sent = record_messages(simulation, "/hello")
+        await simulation.until(lambda: simulation.leader() not in (None, old), 15)
+        await trio.sleep(1)
+        for item in [s for s in sent if s[1] == old][-3:]:
+            assert (await send_copy(simulation, old, item)).status in (421, 503)
+        assert not simulation.nodes[old].degraded_mode.active()
+        await trio.sleep(20)
+        assert len(simulation.running("run-s")) == 4 and len(simulation.starts) == before
+
+    run_scenario(scenario)
--- a/tests/scenarios/test_machine_failures.py
+++ b/tests/scenarios/test_machine_failures.py
@@ -169,3 +169,20 @@
         await simulation.until_phase("run-a", "done")
 
     run_scenario(scenario)
+
+
+def test_a_task_that_can_not_save_leaves_a_machine_before_it_is_taken() -> None:
+    """Found on a measured day: it died with its machine and was known lost only after a lease of silence."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(job("run-a", shards=1, reclaimable=True, expectedRunS=60.0))
+        await simulation.until(lambda: len(simulation.running("run-a")) == 1)
+        name = simulation.running("run-a")[0][1]
+        await simulation.submit(service("run-k", shards=4))
+        await simulation.until(lambda: len(simulation.running("run-k")) == 4)
+        simulation.workers[name].evict = trio.current_time() + 8
+        began = trio.current_time()
+        await simulation.until(lambda: any(h != name for _, h in simulation.running("run-a")), 10)
+        assert trio.current_time() - began < 8
+
+    run_scenario(scenario)
--- /dev/null
+++ b/tests/scenarios/test_one_way_partitions.py
@@ -0,0 +1,71 @@
+"""Machines whose heartbeats arrive while answers and commands to them are lost."""
+
+import trio
+
+from sorrelsill.settings import Team
+from tests.simulation import SimulatedCluster, job, run_scenario, service
+
+
+def test_a_deaf_machine_is_replaced_and_gets_no_work_until_it_hears() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 3
+        await simulation.submit(service("run-s", shards=2))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 2)
+        name = simulation.running("run-s")[0][1]
+        simulation.deafen(name)
+        await simulation.until(lambda: len([1 for _, h in simulation.running("run-s") if h != name]) == 2, 60)
+        before = [s for s in simulation.starts if s[2] == name]
+        await simulation.submit(job("run-a", shards=12, expectedRunS=3.0))
+        await simulation.until_phase("run-a", "done")
+        assert [s for s in simulation.starts if s[2] == name] == before, "work was bound to it that it can't hear of"
+        simulation.net.end_cuts_to(name)
+        await trio.sleep(10)
+        if name in simulation.workers:
+            await simulation.submit(job("run-b", shards=12, expectedRunS=30.0))
+            await simulation.until(lambda: any(h == name for _, h in simulation.running("run-b")), 60)
+
+    run_scenario(scenario)
+
+
+def test_a_start_that_a_deaf_machine_never_hears_of_is_moved() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 2
+        await simulation.submit(service("run-s", shards=1, region="a"))
+        await simulation.submit(service("run-t", shards=1, region="b"))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 1 and len(simulation.running("run-t")) == 1)
+        name = simulation.running("run-s")[0][1]
+        simulation.deafen(name)
+        await simulation.submit(service("run-n", shards=2, vcpus=1.0))
+        await simulation.until(lambda: len([1 for _, h in simulation.running("run-n") if h != name]) == 2, 40)
+
+    run_scenario(scenario)
+
+
+def test_a_deaf_machine_does_not_block_a_takeover_for_long() -> None:
+    """Roster machines were only given up when silent; one that reports but never shows our term blocked all old
+    jobs and counted toward every team's limit for ever."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(service("run-s", shards=4, scatter=True))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        name = simulation.running("run-s")[0][1]
+        simulation.deafen(name)
+        simulation.kill(await simulation.until_leader())
+        began = trio.current_time()
+        await simulation.until(lambda: len([1 for _, h in simulation.running("run-s") if h != name]) == 4, 60)
+        assert trio.current_time() - began < 35
+        leader = await simulation.until_leader()
+        assert not simulation.cluster_state(leader).failover.unconfirmed
+
+    run_scenario(scenario, teams=[Team("red", cpus_max=10.0)])
+
+
+def test_a_cancellation_reaches_a_deaf_machine_by_its_lease() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(service("run-s", shards=4))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        simulation.deafen(simulation.running("run-s")[0][1])
+        await simulation.cancel("run-s")
+        await simulation.until(lambda: not simulation.running("run-s"), 25)
+
+    run_scenario(scenario)
--- /dev/null
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -0,0 +1,280 @@
+"""Failures of machines, controllers and the store that overlap, with late copies and repeats behind them."""
+
+import pytest
+import trio
+
+from sorrelsill.settings import Team
+from tests.simulation import SimulatedCluster, job, run_scenario, service
+from tests.simulation.recorded_messages import SentMessage, record_messages
+from tests.simulation.rules import LEASE_S
+from tests.simulation.users import LABELS
+
+
+async def busy(simulation: SimulatedCluster) -> None:
+    """Some twenty machines with services and arrays of two teams on them."""
+    simulation.cloud.capacity = 24
+    for number in range(4):
+        await simulation.submit(service(f"run-s{number}", shards=6, scatter=True, rank="prod", workload="live"))
+    for number in range(4):
+        team = "red" if number % 2 else "blue"
+        await simulation.submit(job(f"run-{number}", shards=24, owner=team, vcpus=1.0, memoryGb=1.0, expectedRunS=25.0))
+    await simulation.until(lambda: sum(len(w.on) for w in simulation.workers.values()) > 90)
+
+
+async def repeat(simulation: SimulatedCluster, sent: list[SentMessage], count: int) -> None:
+    """Copies reach whoever is there now: machines that still are, and every controller."""
+    for src, dst, request in simulation.rng.sample(sent, min(count, len(sent))):
+        targets = [dst] if dst in simulation.workers else [n for n in simulation.nodes if n not in simulation.net.down]
+        for target in targets:
+            with trio.move_on_after(1):
+                await simulation.net.handlers[target](src, request)
+
+
+async def all_served(simulation: SimulatedCluster) -> None:
+    for number in range(4):
+        await simulation.until_phase(f"run-{number}", "done", 240)
+    for number in range(4):
+        await simulation.until(lambda n=number: len(simulation.running(f"run-s{n}")) == 6, 120)  # type: ignore[misc]
+
+
+@pytest.mark.parametrize("seed", [1, 2, 3])
+def test_half_the_machines_cut_and_others_hanging_around_a_takeover(seed: int) -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await busy(simulation)
+        sent = record_messages(simulation, "/hello", "/commands")
+        names = sorted(simulation.workers)
+        cut = [n for n in names if simulation.workers[n].zone == "b"]
+        hung = simulation.rng.sample([n for n in names if n not in cut], 4)
+        for name in cut:
+            simulation.cut_machine(name)
+        for name in hung:
+            simulation.workers[name].hung = True
+        await trio.sleep(simulation.rng.random() * 8)
+        leader = await simulation.until_leader()
+        simulation.kill(leader)
+        await trio.sleep(simulation.rng.random())
+        simulation.start(leader)
+        await simulation.cancel("run-0")
+        await trio.sleep(6)
+        for name in hung:
+            if name in simulation.workers:
+                simulation.workers[name].hung = False
+        await repeat(simulation, sent, 60)
+        await trio.sleep(8)
+        simulation.net.heal()
+        await repeat(simulation, sent, 60)
+        for number in range(1, 4):
+            await simulation.until_phase(f"run-{number}", "done", 240)
+        for number in range(4):
+            await simulation.until(lambda n=number: len(simulation.running(f"run-s{n}")) == 6, 120)  # type: ignore[misc]
+        assert not simulation.running("run-0")
+
+    run_scenario(scenario, seed, [Team("red", cpus_max=100.0), Team("blue", cpus_max=50.0)])
+
+
+@pytest.mark.parametrize("seed", [1, 2, 3])
+def test_every_controller_in_turn_while_machines_die(seed: int) -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await busy(simulation)
+        sent = record_messages(simulation, "/hello", "/commands")
+        for label in sorted(simulation.nodes):
+            simulation.kill(label)
+            for name in simulation.rng.sample(sorted(simulation.workers), 3):
+                simulation.kill_machine(name)
+                simulation.cloud.machines[name]["phase"] = "failed"
+            await trio.sleep(simulation.rng.choice([0.2, 3.0]))
+            simulation.start(label)
+            await trio.sleep(5)
+            await repeat(simulation, sent, 30)
+        await all_served(simulation)
+
+    run_scenario(scenario, seed)
+
+
+def test_all_controllers_at_once_with_an_outage_and_a_cut_zone() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await busy(simulation)
+        sent = record_messages(simulation, "/hello", "/commands")
+        for name in [n for n, w in simulation.workers.items() if w.zone == "a"]:
+            simulation.cut_machine(name)
+        simulation.store.begin_outage()
+        await trio.sleep(3)
+        for label in list(simulation.nodes):
+            simulation.kill(label)
+        await trio.sleep(0.3)
+        for label in list(simulation.nodes):
+            simulation.start(label)
+        await trio.sleep(9)
+        simulation.store.end_outage()
+        await repeat(simulation, sent, 60)
+        await trio.sleep(6)
+        simulation.net.heal()
+        await all_served(simulation)
+
+    run_scenario(scenario)
+
+
+def test_after_the_last_trouble_every_job_is_answered_soon() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        for number in range(30):
+            await simulation.submit(job(f"run-{number}", shards=2, expectedRunS=15.0))
+        simulation.store.begin_outage()
+        await trio.sleep(10)
+        for label in list(simulation.nodes):
+            simulation.kill(label)
+        await trio.sleep(3)
+        for label in list(simulation.nodes):
+            simulation.start(label)
+        await trio.sleep(10)
+        simulation.store.end_outage()
+        ended = trio.current_time()
+        for number in range(30):
+            status, answer = await simulation.poll(f"run-{number}")
+            assert status == 200 and answer["phase"] in ("pending", "running", "done")
+        assert trio.current_time() - ended < 75
+        for number in range(30):
+            await simulation.until_phase(f"run-{number}", "done")
+
+    run_scenario(scenario)
+
+
+def test_jobs_are_cancelled_in_the_seconds_in_which_work_changes_hands() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        names = [f"run-{n}" for n in range(9)]
+        for job_id in names:
+            await simulation.submit(service(job_id, shards=2, vcpus=1.0))
+        await simulation.until(lambda: all(len(simulation.running(job_id)) == 2 for job_id in names))
+        for turn in range(3):
+            leader = await simulation.until_leader()
+            await simulation.cancel(names[3 * turn])
+            simulation.kill(leader)
+            await simulation.cancel(names[3 * turn + 1])
+            simulation.start(leader)
+            await simulation.until_leader()
+            await simulation.cancel(names[3 * turn + 2])
+        assert simulation.started_cancelled == 0
+        await simulation.until(lambda: not any(simulation.running(job_id) for job_id in names), 15)
+
+    run_scenario(scenario)
+
+
+@pytest.mark.parametrize("trouble", ["cut", "hang", "deaf", "mute"])
+def test_full_teams_whose_cancelled_jobs_stay_on_machines_that_cannot_be_asked(trouble: str) -> None:
+    """The leader changes as well. What may still run counts toward the limit until it is proved gone."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 8
+        for team in ("red", "blue"):
+            for number in range(4):
+                await simulation.submit(service(f"run-{team}{number}", owner=team, shards=2, vcpus=2.0))
+        await simulation.until(lambda: sum(len(w.on) for w in simulation.workers.values()) == 16)
+        for team in ("red", "blue"):
+            for number in range(4, 6):
+                await simulation.submit(service(f"run-{team}{number}", owner=team, shards=2, vcpus=2.0))
+        gone = {name for job_id in ("run-red0", "run-blue0") for _, name in simulation.running(job_id)}
+        act = {
+            "cut": simulation.cut_machine,
+            "hang": simulation.hang,
+            "deaf": simulation.deafen,
+            "mute": simulation.mute,
+        }[trouble]
+        for name in gone:
+            act(name)
+        leader = await simulation.until_leader()
+        await simulation.cancel("run-red0")
+        simulation.kill(leader)
+        await simulation.cancel("run-blue0")
+        await trio.sleep(1)
+        await simulation.cancel("run-red1")
+        await simulation.until_leader(15)
+        await trio.sleep(8)
+        simulation.start(leader)
+        await trio.sleep(3 * LEASE_S)
+        for job_id in ("run-blue1", "run-red2", "run-blue2"):
+            await simulation.cancel(job_id)  # so that all that is left has room in its team
+        await simulation.wait_for_convergence()
+
+    run_scenario(scenario, teams=[Team("red", cpus_max=16.0), Team("blue", cpus_max=16.0)])
+
+
+def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends() -> None:
+    """The roster's write gets no answer and comes late; the machines take their time to find the next leader."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
+        simulation.net.late = lambda src, dst, request: (
+            12.0 if request.path == "/multi" and b"s/m/" in request.body else None
+        )
+        await simulation.submit(job("run-a", shards=8, vcpus=2.0, expectedRunS=25.0))
+        for _ in range(3):
+            await simulation.until(lambda: bool(simulation.workers), 60)
+            await trio.sleep(2)
+            leader = await simulation.until_leader(20)
+            simulation.kill(leader)
+            simulation.net.refused = {(name, label) for name in list(simulation.workers)[::2] for label in LABELS}
+            for name in list(simulation.workers)[::2]:
+                simulation.cut_machine(name)
+            await trio.sleep(0.3)
+            simulation.start(leader)
+            await trio.sleep(7)
+            simulation.net.refused.clear()
+            simulation.net.heal()
+        await simulation.wait_for_convergence()
+
+    run_scenario(scenario)
+
+
+def test_ten_changes_of_leader_in_two_minutes_also_in_an_outage() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(service("run-s", shards=4, vcpus=1.0))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        for turn in range(10):
+            began = trio.current_time()
+            await simulation.submit(job(f"run-{turn}", shards=2, vcpus=1.0, expectedRunS=4.0), 5.0)
+            leader = simulation.leader() or LABELS[turn % 3]
+            simulation.kill(leader)
+            simulation.cut_machine(
+                simulation.running("run-s")[0][1]
+            )  # one machine does not find the next leader at once
+            if turn in (3, 7):
+                simulation.store.begin_outage()
+            await trio.sleep(0.2 if turn % 2 else 4.0)
+            simulation.start(leader)
+            await trio.sleep(3)
+            simulation.store.end_outage()
+            simulation.net.heal()
+            await trio.sleep_until(began + 12)
+        await simulation.wait_for_convergence()
+        assert len(simulation.led) > 5
+
+    run_scenario(scenario)
+
+
+def test_one_task_jobs_four_a_second_a_quarter_cancelled() -> None:
+    """Every job is answered for, starts and ends; the leader changes in the middle."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 16
+        await simulation.until_leader()
+        cancelled = 0
+
+        async def one(number: int) -> None:
+            nonlocal cancelled
+            job_id = f"run-{number}"
+            await simulation.submit(job(job_id, shards=1, vcpus=0.5, memoryGb=1.0, expectedRunS=10.0))
+            if number % 4 == 0:
+                await trio.sleep(simulation.rng.uniform(0, 12))
+                cancelled += (await simulation.cancel(job_id)).get("phase") == "cancelled"
+
+        async with trio.open_nursery() as nursery:
+            for number in range(360):
+                nursery.start_soon(one, number)
+                if number == 180:
+                    leader = await simulation.until_leader()
+                    simulation.kill(leader)
+                    nursery.start_soon(simulation.restart_later, leader, 4.0)
+                await trio.sleep(0.25)
+        assert cancelled > 50 and simulation.started_cancelled <= cancelled // 10, simulation.started_cancelled
+        await simulation.wait_for_convergence()
+
+    run_scenario(scenario)
--- /dev/null
+++ b/tests/scenarios/test_overload.py
@@ -0,0 +1,83 @@
+"""Storms of requests: polls, reports, lease renewals and submissions share one processor."""
+
+import trio
+
+from sorrelsill import constants
+from tests.simulation import SimulatedCluster, job, run_scenario
+from tests.simulation.users import LABELS
+
+
+def test_a_storm_of_polls_leaves_pings_reports_and_submissions_their_time() -> None:
+    """Each request costs a controller 2 ms of its only processor; 450 polls a second take most of it."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
+        job_ids = [f"run-{number}" for number in range(10)]
+        for job_id in job_ids:
+            await simulation.submit(job(job_id, shards=2, vcpus=1.0, expectedRunS=200.0))
+        await simulation.until(lambda: all(len(simulation.running(job_id)) == 2 for job_id in job_ids), 60)
+        led, simulation.request_cost_s = len(simulation.led), 0.002
+        reads_before = len(simulation.store.requests)
+        statuses: dict[int, int] = {}
+        latencies: list[float] = []
+
+        async def poll(number: int) -> None:
+            job_id = job_ids[number % 10] if number % 5 else f"run-never-{number}"
+            began = trio.current_time()
+            status, _ = await simulation.ask(LABELS[number % 3], "GET", f"/v2/runs/{job_id}")
+            statuses[status] = statuses.get(status, 0) + 1
+            latencies.append(trio.current_time() - began)
+
+        async with trio.open_nursery() as nursery:
+            for number in range(9000):
+                nursery.start_soon(poll, number)
+                if number % 900 == 450:
+                    began = trio.current_time()
+                    job_id = f"run-new-{number}"
+                    assert await simulation.submit(job(job_id, shards=1, vcpus=1.0, expectedRunS=1.0)) in (200, 201)
+                    assert trio.current_time() - began < 0.3, "a submission keeps its latency"
+                    began = trio.current_time()
+                    assert (await simulation.cancel(job_id))["phase"] in ("cancelled", "done")
+                    assert trio.current_time() - began < 0.5, "a cancellation keeps its latency"
+                await trio.sleep(1 / 450)
+        spent_s = 9000 / 450
+        assert len(simulation.led) == led, "pings keep their time"
+        assert all(len(simulation.running(job_id)) == 2 for job_id in job_ids), "reports are answered"
+        assert set(statuses) <= {200, 404, 503}, statuses
+        assert statuses[200] > 5000, statuses
+        assert max(latencies) < 1.6, "answered or refused within a user's patience"
+        assert len(simulation.store.requests) - reads_before < 500 * spent_s, "reads are shared"
+        simulation.request_cost_s = 0.0
+        await simulation.wait_for_convergence()
+
+    run_scenario(scenario)
+
+
+def test_what_waits_in_a_storm_is_bounded_while_the_store_is_silent() -> None:
+    """Polls that find no place among those that wait are told at once to come back."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
+        await simulation.submit(job("run-a", shards=1, expectedRunS=200.0))
+        follower = next(label for label in LABELS if label != simulation.leader())
+        at_once = {"run-a": 0, "run-never": 0}
+
+        async def poll(job_id: str) -> None:
+            began = trio.current_time()
+            status, _ = await simulation.ask(follower, "GET", f"/v2/runs/{job_id}")
+            assert status in (200, 404, 503)
+            at_once[job_id] += status == 503 and trio.current_time() - began < 0.3
+
+        for job_id, path in (("run-a", "/follow"), ("run-never", "/kv/")):
+            simulation.net.hold_request = lambda src, dst, r, path=path: src == follower and r.path.startswith(path)  # type: ignore[misc]
+            async with trio.open_nursery() as nursery:
+                for _ in range(3 * constants.POLL_QUEUE):
+                    nursery.start_soon(poll, job_id)
+            simulation.net.hold_request = lambda src, dst, request: False
+            simulation.net.release()
+            await trio.sleep(5)
+        assert at_once["run-a"] >= 2 * constants.POLL_QUEUE
+        assert at_once["run-never"] >= 3 * constants.POLL_QUEUE - constants.LOOKUPS_AT_ONCE
+        await simulation.wait_for_convergence()
+
+    run_scenario(scenario)
--- /dev/null
+++ b/tests/scenarios/test_preemption.py
@@ -0,0 +1,60 @@
+"""Work with a deadline or a higher priority takes the place of other work."""
+
+import trio
+
+from sorrelsill.settings import Team
+from tests.simulation import SimulatedCluster, job, run_scenario, service
+
+
+def test_guests_give_their_room_to_work_with_a_deadline_within_seconds() -> None:
+    """A guest's array holds every machine that the cloud has; it loses the tasks that ran for the shortest time."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 6
+        await simulation.until_leader()
+        await simulation.submit(
+            job("run-g", owner="guests", rank="best_effort", shards=200, vcpus=0.5, memoryGb=0.5, expectedRunS=40.0)
+        )
+        await simulation.until(lambda: len(simulation.running("run-g")) >= 96, 60)
+        await trio.sleep(5)
+        await simulation.submit(job("run-d", shards=10, vcpus=4.0, expectedRunS=10.0, dueS=28.0))
+        submitted = trio.current_time()
+        await simulation.until(lambda: len(simulation.running("run-d")) == 10, 6)
+        await simulation.until_phase("run-d", "done", 28)
+        assert trio.current_time() - submitted < 28, "in time"
+        await simulation.submit(service("run-s", shards=2, rank="prod", vcpus=4.0))
+        await simulation.until(lambda: len(simulation.running("run-s")) == 2, 3)
+        await simulation.wait_for_convergence()
+
+    run_scenario(scenario, teams=[Team("red"), Team("guests")])
+
+
+def test_guests_keep_their_room_while_machines_can_still_be_rented_in_time() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
+        await simulation.submit(
+            job("run-g", owner="guests", rank="best_effort", shards=60, vcpus=0.5, memoryGb=0.5, expectedRunS=60.0)
+        )
+        await simulation.until(lambda: len(simulation.running("run-g")) == 60, 60)
+        before = len(simulation.starts)
+        await simulation.submit(job("run-d", shards=10, vcpus=4.0, expectedRunS=10.0, dueS=60.0))
+        await simulation.until_phase("run-d", "done", 60)
+        assert len(simulation.starts) == before + 10, "no task of the guests was stopped"
+        await simulation.wait_for_convergence()
+
+    run_scenario(scenario, teams=[Team("red"), Team("guests")])
+
+
+def test_production_makes_room_at_once() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.capacity = 2
+        await simulation.submit(job("run-low", shards=8, rank="best_effort", expectedRunS=300.0))
+        await simulation.until(lambda: len(simulation.running("run-low")) == 8)
+        began = trio.current_time()
+        await simulation.submit(job("run-live", shape="standing", shards=2, rank="prod"))
+        await simulation.until(lambda: len(simulation.running("run-live")) == 2, 10)
+        assert trio.current_time() - began < 3
+        _, answer = await simulation.ask("n1", "GET", "/v2/runs/run-low/why")
+        assert any("making room for run-live" in note for note in answer["why"])
+
+    run_scenario(scenario)
--- /dev/null
+++ b/tests/scenarios/test_read_consistency.py
@@ -0,0 +1,113 @@
+"""No controller answers with a state older than one that users were told before, also after late writes."""
+
+import msgspec
+import pytest
+import trio
+
+from sorrelsill.http import Request
+from tests.simulation import SimulatedCluster, job, run_scenario
+from tests.simulation.users import LABELS
+
+
+async def look_closely(simulation: SimulatedCluster, job_id: str, rounds: int = 3) -> None:
+    """Polls and repeats of the submission at all controllers, again within milliseconds."""
+    async with trio.open_nursery() as nursery:
+        for _ in range(rounds):
+            for label in LABELS:
+                nursery.start_soon(simulation.ask, label, "GET", f"/v2/runs/{job_id}")
+                nursery.start_soon(simulation.ask, label, "POST", "/v2/runs", simulation.specs[job_id])
+            await trio.sleep(0.003)
+
+
+@pytest.mark.parametrize("trouble", ["none", "lost answers", "late writes", "leaders change"])
+def test_close_looks_get_nothing_older_than_what_was_told(trouble: str) -> None:
+    """Right after a job was accepted, ended or confirmed as cancelled."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
+        if trouble in ("lost answers", "late writes"):
+            simulation.late_writes(0.3, at_once=trouble == "lost answers")
+        for number in range(12):
+            if trouble == "leaders change" and number % 4 == 3:
+                leader = simulation.leader() or "n0"
+                simulation.kill(leader)
+                simulation.nursery.start_soon(simulation.restart_later, leader, 0.3)
+            job_id = f"run-{number}"
+            await simulation.submit(job(job_id, shards=1, vcpus=1.0, expectedRunS=1.0, sizeGb=0.0))
+            await look_closely(simulation, job_id)
+            if number % 3 == 0:
+                await simulation.cancel(job_id)
+                await look_closely(simulation, job_id)
+            elif number % 3 == 1:
+                await simulation.until(lambda u=job_id: f"{u}/0" in simulation.finished, 60)  # type: ignore[misc]
+                await simulation.cancel(job_id)  # at the end of its last task
+                await look_closely(simulation, job_id)
+            else:
+                await simulation.until_phase(job_id, "done", 120)
+                await look_closely(simulation, job_id)
+        await simulation.wait_for_convergence()
+        for job_id in sorted(simulation.accepted):
+            await look_closely(simulation, job_id)
+
+    run_scenario(scenario)
+
+
+def test_transactions_carried_out_late_change_nothing_that_was_told() -> None:
+    """After newer ones of the same controller, and after its end."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
+        simulation.late_writes(0.25)
+        for number in range(10):
+            job_id = f"run-{number}"
+            await simulation.submit(job(job_id, shards=2, vcpus=1.0, expectedRunS=3.0))
+            if number % 3 == 0:
+                await simulation.cancel(job_id)
+            if number % 4 == 2:
+                leader = await simulation.until_leader()
+                simulation.kill(leader)
+                await trio.sleep(0.2)
+                simulation.start(leader)
+        await trio.sleep(20)
+        await simulation.wait_for_convergence()
+        for label in LABELS:  # what memories hide, the records have to say as well
+            simulation.kill(label)
+        for label in LABELS:
+            simulation.start(label)
+        await simulation.wait_for_convergence()
+        for job_id in sorted(simulation.accepted):
+            await look_closely(simulation, job_id)
+
+    run_scenario(scenario)
+
+
+def test_a_record_written_late_does_not_bring_a_finished_job_back() -> None:
+    """The leader's own, carried out after its newer one that ended the job."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
+        held: list[str] = []
+
+        def late(src: str, dst: str, request: Request) -> float | None:
+            if request.path != "/multi" or held:
+                return None
+            writes = msgspec.msgpack.decode(request.body)["writes"]
+            if any(w.get("set") == "s/j/run-a" and w["value"]["r"] for w in writes):
+                held.append(src)
+                return 12.0
+            return None
+
+        simulation.net.late = late
+        await simulation.submit(job("run-a", shards=2, expectedRunS=3.0))
+        await simulation.until_phase("run-a", "done")
+        assert held
+        await trio.sleep(15)
+        for label in LABELS:
+            simulation.kill(label)
+        for label in LABELS:
+            simulation.start(label)
+        await trio.sleep(5)
+        await look_closely(simulation, "run-a")
+        assert (await simulation.poll("run-a"))[1]["phase"] == "done"
+
+    run_scenario(scenario)
--- a/tests/scenarios/test_store_failures.py
+++ b/tests/scenarios/test_store_failures.py
@@ -4,6 +4,7 @@
 
 from sorrelsill.http import Request
 from tests.simulation import SimulatedCluster, job, run_scenario, service
+from tests.simulation.users import LABELS
 
 
 def test_a_lost_answer_to_a_submission_still_makes_one_job() -> None:
@@ -135,7 +136,7 @@
 
 def test_all_controllers_crash_during_an_outage_and_the_work_returns() -> None:
     """Until this change three blind processes went on renewing, and a cancellation told before the crash lived on (the
-    story of it is in test_cancelled.py). Tasks may only be kept where that is known."""
+    scenario of it is in test_cancellation_in_outages.py). Tasks may only be kept where that is known."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4))
@@ -174,3 +175,30 @@
         assert (await simulation.ask(old, "GET", "/ready"))[0] == 200
 
     run_scenario(scenario)
+
+
+def test_a_damaged_record_costs_nobody_else_anything_and_can_be_cancelled() -> None:
+    """Found by reading: a damaged time in one record made every follower read all keys anew, again and again."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(service("run-s", shards=2, vcpus=1.0))
+        await simulation.submit(service("run-d", shards=2, vcpus=1.0))
+        await simulation.until(lambda: len(simulation.running("run-d")) == 2)
+        for broken in ({"t": "soon"}, {"s": None}, {"n": "x", "d": "9999"}):
+            value, _, _ = simulation.store.kv["s/j/run-d"]
+            simulation.store._multi({"if": [], "writes": [{"set": "s/j/run-d", "value": {**value, **broken}}]})
+            simulation.kill(await simulation.until_leader())  # it would write its own record over it
+            await simulation.until_leader(15)
+            for label in LABELS:
+                if label in simulation.net.down:
+                    simulation.start(label)
+            await trio.sleep(4)
+            await simulation.until_leader()
+            assert (await simulation.poll("run-d"))[0] == 200
+        await simulation.submit(job("run-n", expectedRunS=1.0))
+        await simulation.until_phase("run-n", "done")
+        assert (await simulation.cancel("run-d"))["phase"] == "cancelled"
+        await simulation.until(lambda: not simulation.running("run-d"), 20)
+        await simulation.wait_for_convergence()
+
+    run_scenario(scenario)
--- a/tests/scenarios/test_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -366,3 +366,20 @@
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 40)
 
     run_scenario(scenario)
+
+
+def test_progress_is_written_seldom_and_the_end_at_once() -> None:
+    """Found on a measured day: each job written at each change used up the store's rate; submissions waited."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        for number in range(6):
+            await simulation.submit(
+                job(f"run-{number}", shards=24, vcpus=1.0, memoryGb=1.0, expectedRunS=1.0 + number / 3)
+            )
+        for number in range(6):
+            await simulation.until_phase(f"run-{number}", "done")
+        ends = [e for e in simulation.store.log if e[1].startswith("s/f/")]
+        progress = [e for e in simulation.store.log if e[1].startswith("s/j/") and e[3] and e[2]["n"]]
+        assert len(ends) == 6 and len(progress) <= 24
+
+    run_scenario(scenario)
--- /dev/null
+++ b/tests/scenarios/test_user_requests.py
@@ -0,0 +1,112 @@
+"""Answers to requests of users: unknown jobs, malformed and impossible submissions, repeats."""
+
+import trio
+
+from sorrelsill.settings import Team
+from tests.simulation import SimulatedCluster, job, run_scenario
+from tests.simulation.users import LABELS
+
+
+def test_odd_requests_keep_their_answers() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
+        await simulation.submit(job("run-a", expectedRunS=1.0))
+        await simulation.until_phase("run-a", "done")
+        for label in LABELS:
+            assert (await simulation.ask(label, "POST", "/v2/runs", simulation.specs["run-a"]))[0] == 200
+            assert (await simulation.ask(label, "POST", "/v2/runs/run-a/cancel"))[1]["phase"] == "done"
+            lacking = {k: v for k, v in job("run-x").items() if k != "shards"}
+            assert (await simulation.ask(label, "POST", "/v2/runs", lacking))[0] == 400
+            assert (await simulation.ask(label, "POST", "/v2/runs", job("run-y", vcpus=4000.0)))[0] == 422
+            assert (await simulation.ask(label, "POST", "/v2/runs", job("run-z", owner="nobody")))[0] == 422
+            for job_id in ("run-x", "run-y", "run-z", "run-never"):
+                assert (await simulation.ask(label, "GET", f"/v2/runs/{job_id}"))[0] == 404
+                assert (await simulation.ask(label, "POST", f"/v2/runs/{job_id}/cancel"))[0] == 404
+
+    run_scenario(scenario)
+
+
+def test_unknown_jobs_are_404_and_bad_ones_400_or_422() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.until_leader()
+        await simulation.submit(job("run-ok"))
+        assert (await simulation.poll("run-never"))[0] == 404
+        assert (await simulation.ask("n0", "POST", "/v2/runs", b"\xc1"))[0] == 400
+        assert (await simulation.ask("n0", "POST", "/v2/runs", [1]))[0] == 400
+        for field, value in (
+            ("shards", 0),
+            ("shards", True),
+            ("shards", 100_001),
+            ("vcpus", -1.0),
+            ("vcpus", float("nan")),
+            ("vcpus", "2"),
+            ("memoryGb", float("inf")),
+            ("rank", "top"),
+            ("shape", None),
+            ("uid", "job-1"),
+            ("owner", 7),
+            ("flavours", "c8"),
+            ("oneZone", None),
+            ("sizeGb", None),
+        ):
+            assert (await simulation.ask("n1", "POST", "/v2/runs", job("run-x", **{field: value})))[0] == 400, field
+        for impossible in (
+            job("run-a", owner="nobody"),
+            job("run-b", vcpus=9.0),
+            job("run-c", flavours=["x"]),
+            job("run-d", shape="standing", shards=9, owner="small"),
+        ):
+            assert (await simulation.ask("n2", "POST", "/v2/runs", impossible))[0] == 422
+        assert (await simulation.ask("n0", "GET", "/v2/runs"))[0] == 405
+        assert (await simulation.ask("n0", "GET", "/nowhere"))[0] == 404
+
+    run_scenario(scenario, teams=[Team("red"), Team("small", cpus_max=16.0)])
+
+
+def test_a_known_job_is_looked_up_before_it_is_judged() -> None:
+    """A repeat after the limits shrank gets 200, not 422."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        spec = job("run-1", shape="standing", shards=4)
+        assert await simulation.submit(spec) == 201
+        simulation.teams = [Team("red", cpus_max=2.0)]
+        for label in list(simulation.nodes):
+            simulation.kill(label)
+        for label in list(simulation.nodes):
+            simulation.start(label)
+        await simulation.until_leader()
+        assert await simulation.submit(spec) == 200
+        simulation.teams = []  # the run that the smaller limit did not start yet is not judged by it
+
+    run_scenario(scenario)
+
+
+def test_submissions_before_the_catalog_is_known_are_sent_back_not_refused() -> None:
+    """Found on a measured day: the catalog came between the look-up and the judgement, and a good job got 422."""
+
+    async def scenario(simulation: SimulatedCluster) -> None:
+        simulation.cloud.outage = True
+        statuses = []
+
+        async def user(number: int) -> None:
+            statuses.append(await simulation.submit(job(f"run-{number}")))
+
+        async with trio.open_nursery() as nursery:
+            for number in range(20):
+                nursery.start_soon(user, number)
+            await trio.sleep(8)
+            simulation.cloud.outage = False
+        assert statuses == [201] * 20
+
+    run_scenario(scenario)
+
+
+def test_a_team_sees_only_its_own_jobs() -> None:
+    async def scenario(simulation: SimulatedCluster) -> None:
+        await simulation.submit(job("run-r", expectedRunS=60.0))
+        await simulation.submit(job("run-b", owner="blue", expectedRunS=60.0))
+        _, answer = await simulation.ask("n2", "GET", "/v2/teams/blue/runs")
+        assert [r["uid"] for r in answer["runs"]] == ["run-b"]
+        assert (await simulation.ask("n2", "GET", "/v2/teams/green/runs"))[0] == 404
+
+    run_scenario(scenario)
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -53,6 +53,11 @@
         self._cuts.clear()
         self.release()
 
+    def end_cuts_to(self, dst: str) -> None:
+        """End the cuts on the way to one address; what was held is delivered now, in order."""
+        self._cuts = {cut for cut in self._cuts if cut[1] != dst}
+        self.release()
+
     def release(self) -> None:
         held, self._held = self._held, []
         for item in held:
--- a/tests/simulation/simulated_cluster.py
+++ b/tests/simulation/simulated_cluster.py
@@ -24,6 +24,7 @@
     Team,
     Workers,
 )
+from sorrelsill.workers import ClusterState
 from tests.simulation import production
 from tests.simulation.cloud import FakeCloud
 from tests.simulation.freeze import Gate, GatedTasks
@@ -150,6 +151,18 @@
         self._gates[label].thaw()
         self.net.down |= {label, f"{label}:peer"}
 
+    async def restart_later(self, label: str, away_s: float) -> None:
+        """After this time the killed controller's process is started, unless it was meanwhile."""
+        await trio.sleep(away_s)
+        if label in self.net.down:
+            self.start(label)
+
+    def cluster_state(self, label: str) -> ClusterState:
+        """What the leader with this label knows of the machines."""
+        cluster = self.nodes[label].cluster
+        assert cluster is not None
+        return cluster
+
     def leader(self) -> str | None:
         leading = [n for n, node in self.nodes.items() if n not in self.net.down and node.elector.valid()]
         return leading[0] if leading else None
