--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("confirms_old", [True, False])
-def test_the_gap_with_a_controller_of_the_former_version(confirms_old: bool) -> None:
+def test_a_confirmed_cancellation_holds_with_a_controller_of_the_former_version(confirms_old: bool) -> None:
     """It names no cancellations, so the bound is what our own view and new peers prove. A leader of that version renews
     without any bound; that can't be helped."""
 
@@ -182,7 +182,7 @@
     run_scenario(scenario)
 
 
-def test_a_cancellation_whose_answer_was_lost_and_that_is_told_out_of_a_later_read() -> None:
+def test_a_cancellation_whose_answer_was_lost_is_confirmed_from_a_later_read() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await two_services(simulation, "run-c")
         simulation.store.refused.add(old)
@@ -249,7 +249,7 @@
     run_scenario(scenario)
 
 
-def test_a_machine_hangs_with_the_halt_in_flight() -> None:
+def test_a_machine_hangs_with_the_stop_command_in_flight() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await two_services(simulation, "run-c")
         simulation.store.refused.add(old)
--- a/tests/scenarios/test_delayed_messages.py
+++ b/tests/scenarios/test_delayed_messages.py
@@ -13,7 +13,7 @@
 from tests.simulation.users import LABELS
 
 
-def test_a_late_copy_of_a_report_does_not_bring_a_returned_machine_back() -> None:
+def test_a_late_copy_of_a_heartbeat_does_not_bring_a_returned_machine_back() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         sent = record_messages(simulation, "/hello")
         await simulation.submit(job("run-a"))
@@ -29,7 +29,7 @@
     run_scenario(scenario)
 
 
-def test_a_late_copy_after_a_takeover_does_not_stop_the_task_that_runs() -> None:
+def test_a_late_copy_after_a_failover_does_not_stop_the_task_that_runs() -> None:
     """The copy tells of a task that has long been moved; the one that runs must not give way to the phantom."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -53,7 +53,7 @@
     run_scenario(scenario)
 
 
-def test_a_late_copy_of_a_report_does_not_hide_a_silent_machine() -> None:
+def test_a_late_copy_of_a_heartbeat_does_not_hide_a_silent_machine() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         sent = record_messages(simulation, "/hello")
         await simulation.submit(service("run-s", shards=1))
@@ -114,7 +114,7 @@
     run_scenario(scenario)
 
 
-def test_an_old_report_names_a_task_that_runs_elsewhere_now() -> None:
+def test_an_old_heartbeat_names_a_task_that_runs_elsewhere_now() -> None:
     """It reaches the next leader first; the machine that truly has the task takes its time to find that leader."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("for_next", [True, False])
-def test_old_reports_reach_every_controller_as_a_leader_begins(for_next: bool) -> None:
+def test_old_heartbeats_reach_every_controller_as_a_leader_begins(for_next: bool) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4, vcpus=1.0))
         await simulation.submit(job("run-a", shards=16, vcpus=1.0, expectedRunS=9.0))
--- a/tests/scenarios/test_failing_tasks.py
+++ b/tests/scenarios/test_failing_tasks.py
@@ -16,7 +16,7 @@
     simulation.on_boot = on
 
 
-def test_jobs_that_fail_everywhere_cost_no_machine_its_name_and_are_tried_ever_less() -> None:
+def test_jobs_that_fail_everywhere_quarantine_no_machine_and_are_retried_with_backoff() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         mistaken = {f"run-bad{number}" for number in range(5)}
         fail_jobs_with_a_mistake(simulation, mistaken, set())
@@ -62,7 +62,7 @@
     run_scenario(scenario)
 
 
-def test_a_faulty_machine_is_left_and_a_faulty_job_is_paced() -> None:
+def test_a_faulty_machine_is_quarantined_and_a_faulty_job_is_retried_with_backoff() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-a", shards=4))
         await simulation.until(lambda: len(simulation.running("run-a")) > 0)
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -15,7 +15,7 @@
 MACHINES = 930  # the largest fleet of the site files and half as many again
 
 
-def test_a_regular_report_costs_the_same_in_a_small_and_in_a_large_fleet() -> None:
+def test_a_regular_heartbeat_costs_the_same_in_a_small_and_in_a_large_fleet() -> None:
     def calls(machines: int) -> int:
         leader = LeaderInMemory(machines)
         leader.fill(8)
@@ -49,7 +49,7 @@
     assert not leader.cluster.index.ready.names() & set(silent)
 
 
-def test_overdue_machines_get_no_new_work_before_they_report_again() -> None:
+def test_machines_with_an_overdue_heartbeat_get_no_new_work_before_the_next_one() -> None:
     """Found by reasoning: what was bound to fifty machines that hung waited for a lease to be proved lost."""
     leader = LeaderInMemory(MACHINES)
     leader.fill(0)
@@ -64,7 +64,7 @@
     assert len(leader.cluster.index.ready) == MACHINES
 
 
-def test_machines_not_heard_yet_hold_back_only_what_may_run_on_them() -> None:
+def test_machines_without_a_heartbeat_yet_reserve_only_what_may_run_on_them() -> None:
     """After a takeover with fifty silent machines, their whole size filled each small team's limit for a lease."""
     leader = LeaderInMemory(MACHINES, registered=True)
     silent = [n for n in leader.names if leader.spot(n)][:50]
@@ -98,7 +98,7 @@
     assert not leader.cluster.failover.unconfirmed and leader.cluster.unobserved("red") == (0.0, 0.0)
 
 
-def test_a_damaged_or_older_roster_entry_holds_back_whatever_may_run_there() -> None:
+def test_a_damaged_or_older_registry_entry_reserves_whatever_may_run_there() -> None:
     leader = LeaderInMemory(60)
     for number, entry in enumerate(({"f": "std", "a": "10.1.9.9:9000"}, None, {"f": 7, "z": 7, "s": 7})):
         leader.cluster.failover.expect_machines([(f"m-old-{number}", entry)])
@@ -124,7 +124,7 @@
         raise NoAnswerError("hangs")
 
 
-def test_silence_that_lasts_costs_ever_less_and_greetings_leave_room_for_starts() -> None:
+def test_probes_of_silent_machines_back_off_and_leave_capacity_for_starts() -> None:
     asked: list[float] = []
 
     def client(addr: str) -> Client:
@@ -149,7 +149,7 @@
     assert len(asked) <= 300 * 5
 
 
-def test_a_roster_of_all_machines_fits_the_smallest_value() -> None:
+def test_a_registry_of_all_machines_fits_the_smallest_value() -> None:
     """Its parts hold machines of the past as well until they are proved empty."""
     import msgspec
 
@@ -163,7 +163,7 @@
     assert max(len(msgspec.json.encode(p)) for p in parts.values()) < 8 * 1024 - 100
 
 
-def test_taking_over_costs_each_job_the_same_however_many_there_are() -> None:
+def test_a_failover_costs_each_job_the_same_however_many_there_are() -> None:
     from sorrelsill.store import WatchCache, chunk_key, job_key
 
     def calls(jobs: int) -> float:
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -31,7 +31,7 @@
     return sorted({machine for _, machine in simulation.running(job_id)})
 
 
-def test_a_group_runs_as_one_and_needs_the_whole_limit_of_its_team() -> None:
+def test_a_gang_runs_as_one_and_needs_the_whole_limit_of_its_team() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         assert await simulation.submit(group("run-g")) == 201
         assert await simulation.submit(group("run-big", shards=11)) == 422, "22 CPUs of 20, together"
@@ -64,7 +64,7 @@
     run_scenario(scenario)
 
 
-def test_a_group_that_loses_a_machine_starts_anew_as_a_whole() -> None:
+def test_a_gang_that_loses_a_machine_restarts_as_a_whole() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(saving("run-g"))
         machines = await runs(simulation, "run-g")
@@ -92,7 +92,7 @@
     run_scenario(scenario)
 
 
-def test_a_notice_for_one_machine_saves_the_whole_group() -> None:
+def test_a_spot_reclaim_notice_for_one_machine_checkpoints_the_whole_gang() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(saving("run-g", reclaimable=True, expectedRunS=60.0, snapshotEveryS=40.0))
         machines = await runs(simulation, "run-g")
@@ -107,7 +107,7 @@
     run_scenario(scenario)
 
 
-def test_room_for_production_stops_a_group_as_a_whole_but_arrays_first() -> None:
+def test_production_preempts_a_gang_as_a_whole_but_arrays_first() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 3
         await simulation.submit(group("run-g", shards=4, rank="best_effort", expectedRunS=300.0, oneZone=False))
@@ -124,7 +124,7 @@
     run_scenario(scenario)
 
 
-def test_a_group_makes_room_as_a_whole_or_not_at_all() -> None:
+def test_a_gang_is_preempted_as_a_whole_or_not_at_all() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 2
         await simulation.submit(job("run-low", shards=8, rank="best_effort", expectedRunS=300.0))
@@ -139,7 +139,7 @@
     run_scenario(scenario, teams=[Team("red"), Team("blue", cpus=16.0)])
 
 
-def test_a_stream_of_small_tasks_does_not_starve_a_group_nor_the_group_them() -> None:
+def test_a_stream_of_small_tasks_does_not_starve_a_gang_nor_the_gang_them() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 4
 
@@ -163,7 +163,7 @@
     run_scenario(scenario)
 
 
-def test_a_cancelled_group_is_gone_in_time_also_while_it_waits_or_saves() -> None:
+def test_a_cancelled_gang_ends_in_time_also_while_it_waits_or_checkpoints() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(saving("run-g"))
         await runs(simulation, "run-g")
@@ -180,7 +180,7 @@
     run_scenario(scenario)
 
 
-def test_one_done_completes_the_group_though_the_others_die() -> None:
+def test_one_done_completes_the_gang_though_the_others_die() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(group("run-g", shards=4, vcpus=4.0))
         machines = await runs(simulation, "run-g")
@@ -197,7 +197,7 @@
     run_scenario(scenario)
 
 
-def test_a_takeover_with_half_of_the_starts_sent_starts_no_second_attempt_beside_the_first() -> None:
+def test_a_failover_with_half_of_the_starts_sent_starts_no_second_attempt_beside_the_first() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-warm", shards=12, expectedRunS=1.0))
         await simulation.until_phase("run-warm", "done")
@@ -221,7 +221,7 @@
     run_scenario(scenario)
 
 
-def test_a_leader_that_dies_while_it_tells_a_group_to_save_leaves_it_to_its_successor() -> None:
+def test_a_leader_that_dies_while_it_checkpoints_a_gang_leaves_it_to_its_successor() -> None:
     """The next leader finds some saving and some running; nothing runs twice and the group goes on."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -244,7 +244,7 @@
     run_scenario(scenario)
 
 
-def test_a_hung_machine_and_a_deaf_one_cost_a_new_start_and_no_rule() -> None:
+def test_a_hung_machine_and_a_one_way_partition_cost_a_restart_and_no_rule() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(saving("run-g"))
         machines = await runs(simulation, "run-g")
@@ -265,7 +265,7 @@
     run_scenario(scenario)
 
 
-def test_peers_and_alone_are_nobodys_fault() -> None:
+def test_exits_with_peers_or_alone_count_as_no_failure() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.gangs.wait_s = 3.0
         await simulation.submit(job("run-warm", shards=8, expectedRunS=1.0))
@@ -307,7 +307,7 @@
     run_scenario(scenario)
 
 
-def test_a_damaged_report_or_record_of_one_group_never_stops_the_rest() -> None:
+def test_a_damaged_heartbeat_or_record_of_one_gang_never_stops_the_rest() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(group("run-g"))
         await runs(simulation, "run-g")
@@ -324,7 +324,7 @@
     run_scenario(scenario)
 
 
-def test_numbers_of_groups_that_wait_are_not_used_up() -> None:
+def test_attempt_numbers_of_waiting_gangs_are_not_used_up() -> None:
     """Found by reading: each look for room took an attempt number, some hundreds a second of 16 million a term."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -337,7 +337,7 @@
     run_scenario(scenario)
 
 
-def test_room_is_kept_ready_for_one_more_group_where_money_counts_but_not_for_ever() -> None:
+def test_capacity_is_kept_ready_for_one_more_gang_where_cost_counts_but_not_for_ever() -> None:
     """Found on a measured day: arrays filled every gap, and groups that should start within seconds waited for 20."""
     from sorrelsill.jobs import parse_spec
     from sorrelsill.model import Catalog, MachineType, TaskSet
--- a/tests/scenarios/test_handover.py
+++ b/tests/scenarios/test_handover.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("dies_after_s", [0.0, 0.05, 0.5])
-def test_a_leader_that_dies_while_it_gives_its_duty_away_is_followed_all_the_same(dies_after_s: float) -> None:
+def test_a_leader_that_dies_while_it_resigns_is_succeeded_all_the_same(dies_after_s: float) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await busy(simulation)
         with trio.move_on_after(dies_after_s):
@@ -131,7 +131,7 @@
     run_scenario(scenario, membership=SETTINGS)
 
 
-def test_a_controller_told_to_stop_in_an_outage_ends_in_bounded_time_and_never_leads_again() -> None:
+def test_a_controller_shut_down_in_an_outage_ends_in_bounded_time_and_never_leads_again() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await busy(simulation)
         simulation.store.begin_outage()
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -56,7 +56,7 @@
 # --- steady ---
 
 
-def test_a_report_a_start_and_an_end_cost_the_same_in_a_large_fleet(leaders: dict[int, LeaderInMemory]) -> None:
+def test_a_heartbeat_a_start_and_an_end_cost_the_same_in_a_large_fleet(leaders: dict[int, LeaderInMemory]) -> None:
     def report(leader: LeaderInMemory) -> int:
         name = next(name for name in leader.names if len(leader.tasks[name]) == TASKS_PER_MACHINE)
         return count_calls(lambda: leader.send_heartbeat(name))
@@ -78,11 +78,11 @@
     assert same_cost(end, leaders) < 250
 
 
-def test_a_round_in_which_nothing_happened_asks_nobody(leaders: dict[int, LeaderInMemory]) -> None:
+def test_a_scheduling_cycle_without_changes_asks_nobody(leaders: dict[int, LeaderInMemory]) -> None:
     assert same_cost(lambda leader: count_calls(leader.run_cycle), leaders) < 60
 
 
-def test_a_job_that_finds_no_room_costs_a_round_the_same(leaders: dict[int, LeaderInMemory]) -> None:
+def test_an_unschedulable_job_costs_a_scheduling_cycle_the_same(leaders: dict[int, LeaderInMemory]) -> None:
     """Nobody has 16 CPUs free; what is too full is never asked."""
 
     def wait(leader: LeaderInMemory) -> int:
@@ -187,7 +187,7 @@
     assert sum(asked.values()) <= machines + machines // 2 * 5
 
 
-def test_taking_over_costs_each_machine_the_same_in_a_large_fleet() -> None:
+def test_a_failover_costs_each_machine_the_same_in_a_large_fleet() -> None:
     def cost(machines: int) -> float:
         leader = LeaderInMemory(machines, registered=True)
         for number in range(machines // MACHINES_PER_JOB):
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -29,7 +29,7 @@
     run_scenario(scenario)
 
 
-def test_a_frozen_leader_thaws_and_does_nothing_on_its_old_belief() -> None:
+def test_a_paused_leader_resumes_and_does_nothing_on_its_stale_leadership() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4))
         await simulation.until(lambda: len(simulation.running("run-s")) == 4)
@@ -92,7 +92,7 @@
     run_scenario(scenario)
 
 
-def test_a_late_roster_removal_of_an_old_leader_changes_nothing() -> None:
+def test_a_late_registry_removal_of_an_old_leader_changes_nothing() -> None:
     """Or the next leader would not wait for a machine that holds work."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -145,7 +145,7 @@
     run_scenario(scenario)
 
 
-def test_a_leader_that_loses_only_the_workers_yields_in_time() -> None:
+def test_a_leader_that_loses_only_the_workers_steps_down_in_time() -> None:
     """Found on a day of our own: it kept pinging the store while every worker's lease ran out."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -162,7 +162,7 @@
     run_scenario(scenario)
 
 
-def test_a_leader_that_stood_still_for_a_moment_does_not_take_the_workers_for_silent() -> None:
+def test_a_leader_that_was_paused_for_a_moment_does_not_take_the_workers_for_silent() -> None:
     """Seen in an incident: thawed, it blamed the workers and left the key to others for a while, though it had it."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -183,7 +183,7 @@
     run_scenario(scenario)
 
 
-def test_a_cancellation_during_a_takeover() -> None:
+def test_a_cancellation_during_a_failover() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4))
         await simulation.until(lambda: len(simulation.running("run-s")) == 4)
@@ -212,7 +212,7 @@
     run_scenario(scenario, teams=[Team("red", cpus_max=8.0), Team("blue")])
 
 
-def test_a_stalled_loop_makes_the_leader_yield() -> None:
+def test_a_stalled_loop_makes_the_leader_step_down() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await simulation.until_leader()
         node = simulation.nodes[old]
@@ -230,7 +230,7 @@
     run_scenario(scenario)
 
 
-def test_two_runs_of_one_story_are_alike() -> None:
+def test_two_runs_of_one_scenario_are_alike() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-a", shards=8))
         await simulation.until_phase("run-a", "done")
@@ -243,7 +243,7 @@
     assert run_scenario(scenario, seed=5).starts == first
 
 
-def test_a_controller_with_only_its_workers_sends_them_away() -> None:
+def test_a_controller_that_reaches_only_its_workers_redirects_them() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4))
         await simulation.until(lambda: len(simulation.running("run-s")) == 4)
--- a/tests/scenarios/test_machine_failures.py
+++ b/tests/scenarios/test_machine_failures.py
@@ -6,7 +6,7 @@
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 
 
-def test_a_new_leader_does_not_give_back_machines_it_has_not_heard_yet() -> None:
+def test_a_new_leader_does_not_return_machines_without_a_heartbeat_yet() -> None:
     """Found on a day of our own: old machines that were slow to reach the new leader all went back."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -102,7 +102,7 @@
     run_scenario(scenario)
 
 
-def test_a_takeover_with_a_silent_worker_waits_for_its_lease() -> None:
+def test_a_failover_with_a_silent_worker_waits_for_its_lease() -> None:
     """What the silent machine runs may not be started elsewhere; a job that came later need not wait."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -122,7 +122,7 @@
     run_scenario(scenario)
 
 
-def test_scatter_and_limits_count_what_is_not_proved_lost() -> None:
+def test_zone_spread_and_limits_count_what_is_not_proved_lost() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4, scatter=True))
         await simulation.until(lambda: len(simulation.running("run-s")) == 4)
@@ -152,7 +152,7 @@
     run_scenario(scenario)
 
 
-def test_a_spot_machine_is_taken_with_notice() -> None:
+def test_a_spot_machine_is_reclaimed_with_notice() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         fields = {"reclaimable": True, "snapshotEveryS": 5.0, "snapshotCostS": 1.0, "expectedRunS": 30.0}
         await simulation.submit(job("run-a", shards=2, **fields))
@@ -171,7 +171,7 @@
     run_scenario(scenario)
 
 
-def test_a_task_that_can_not_save_leaves_a_machine_before_it_is_taken() -> None:
+def test_a_task_without_checkpoints_leaves_a_spot_machine_before_it_is_reclaimed() -> None:
     """Found on a measured day: it died with its machine and was known lost only after a lease of silence."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("pause_s", [2.0, SETTINGS.confirm_s, 25.0])
-def test_who_slept_suspects_nobody_and_is_alive_again_when_it_wakes(pause_s: float) -> None:
+def test_a_paused_controller_suspects_nobody_and_is_alive_again_when_it_resumes(pause_s: float) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
         leader = await simulation.until_leader()
@@ -121,9 +121,7 @@
 
 
 @pytest.mark.parametrize(("deaf", "unheard"), NINE_CUTS)
-def test_a_controller_that_one_other_or_all_cannot_hear_is_alive_while_anybody_answers_for_it(
-    deaf: str, unheard: str
-) -> None:
+def test_a_controller_in_a_one_way_partition_is_alive_while_anybody_answers_for_it(deaf: str, unheard: str) -> None:
     """One way between two: it is heard through the third. All ways of one, but not the state service: its lease is
     kept, and it is suspected and never confirmed."""
 
--- a/tests/scenarios/test_one_way_partitions.py
+++ b/tests/scenarios/test_one_way_partitions.py
@@ -6,7 +6,7 @@
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 
 
-def test_a_deaf_machine_is_replaced_and_gets_no_work_until_it_hears() -> None:
+def test_a_machine_in_a_one_way_partition_is_replaced_and_gets_no_work_until_it_heals() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 3
         await simulation.submit(service("run-s", shards=2))
@@ -27,7 +27,7 @@
     run_scenario(scenario)
 
 
-def test_a_start_that_a_deaf_machine_never_hears_of_is_moved() -> None:
+def test_a_start_lost_in_a_one_way_partition_is_moved() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 2
         await simulation.submit(service("run-s", shards=1, region="a"))
@@ -41,7 +41,7 @@
     run_scenario(scenario)
 
 
-def test_a_deaf_machine_does_not_block_a_takeover_for_long() -> None:
+def test_a_one_way_partition_does_not_block_a_failover_for_long() -> None:
     """Roster machines were only given up when silent; one that reports but never shows our term blocked all old
     jobs and counted toward every team's limit for ever."""
 
@@ -60,7 +60,7 @@
     run_scenario(scenario, teams=[Team("red", cpus_max=10.0)])
 
 
-def test_a_cancellation_reaches_a_deaf_machine_by_its_lease() -> None:
+def test_a_cancellation_reaches_an_unreachable_machine_by_its_lease() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4))
         await simulation.until(lambda: len(simulation.running("run-s")) == 4)
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_half_the_machines_cut_and_others_hanging_around_a_takeover(seed: int) -> None:
+def test_half_the_machines_cut_and_others_hanging_around_a_failover(seed: int) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await busy(simulation)
         sent = record_messages(simulation, "/hello", "/commands")
@@ -114,7 +114,7 @@
     run_scenario(scenario)
 
 
-def test_after_the_last_trouble_every_job_is_answered_soon() -> None:
+def test_after_the_last_failure_every_job_is_answered_soon() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         for number in range(30):
             await simulation.submit(job(f"run-{number}", shards=2, expectedRunS=15.0))
@@ -138,7 +138,7 @@
     run_scenario(scenario)
 
 
-def test_jobs_are_cancelled_in_the_seconds_in_which_work_changes_hands() -> None:
+def test_jobs_are_cancelled_in_the_seconds_of_a_failover() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         names = [f"run-{n}" for n in range(9)]
         for job_id in names:
--- a/tests/scenarios/test_overload.py
+++ b/tests/scenarios/test_overload.py
@@ -7,7 +7,7 @@
 from tests.simulation.users import LABELS
 
 
-def test_a_storm_of_polls_leaves_pings_reports_and_submissions_their_time() -> None:
+def test_a_storm_of_polls_does_not_starve_lease_renewals_heartbeats_and_submissions() -> None:
     """Each request costs a controller 2 ms of its only processor; 450 polls a second take most of it."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -53,7 +53,7 @@
     run_scenario(scenario)
 
 
-def test_what_waits_in_a_storm_is_bounded_while_the_store_is_silent() -> None:
+def test_the_queue_of_polls_is_bounded_while_the_store_does_not_answer() -> None:
     """Polls that find no place among those that wait are told at once to come back."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
--- a/tests/scenarios/test_preemption.py
+++ b/tests/scenarios/test_preemption.py
@@ -6,7 +6,7 @@
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 
 
-def test_guests_give_their_room_to_work_with_a_deadline_within_seconds() -> None:
+def test_borrowed_capacity_is_reclaimed_for_work_with_a_deadline_within_seconds() -> None:
     """A guest's array holds every machine that the cloud has; it loses the tasks that ran for the shortest time."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -29,7 +29,7 @@
     run_scenario(scenario, teams=[Team("red"), Team("guests")])
 
 
-def test_guests_keep_their_room_while_machines_can_still_be_rented_in_time() -> None:
+def test_borrowed_capacity_is_kept_while_machines_can_still_be_rented_in_time() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
         await simulation.submit(
--- a/tests/scenarios/test_process_pause.py
+++ b/tests/scenarios/test_process_pause.py
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("for_s", [SHORT_S, FROZEN_S])
 @pytest.mark.parametrize("answered", [False, True], ids=["decided", "sent"])
 @pytest.mark.parametrize("action", list(ACTIONS))
-def test_a_leader_frozen_in_the_middle_of_an_action_does_nothing_on_its_old_belief(
+def test_a_leader_paused_in_the_middle_of_an_action_does_nothing_on_its_stale_leadership(
     action: str, answered: bool, for_s: float
 ) -> None:
     """The simulated cluster checks that commands, rentals and returns come from a valid leader only."""
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("path", ["/follow", "/kv", "/multi"])
-def test_a_frozen_controller_answers_nobody_out_of_its_old_view(path: str) -> None:
+def test_a_paused_controller_answers_nobody_from_its_stale_watch_cache(path: str) -> None:
     """Users of a frozen controller wait; others told them meanwhile that the jobs are over."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -142,7 +142,7 @@
     run_scenario(scenario)
 
 
-def test_a_woken_follower_does_not_send_workers_to_a_leader_that_has_ended() -> None:
+def test_a_resumed_follower_does_not_redirect_workers_to_a_leader_that_has_ended() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await simulation.until_leader()
         follower = next(label for label in LABELS if label != old)
@@ -166,7 +166,7 @@
     run_scenario(scenario)
 
 
-def test_a_process_that_stood_still_does_not_blame_its_loops() -> None:
+def test_a_process_that_was_paused_does_not_take_its_loops_for_stalled() -> None:
     """It yields because its lease has ended, not because loops that could not run are taken for stalled."""
 
     async def main() -> None:
--- a/tests/scenarios/test_read_consistency.py
+++ b/tests/scenarios/test_read_consistency.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["none", "lost answers", "late writes", "leaders change"])
-def test_close_looks_get_nothing_older_than_what_was_told(trouble: str) -> None:
+def test_reads_within_milliseconds_return_nothing_older_than_confirmed_answers(trouble: str) -> None:
     """Right after a job was accepted, ended or confirmed as cancelled."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -52,7 +52,7 @@
     run_scenario(scenario)
 
 
-def test_transactions_carried_out_late_change_nothing_that_was_told() -> None:
+def test_transactions_committed_late_change_no_confirmed_answer() -> None:
     """After newer ones of the same controller, and after its end."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
--- a/tests/scenarios/test_scale_out.py
+++ b/tests/scenarios/test_scale_out.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("new_leader", [False, True])
-def test_late_and_lost_machines_are_replaced_and_given_up_without_running_away(new_leader: bool) -> None:
+def test_late_and_lost_machines_are_replaced_and_abandoned_without_runaway_scale_out(new_leader: bool) -> None:
     """Half of the machines never come up, others take several times as long, and the list is 12 s late."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
--- a/tests/scenarios/test_starvation.py
+++ b/tests/scenarios/test_starvation.py
@@ -39,7 +39,7 @@
     run_scenario(scenario, teams=GUARANTEED)
 
 
-def test_large_low_work_begins_although_more_important_work_never_ends() -> None:
+def test_large_low_priority_work_begins_although_higher_priority_work_never_ends() -> None:
     """Small tasks would take every piece that comes free; a machine is kept for one aged job at a time."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
--- a/tests/scenarios/test_store_failures.py
+++ b/tests/scenarios/test_store_failures.py
@@ -83,7 +83,7 @@
     run_scenario(scenario)
 
 
-def test_what_was_cancelled_goes_even_in_a_standstill() -> None:
+def test_cancelled_jobs_end_even_in_degraded_mode() -> None:
     """The leader dies with the halts unsent and the store goes with it: leases go on, cancelled tasks may not."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -157,7 +157,7 @@
     run_scenario(scenario)
 
 
-def test_one_node_refused_by_the_store_gets_no_promises_and_is_not_ready() -> None:
+def test_one_controller_refused_by_the_store_gets_no_promises_and_is_not_ready() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4))
         await simulation.until(lambda: len(simulation.running("run-s")) == 4)
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -225,7 +225,7 @@
     run_scenario(scenario, coming=COMING)
 
 
-def test_a_change_that_is_refused_alone_is_set_aside_and_the_rest_goes_on() -> None:
+def test_a_write_that_is_refused_alone_is_quarantined_and_the_rest_goes_on() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         refused = []
         judge = simulation.store._too_large
@@ -251,7 +251,7 @@
     run_scenario(scenario)
 
 
-def test_the_roster_of_half_as_many_machines_again_fits_and_old_parts_shrink() -> None:
+def test_the_registry_of_half_as_many_machines_again_fits_and_old_chunks_shrink() -> None:
     names = [f"m-{n:06d}" for n in range(975)]
     parts: dict[str, dict[str, dict[str, Any]]] = {}
     for number, name in enumerate(names):  # as the version before wrote them
@@ -275,7 +275,7 @@
         assert all(json_size(values) <= SMALL for values in group.values())
 
 
-def test_new_machines_get_work_though_their_roster_part_is_full() -> None:
+def test_new_machines_get_work_though_their_registry_chunk_is_full() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
         parts: dict[str, dict[str, Any]] = {}
@@ -310,7 +310,7 @@
     run_scenario(scenario, coming=COMING)
 
 
-def test_parts_of_a_finished_job_are_swept() -> None:
+def test_progress_chunks_of_a_finished_job_are_garbage_collected() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
         for number in range(12):
@@ -349,7 +349,7 @@
     run_scenario(scenario, coming=COMING)
 
 
-def test_a_machine_in_two_parts_of_the_roster_is_heard_once() -> None:
+def test_a_machine_in_two_chunks_of_the_registry_is_confirmed_once() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-s", shape="standing", shards=2, rank="prod", expectedRunS=0.0))
         await simulation.until(lambda: len(simulation.running("run-s")) == 2)
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -84,7 +84,7 @@
     assert leader.cluster.team_use("red").total == (0.0, 0.0)
 
 
-def test_tasks_gone_for_certain_do_not_count_on_machines_that_stay_silent() -> None:
+def test_tasks_proved_ended_do_not_count_on_machines_that_stay_silent() -> None:
     """Teams at their limit must not stand still behind a silent machine for what ran elsewhere."""
     leader = leader_after_takeover(3)
     silent = leader.names[2]
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -119,7 +119,7 @@
         run_scenario(told, seed=seed, old=True, coming=COMING)
 
 
-def test_a_standstill_of_both_versions_keeps_every_task() -> None:
+def test_degraded_mode_of_both_versions_keeps_every_task() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await load(simulation)
         simulation.kill("n1")
@@ -216,7 +216,7 @@
     run_scenario(scenario)
 
 
-def test_a_group_that_old_leaders_come_upon_breaks_no_rule() -> None:
+def test_a_gang_that_leaders_of_the_former_version_find_breaks_no_rule() -> None:
     """Nothing new is asked before all are new; but an operator may go back."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
@@ -264,7 +264,7 @@
     assert old.new_record(old.parse_spec(job("run-1")), 1.0) == new_record(parse_spec(job("run-1")), 1.0)
 
 
-def test_the_former_version_waits_for_machines_in_further_roster_keys_and_ignores_small_parts() -> None:
+def test_the_former_version_waits_for_machines_in_further_registry_keys_and_ignores_small_chunks() -> None:
     entries = {f"m-{n:06d}": {"f": "c8", "a": f"10.0.0.{n}:9000", "z": "zone", "s": False} for n in range(60)}
     parts: dict[str, dict[str, Any]] = {}
     left = dict(entries)
--- a/tests/scenarios/test_user_requests.py
+++ b/tests/scenarios/test_user_requests.py
@@ -7,7 +7,7 @@
 from tests.simulation.users import LABELS
 
 
-def test_odd_requests_keep_their_answers() -> None:
+def test_unusual_requests_keep_their_answers() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
         await simulation.submit(job("run-a", expectedRunS=1.0))
--- a/tests/soak/long_run.py
+++ b/tests/soak/long_run.py
@@ -10,7 +10,7 @@
 import click
 import trio._core._run as trio_run
 
-from tests.soak.takeover_soak import Reached, play
+from tests.soak.failover_soak import Reached, play
 
 
 def _play(seed: int) -> Reached:
--- a/tests/soak/test_takeover_soak.py
+++ b/tests/soak/test_failover_soak.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from tests.soak.takeover_soak import play
+from tests.soak.failover_soak import play
 
 # The last two broke `quota` before jobs lately over kept their spec until their tasks were proved gone.
 SEEDS = (1, 2, 3, 4, 5, 6, 7, 8, 11, 34)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_limits_hold_round_changes_of_leader(seed: int) -> None:
+def test_limits_hold_around_failovers(seed: int) -> None:
     reached = play(seed)
     print(reached)
     assert not reached.broken, reached
