--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -139,7 +139,7 @@
             commands = leader.cluster.on_heartbeat(parse_heartbeat(body), leader.now) or []
             _encode(HeartbeatResponse(leader.cluster.term, commands))
         before = set(leader.tasks[name])
-        leader.obey(name, commands)
+        leader.execute(name, commands)
         self.reports += 1
         for key in leader.tasks[name].keys() - before:
             spec = leader.cluster.jobs[key[0].rpartition("/")[0]].spec
--- a/tests/processes/deployment.py
+++ b/tests/processes/deployment.py
@@ -84,7 +84,7 @@
             REPORT_S,
             LEASE_S,
             self.specs,
-            self._heard,
+            self._on_task_change,
             self._gangs,
         )
         worker.on_done = self._completed
@@ -105,7 +105,7 @@
         """The machine with most tasks does nothing for so long, and then goes on."""
         if not self.workers:
             return
-        worker = max(self.workers.values(), key=lambda each: (len(each.on), each.name))
+        worker = max(self.workers.values(), key=lambda each: (len(each.active_tasks), each.name))
         worker.hung = True
 
         async def wake() -> None:
@@ -118,11 +118,11 @@
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.dead = True
-            for task_id in list(worker.on):
+            for task_id in list(worker.active_tasks):
                 worker._put(task_id, False)
             self._scopes[name].cancel()
 
-    def _heard(self, worker: FakeWorker, task_id: str, on: bool) -> None:
+    def _on_task_change(self, worker: FakeWorker, task_id: str, on: bool) -> None:
         now = trio.current_time()
         if on:
             self.events.append(TaskBegan(now, task_id, worker.name))
@@ -144,9 +144,9 @@
                 term = held[1]
                 self.events.append(LeaderSeen(now, term, held[0]["label"]))
             for name, worker in self.workers.items():
-                if worker.epoch != tokens.get(name, 0):
-                    tokens[name] = worker.epoch
-                    self.events.append(TokenSeen(now, name, worker.epoch))
+                if worker.fencing_token != tokens.get(name, 0):
+                    tokens[name] = worker.fencing_token
+                    self.events.append(TokenSeen(now, name, worker.fencing_token))
             await trio.sleep(WATCH_S)
 
     def leader(self) -> str | None:
--- a/tests/scenarios/test_controller_restarts.py
+++ b/tests/scenarios/test_controller_restarts.py
@@ -50,7 +50,7 @@
         for label in LABELS:
             simulation.kill(label)
         await trio.sleep(2 * LEASE_S)
-        assert not any(worker.on for worker in simulation.workers.values())
+        assert not any(worker.active_tasks for worker in simulation.workers.values())
         starts = len(simulation.starts)
         began = trio.current_time()
         if way == "back and gone again":
--- a/tests/scenarios/test_delayed_messages.py
+++ b/tests/scenarios/test_delayed_messages.py
@@ -158,7 +158,7 @@
         await simulation.submit(service("run-s", shards=4, vcpus=1.0))
         await simulation.submit(job("run-a", shards=16, vcpus=1.0, expectedRunS=9.0))
         await simulation.until(lambda: len(simulation.running("run-s")) == 4)
-        simulation.late_reports(0.4, for_next)
+        simulation.late_heartbeat_copies(0.4, for_next)
         for turn in range(4):
             await trio.sleep(6)
             leader = await simulation.until_leader()
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -97,7 +97,7 @@
         await simulation.submit(saving("run-g", reclaimable=True, expectedRunS=60.0, snapshotEveryS=40.0))
         machines = await runs(simulation, "run-g")
         await trio.sleep(10)
-        simulation.workers[machines[0]].evict = trio.current_time() + 12
+        simulation.workers[machines[0]].spot_reclaim_at = trio.current_time() + 12
         await trio.sleep(12)
         simulation.kill_machine(machines[0])
         assert simulation.gangs.saved.get("run-g", 0) > 10, "in order, and as late as is safe"
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -120,7 +120,7 @@
         simulation.kill(old)
         simulation.net._cuts.clear()
         await simulation.until(lambda: simulation.leader() not in (None, old))
-        await simulation.until(lambda: name in simulation.workers and bool(simulation.workers[name].on), 90)
+        await simulation.until(lambda: name in simulation.workers and bool(simulation.workers[name].active_tasks), 90)
         simulation.net.hold_request = lambda src, dst, request: False
         simulation.net.release()
         await trio.sleep(1)
--- a/tests/scenarios/test_machine_failures.py
+++ b/tests/scenarios/test_machine_failures.py
@@ -73,7 +73,7 @@
         name = simulation.running("run-a")[0][1]
         worker = simulation.workers[name]
         worker.hung = True
-        for task_id in list(worker.on):
+        for task_id in list(worker.active_tasks):
             worker._put(task_id, False)  # a hung machine does not execute its tasks
         await trio.sleep(25)
         worker.hung = False
@@ -160,7 +160,7 @@
         name = simulation.running("run-a")[0][1]
         worker = simulation.workers[name]
         assert worker.spot
-        worker.evict = trio.current_time() + 8
+        worker.spot_reclaim_at = trio.current_time() + 8
         await trio.sleep(8)
         saved = [t for t in worker.tasks.values() if t.get("saved")]
         assert saved or not worker.tasks, "its work was saved before the machine went"
@@ -180,7 +180,7 @@
         name = simulation.running("run-a")[0][1]
         await simulation.submit(service("run-k", shards=4))
         await simulation.until(lambda: len(simulation.running("run-k")) == 4)
-        simulation.workers[name].evict = trio.current_time() + 8
+        simulation.workers[name].spot_reclaim_at = trio.current_time() + 8
         began = trio.current_time()
         await simulation.until(lambda: any(h != name for _, h in simulation.running("run-a")), 10)
         assert trio.current_time() - began < 8
--- a/tests/scenarios/test_one_way_partitions.py
+++ b/tests/scenarios/test_one_way_partitions.py
@@ -12,7 +12,7 @@
         await simulation.submit(service("run-s", shards=2))
         await simulation.until(lambda: len(simulation.running("run-s")) == 2)
         name = simulation.running("run-s")[0][1]
-        simulation.deafen(name)
+        simulation.drop_inbound(name)
         await simulation.until(lambda: len([1 for _, h in simulation.running("run-s") if h != name]) == 2, 60)
         before = [s for s in simulation.starts if s[2] == name]
         await simulation.submit(job("run-a", shards=12, expectedRunS=3.0))
@@ -34,7 +34,7 @@
         await simulation.submit(service("run-t", shards=1, region="b"))
         await simulation.until(lambda: len(simulation.running("run-s")) == 1 and len(simulation.running("run-t")) == 1)
         name = simulation.running("run-s")[0][1]
-        simulation.deafen(name)
+        simulation.drop_inbound(name)
         await simulation.submit(service("run-n", shards=2, vcpus=1.0))
         await simulation.until(lambda: len([1 for _, h in simulation.running("run-n") if h != name]) == 2, 40)
 
@@ -49,7 +49,7 @@
         await simulation.submit(service("run-s", shards=4, scatter=True))
         await simulation.until(lambda: len(simulation.running("run-s")) == 4)
         name = simulation.running("run-s")[0][1]
-        simulation.deafen(name)
+        simulation.drop_inbound(name)
         simulation.kill(await simulation.until_leader())
         began = trio.current_time()
         await simulation.until(lambda: len([1 for _, h in simulation.running("run-s") if h != name]) == 4, 60)
@@ -64,7 +64,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4))
         await simulation.until(lambda: len(simulation.running("run-s")) == 4)
-        simulation.deafen(simulation.running("run-s")[0][1])
+        simulation.drop_inbound(simulation.running("run-s")[0][1])
         await simulation.cancel("run-s")
         await simulation.until(lambda: not simulation.running("run-s"), 25)
 
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -18,7 +18,7 @@
     for number in range(4):
         team = "red" if number % 2 else "blue"
         await simulation.submit(job(f"run-{number}", shards=24, owner=team, vcpus=1.0, memoryGb=1.0, expectedRunS=25.0))
-    await simulation.until(lambda: sum(len(w.on) for w in simulation.workers.values()) > 90)
+    await simulation.until(lambda: sum(len(w.active_tasks) for w in simulation.workers.values()) > 90)
 
 
 async def repeat(simulation: SimulatedCluster, sent: list[SentMessage], count: int) -> None:
@@ -158,7 +158,7 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("trouble", ["cut", "hang", "deaf", "mute"])
+@pytest.mark.parametrize("trouble", ["cut", "hang", "inbound_lost", "outbound_refused"])
 def test_full_teams_whose_cancelled_jobs_stay_on_machines_that_cannot_be_asked(trouble: str) -> None:
     """The leader changes as well. What may still run counts toward the limit until it is proved gone."""
 
@@ -167,7 +167,7 @@
         for team in ("red", "blue"):
             for number in range(4):
                 await simulation.submit(service(f"run-{team}{number}", owner=team, shards=2, vcpus=2.0))
-        await simulation.until(lambda: sum(len(w.on) for w in simulation.workers.values()) == 16)
+        await simulation.until(lambda: sum(len(w.active_tasks) for w in simulation.workers.values()) == 16)
         for team in ("red", "blue"):
             for number in range(4, 6):
                 await simulation.submit(service(f"run-{team}{number}", owner=team, shards=2, vcpus=2.0))
@@ -175,8 +175,8 @@
         act = {
             "cut": simulation.cut_machine,
             "hang": simulation.hang,
-            "deaf": simulation.deafen,
-            "mute": simulation.mute,
+            "inbound_lost": simulation.drop_inbound,
+            "outbound_refused": simulation.refuse_outbound,
         }[trouble]
         for name in gone:
             act(name)
@@ -245,7 +245,7 @@
             simulation.net.heal()
             await trio.sleep_until(began + 12)
         await simulation.wait_for_convergence()
-        assert len(simulation.led) > 5
+        assert len(simulation.leader_terms) > 5
 
     run_scenario(scenario)
 
--- a/tests/scenarios/test_overload.py
+++ b/tests/scenarios/test_overload.py
@@ -16,7 +16,7 @@
         for job_id in job_ids:
             await simulation.submit(job(job_id, shards=2, vcpus=1.0, expectedRunS=200.0))
         await simulation.until(lambda: all(len(simulation.running(job_id)) == 2 for job_id in job_ids), 60)
-        led, simulation.request_cost_s = len(simulation.led), 0.002
+        terms_before, simulation.request_cost_s = len(simulation.leader_terms), 0.002
         reads_before = len(simulation.store.requests)
         statuses: dict[int, int] = {}
         latencies: list[float] = []
@@ -41,7 +41,7 @@
                     assert trio.current_time() - began < 0.5, "a cancellation keeps its latency"
                 await trio.sleep(1 / 450)
         spent_s = 9000 / 450
-        assert len(simulation.led) == led, "pings keep their time"
+        assert len(simulation.leader_terms) == terms_before, "pings keep their time"
         assert all(len(simulation.running(job_id)) == 2 for job_id in job_ids), "reports are answered"
         assert set(statuses) <= {200, 404, 503}, statuses
         assert statuses[200] > 5000, statuses
--- a/tests/scenarios/test_process_pause.py
+++ b/tests/scenarios/test_process_pause.py
@@ -66,7 +66,7 @@
         await simulation.submit(job("run-gone", shards=6, vcpus=4.0, expectedRunS=4.0))
         await simulation.until_phase("run-gone", "done")
         assert simulation.leader() == leader
-        before = len(simulation.led)
+        before = len(simulation.leader_terms)
         moments = freeze_once(simulation, leader, ACTIONS[action], answered, for_s)
         await simulation.submit(job("run-a", shards=12, vcpus=4.0, expectedRunS=6.0))
         await simulation.until(lambda: bool(moments), 60)
@@ -75,7 +75,7 @@
         await simulation.cancel("run-a")
         await simulation.until(lambda: not simulation.frozen(leader), 20)
         await trio.sleep(10)
-        assert len(simulation.led) <= before + 1, "one handover at most for one freeze"
+        assert len(simulation.leader_terms) <= before + 1, "one handover at most for one freeze"
         assert len(simulation.running("run-s")) == 4
         await simulation.wait_for_convergence()
 
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -46,14 +46,14 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await load(simulation)
-        held = len(simulation.led)
+        held = len(simulation.leader_terms)
         await upgrade(simulation, [LABELS[(turn + i) % 3] for i in range(3)])
         for number in range(6):
             assert await simulation.submit(job(f"run-{number}")) == 201
             await simulation.until_phase(f"run-{number}", "done")
         await simulation.until_phase("run-long", "done")
         await simulation.until_phase("run-slow", "done")
-        assert len(simulation.led) - held <= 2, simulation.led
+        assert len(simulation.leader_terms) - held <= 2, simulation.leader_terms
         assert len(simulation.running("run-s")) == 4
         count = {s: sum(1 for _, t, _ in simulation.starts if t == s) for _, s, _ in simulation.starts}
         assert set(count.values()) == {1}, "no task was started twice"
--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -14,7 +14,7 @@
     worker: FakeWorker
     task_id: str
     task: dict[str, Any]
-    told_at: float | None = None
+    stop_requested_at: float | None = None
 
     def here(self) -> bool:
         w = self.worker
@@ -31,7 +31,7 @@
     spec: dict[str, Any]
     members: dict[str, _Member] = field(default_factory=dict)
     begun: float | None = None
-    halted: float | None = None  # the first orderly halt: progress ends here
+    stopping_since: float | None = None  # the first stop command: progress ends here
     lost: float | None = None  # a task is gone
     over: bool = False
 
@@ -57,18 +57,18 @@
     def progress(self, gang: _Gang, now: float) -> float:
         if gang.begun is None:
             return self.saved.get(gang.spec["uid"], 0.0)
-        end = min(t for t in (now, gang.halted, gang.lost) if t is not None)
+        end = min(t for t in (now, gang.stopping_since, gang.lost) if t is not None)
         return self.saved.get(gang.spec["uid"], 0.0) + max(0.0, end - gang.begun)
 
-    def halt(self, task_id: str, attempt_number: int, wind_down: float, now: float) -> bool:
+    def request_stop(self, task_id: str, attempt_number: int, wind_down: float, now: float) -> bool:
         """True if the task saves; else it exits at once."""
         gang = self._gangs.get((task_id.rpartition("/")[0], attempt_number))
         if gang is None or gang.begun is None or gang.over or gang.lost is not None:
             return False
         if not gang.spec["snapshotEveryS"] or wind_down < gang.spec["snapshotCostS"]:
             return False
-        gang.halted = now if gang.halted is None else gang.halted
-        gang.members[task_id].told_at = now
+        gang.stopping_since = now if gang.stopping_since is None else gang.stopping_since
+        gang.members[task_id].stop_requested_at = now
         return True
 
     def step(self, now: float) -> None:
@@ -92,15 +92,19 @@
     def _running(self, job_id: str, gang: _Gang, here: list[_Member], now: float) -> None:
         spec = gang.spec
         whole = len(here) == spec["shards"]
-        if whole and gang.lost is None and gang.halted is None:
+        if whole and gang.lost is None and gang.stopping_since is None:
             if self.progress(gang, now) >= spec["expectedRunS"]:
                 self.done.add(job_id)
                 gang.over = True
                 for member in here:
                     self._exit(member, "done")
             return
-        if gang.halted is not None and whole and gang.lost is None:
-            saved = [m for m in here if m.told_at is not None and now >= m.told_at + spec["snapshotCostS"]]
+        if gang.stopping_since is not None and whole and gang.lost is None:
+            saved = [
+                m
+                for m in here
+                if m.stop_requested_at is not None and now >= m.stop_requested_at + spec["snapshotCostS"]
+            ]
             if len(saved) == spec["shards"]:
                 self.saved[job_id] = self.progress(gang, now)
                 gang.over = True
@@ -108,11 +112,11 @@
                     member.task["saved"] = True
                     self._exit(member, "halted")
                 return
-            if now <= gang.halted + self.peer_s:
+            if now <= gang.stopping_since + self.peer_s:
                 return
         if gang.lost is None:
             gang.lost = now
-        if now >= gang.lost + (self.peer_s if gang.halted is None else 0.0):
+        if now >= gang.lost + (self.peer_s if gang.stopping_since is None else 0.0):
             every = spec["snapshotEveryS"]
             if every and not gang.over:
                 self.saved[job_id] = max(self.saved.get(job_id, 0.0), self.progress(gang, now) // every * every)
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -72,7 +72,7 @@
             tasks=tasks,
         )
 
-    def obey(self, name: str, commands: Sequence[Command]) -> None:
+    def execute(self, name: str, commands: Sequence[Command]) -> None:
         """The worker carries the commands out at once."""
         tasks = self.tasks[name]
         for command in commands:
@@ -87,7 +87,7 @@
 
     def send_heartbeat(self, name: str, fencing_token: int = TERM) -> None:
         """A machine reports and carries out the answer."""
-        self.obey(name, self.cluster.on_heartbeat(self.next_heartbeat(name, fencing_token), self.now) or [])
+        self.execute(name, self.cluster.on_heartbeat(self.next_heartbeat(name, fencing_token), self.now) or [])
 
     def write_registry(self) -> None:
         """The registry entries of all machines that wait for one are committed."""
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(eq=False)
-class _Held:
+class _HeldRequest:
     """A request caught by a cut: delivered when the cut ends, whether or not anybody still waits."""
 
     src: str
@@ -33,7 +33,7 @@
         self.down: set[str] = set()
         self.refused: set[tuple[str, str]] = set()  # from, to: connections that are refused at once
         self._cuts: set[tuple[str, str]] = set()
-        self._held: list[_Held] = []
+        self._held: list[_HeldRequest] = []
         self.drop_answers: Callable[[str, str, Request], bool] = lambda src, dst, request: False
         self.hold_request: Callable[[str, str, Request], bool] = lambda src, dst, request: False
         # Seconds after which a request is delivered to nobody's use, or None: its sender never gets an answer.
@@ -69,7 +69,7 @@
     def client(self, src: str) -> Callable[[str], Client]:
         return lambda dst: _FakeClient(self, src, dst)
 
-    async def _deliver(self, item: _Held) -> None:
+    async def _deliver(self, item: _HeldRequest) -> None:
         handler = self.handlers.get(item.dst)
         if handler is None or item.dst in self.down:
             item.answer.close()
@@ -80,7 +80,7 @@
         with contextlib.suppress(trio.BrokenResourceError, trio.WouldBlock):
             item.answer.send_nowait(reply)
 
-    async def _deliver_late(self, item: _Held, delay: float) -> None:
+    async def _deliver_late(self, item: _HeldRequest, delay: float) -> None:
         await trio.sleep(delay)
         handler = self.handlers.get(item.dst)
         if handler is not None and item.dst not in self.down:
@@ -97,7 +97,7 @@
             await trio.sleep(self.latency)
             raise NotSentError(f"{dst} refuses")
         sender, receiver = trio.open_memory_channel[Reply](1)
-        item = _Held(src, dst, request, sender)
+        item = _HeldRequest(src, dst, request, sender)
         with trio.move_on_after(timeout):
             await trio.sleep(self.latency)
             self.on_connected(src, dst, request)
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -15,7 +15,7 @@
 from tests.simulation.store import FakeStore
 from tests.simulation.worker import FakeWorker
 
-REPORT_S, LEASE_S, CANCEL_S = 1.0, 11.0, 30.0
+HEARTBEAT_S, LEASE_S, CANCEL_S = 1.0, 11.0, 30.0
 GANG_WAIT_S, GANG_PEER_S = 40.0, 5.0
 
 
@@ -40,7 +40,7 @@
         self.finished: set[str] = set()
         self.gangs = Gangs(GANG_WAIT_S, GANG_PEER_S)
         self.broken: list[str] = []
-        self.led: list[tuple[int, str]] = []  # each holder of the leader key: its term and label
+        self.leader_terms: list[tuple[int, str]] = []  # each holder of the leader key: its term and label
 
     def _check_entitled(self, src: str, dst: str, request: Request) -> None:
         """Only a leader within its validity may command workers, rent or return machines."""
@@ -49,7 +49,7 @@
         if acts and isinstance(node, Controller) and not node.elector.valid():
             self.broken.append(f"not entitled: {src} sends {request.path} at {trio.current_time():.1f}")
 
-    def _hear(self, worker: FakeWorker, task_id: str, on: bool) -> None:
+    def _on_task_change(self, worker: FakeWorker, task_id: str, on: bool) -> None:
         job_id = task_id.rpartition("/")[0]
         if not on:
             return
@@ -58,11 +58,11 @@
         self.started_cancelled += job_id in self.cancelled_at
         if now - self.cancelled_at.get(job_id, now) > CANCEL_S:
             self.broken.append(f"ran_cancelled: {task_id} starts on {worker.name}")
-        others = [w for w in self.workers.values() if w is not worker and task_id in w.on]
+        others = [w for w in self.workers.values() if w is not worker and task_id in w.active_tasks]
         if others:
             self.broken.append(f"ran_twice: {task_id} on {worker.name} and {others[0].name} at {now:.1f}")
         spec = self.specs[job_id]
-        placed = [w.zone for w in self.workers.values() for s in w.on if s.startswith(job_id + "/")]
+        placed = [w.zone for w in self.workers.values() for s in w.active_tasks if s.startswith(job_id + "/")]
         if spec["region"] not in (None, worker.zone) or (worker.spot and not spec["reclaimable"]):
             self.broken.append(f"wrong_place: {task_id} on {worker.name}")
         if spec["oneZone"] and len(set(placed)) > 1:
@@ -73,7 +73,7 @@
             used = sum(
                 self.specs[s.rpartition("/")[0]]["vcpus"]
                 for w in self.workers.values()
-                for s in w.on
+                for s in w.active_tasks
                 if self.specs[s.rpartition("/")[0]]["owner"] == team.name
             )
             if team.cpus_max and used > team.cpus_max + 1e-6:
@@ -83,15 +83,15 @@
         while True:
             now = trio.current_time()
             for worker in self.workers.values():
-                for task_id in worker.on:
+                for task_id in worker.active_tasks:
                     at = self.cancelled_at.get(task_id.rpartition("/")[0])
                     if at is not None and now - at > CANCEL_S:
                         self.broken.append(f"ran_cancelled: {task_id} on {worker.name}")
             self.gangs.step(now)
             self._check_indices()
             held = self.store.kv.get("s/leader")
-            if held is not None and (not self.led or self.led[-1][0] != held[1]):
-                self.led.append((held[1], held[0]["label"]))
+            if held is not None and (not self.leader_terms or self.leader_terms[-1][0] != held[1]):
+                self.leader_terms.append((held[1], held[0]["label"]))
             await trio.sleep(0.1)
 
     def _check_indices(self) -> None:
--- a/tests/simulation/simulated_cluster.py
+++ b/tests/simulation/simulated_cluster.py
@@ -28,7 +28,7 @@
 from tests.simulation import production
 from tests.simulation.cloud import FakeCloud
 from tests.simulation.freeze import Gate, GatedTasks
-from tests.simulation.rules import CANCEL_S, GANG_PEER_S, GANG_WAIT_S, LEASE_S, REPORT_S
+from tests.simulation.rules import CANCEL_S, GANG_PEER_S, GANG_WAIT_S, HEARTBEAT_S, LEASE_S
 from tests.simulation.users import LABELS, SimulatedUsers
 from tests.simulation.worker import FakeWorker
 
@@ -76,7 +76,7 @@
         """`old`: the version in production, out of this repository's history."""
         members = [Member(o, f"{o}:peer") for o in LABELS if o != label]
         facts = PlatformSettings(
-            workers=Workers(REPORT_S, LEASE_S, CANCEL_S, GANG_WAIT_S, GANG_PEER_S),
+            workers=Workers(HEARTBEAT_S, LEASE_S, CANCEL_S, GANG_WAIT_S, GANG_PEER_S),
             state=StateLimits(500.0, 200.0, self.value_kb, self.txn_ops, self.coming),
             cloud=CloudLimits(5.0, 2.0),
             nodes=len(LABELS),
@@ -183,10 +183,10 @@
             spot,
             {label: label for label in LABELS},
             self.net.client(name),
-            REPORT_S,
+            HEARTBEAT_S,
             LEASE_S,
             self.specs,
-            self._hear,
+            self._on_task_change,
             self.gangs,
         )
         worker.on_done = self.finished.add
@@ -201,7 +201,7 @@
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.dead = True
-            for task_id in list(worker.on):
+            for task_id in list(worker.active_tasks):
                 worker._put(task_id, False)
             self.net.down.add(name)
 
@@ -209,12 +209,12 @@
         for label in LABELS:
             self.net.cut(name, label)
 
-    def deafen(self, name: str) -> None:
+    def drop_inbound(self, name: str) -> None:
         """Its reports arrive; answers and direct commands are lost."""
         for label in LABELS:
             self.net.cut(label, name, both=False)
 
-    def mute(self, name: str) -> None:
+    def refuse_outbound(self, name: str) -> None:
         """It reaches no controller; direct commands reach it and are answered."""
         self.net.refused |= {(name, label) for label in LABELS}
 
@@ -235,14 +235,14 @@
 
         self.net.late = late
 
-    def late_reports(self, share: float, for_next: bool = False) -> None:
+    def late_heartbeat_copies(self, share: float, for_next: bool = False) -> None:
         """Of this share of the reports a copy reaches every controller, from 2 s to well over a lease later, or just as
         the next leader begins."""
 
         async def deliver(src: str, request: Request) -> None:
             if for_next:
-                led = len(self.led)
-                while len(self.led) == led:
+                terms_before = len(self.leader_terms)
+                while len(self.leader_terms) == terms_before:
                     await trio.sleep(0.05)
             else:
                 await trio.sleep(self.rng.uniform(2.0, 2.0 * LEASE_S))
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -98,7 +98,7 @@
         path = request.path
         query = {k: v[0] for k, v in parse_qs(request.query).items()}
         if path == "/follow":
-            return await self._follow(src, query)
+            return await self._watch(src, query)
         if self.outage or src in self.refused:
             return Reply(503, _encode({"error": "trouble"}))
         self.expire()
@@ -163,7 +163,7 @@
         self._notify()
         return Reply(200, _encode({"storeRev": self.rev}))
 
-    async def _follow(self, src: str, query: dict[str, str]) -> Reply:
+    async def _watch(self, src: str, query: dict[str, str]) -> Reply:
         since, prefix = int(query["from"]), query["starts"]
         end = trio.current_time() + int(query.get("holdMs", 0)) / 1000
         if (self.outage or src in self.refused) and int(query.get("holdMs", 0)) == 0:
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -107,4 +107,6 @@
 
     def running(self, job_id: str) -> list[tuple[str, str]]:
         """Tasks of a job on machines now."""
-        return [(s, w.name) for w in self.workers.values() for s in sorted(w.on) if s.startswith(job_id + "/")]
+        return [
+            (s, w.name) for w in self.workers.values() for s in sorted(w.active_tasks) if s.startswith(job_id + "/")
+        ]
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -16,7 +16,8 @@
 
 
 class FakeWorker:
-    """`hear` is told of each task that begins or ends to be on the machine, for the checks of the rules."""
+    """`on_task_change` is called for each task that becomes active or inactive on the machine, for the checks of the
+    rules."""
 
     def __init__(
         self,
@@ -29,23 +30,23 @@
         heartbeat_interval_s: float,
         lease_s: float,
         specs: dict[str, dict[str, Any]],
-        hear: Callable[[FakeWorker, str, bool], None],
+        on_task_change: Callable[[FakeWorker, str, bool], None],
         gangs: Gangs,
     ) -> None:
         self._gangs = gangs
         self.name, self.machine_type, self.zone, self.spot = name, machine_type, zone, spot
         self._nodes = nodes  # label -> address
         self._clients = {label: client(addr) for label, addr in nodes.items()}
-        self._at = sorted(nodes)[0]
+        self._controller = sorted(nodes)[0]
         self.heartbeat_interval_s, self.lease_s = heartbeat_interval_s, lease_s
-        self._specs, self._hear = specs, hear
-        self.incarnation, self.sequence_number, self.epoch = 1, 0, 0
+        self._specs, self._on_task_change = specs, on_task_change
+        self.incarnation, self.sequence_number, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
-        self.on: set[str] = set()  # tasks on the machine: with their image, not ended
-        self.answered = trio.current_time()
+        self.active_tasks: set[str] = set()  # tasks on the machine: with their image, not ended
+        self.lease_renewed_at = trio.current_time()
         self.hung = False
         self.dead = False
-        self.evict: float | None = None
+        self.spot_reclaim_at: float | None = None
         self.on_done: Callable[[str], None] = lambda task_id: None
         self.fail: Callable[[str], bool] = lambda task_id: False
         self.pull_rate = 1.0  # GB a second
@@ -54,9 +55,9 @@
     # --- its tasks ---
 
     def _put(self, task_id: str, on: bool) -> None:
-        if on != (task_id in self.on):
-            (self.on.add if on else self.on.discard)(task_id)
-            self._hear(self, task_id, on)
+        if on != (task_id in self.active_tasks):
+            (self.active_tasks.add if on else self.active_tasks.discard)(task_id)
+            self._on_task_change(self, task_id, on)
 
     def _changed(self) -> None:
         self._change.set()
@@ -68,12 +69,12 @@
     def end_lease(self) -> None:
         """Also while it hangs: it resumes within its lease or without its tasks."""
         now = trio.current_time()
-        if now - self.answered > self.lease_s:
-            for task_id in list(self.on):
+        if now - self.lease_renewed_at > self.lease_s:
+            for task_id in list(self.active_tasks):
                 self._put(task_id, False)
             self.tasks.clear()
             self.incarnation += 1
-            self.answered = now
+            self.lease_renewed_at = now
             self._changed()
 
     def advance(self) -> None:
@@ -110,26 +111,26 @@
             self.on_done(task_id)
         self._changed()
 
-    def _order(self, order: dict[str, Any]) -> None:
-        key = (order["shard"], order["tryNo"])
+    def _execute(self, command: dict[str, Any]) -> None:
+        key = (command["shard"], command["tryNo"])
         task = self.tasks.get(key)
-        if order["verb"] == "start" and task is None:
+        if command["verb"] == "start" and task is None:
             same = [t for (s, _), t in self.tasks.items() if s == key[0] and t["phase"] != "exited"]
             if same:
                 self.tasks[key] = {"phase": "exited", "exitCause": "busy"}
             else:
                 self.tasks[key] = {"phase": "pulling", "at": trio.current_time()}
             self._changed()
-        elif order["verb"] == "halt" and task is not None and task["phase"] != "exited":
+        elif command["verb"] == "halt" and task is not None and task["phase"] != "exited":
             spec = self._spec(key[0])
-            saves = spec["snapshotEveryS"] > 0 and order["windDownS"] >= spec["snapshotCostS"]
+            saves = spec["snapshotEveryS"] > 0 and command["windDownS"] >= spec["snapshotCostS"]
             if spec["shape"] == "group" and task["phase"] == "running":
-                saves = self._gangs.halt(key[0], key[1], order["windDownS"], trio.current_time())
+                saves = self._gangs.request_stop(key[0], key[1], command["windDownS"], trio.current_time())
             if task["phase"] == "running" and saves:
                 task.update(phase="saving", at=trio.current_time())
-            elif task["phase"] != "saving" or order["windDownS"] == 0:
+            elif task["phase"] != "saving" or command["windDownS"] == 0:
                 self._exit(key[0], task, "halted")
-        elif order["verb"] == "clear" and task is not None and task["phase"] == "exited":
+        elif command["verb"] == "clear" and task is not None and task["phase"] == "exited":
             del self.tasks[key]
 
     # --- its messages ---
@@ -139,7 +140,7 @@
         shards = [
             {"shard": s, "tryNo": n, **{k: v for k, v in t.items() if k != "at"}} for (s, n), t in self.tasks.items()
         ]
-        evict = None if self.evict is None else max(0.0, self.evict - trio.current_time())
+        evict = None if self.spot_reclaim_at is None else max(0.0, self.spot_reclaim_at - trio.current_time())
         return {
             "host": self.name,
             "addr": self.name,
@@ -148,7 +149,7 @@
             "reclaimable": self.spot,
             "tenure": self.incarnation,
             "serial": self.sequence_number,
-            "epoch": self.epoch,
+            "epoch": self.fencing_token,
             "evictInS": evict,
             "shards": shards,
         }
@@ -164,17 +165,17 @@
         body = _decode(request.body)
         if "epoch" not in body or "tenure" not in body:
             return Reply(400)
-        if body["epoch"] < self.epoch or body["tenure"] != self.incarnation:
+        if body["epoch"] < self.fencing_token or body["tenure"] != self.incarnation:
             return Reply(409, _encode(self.heartbeat_message()))
-        self._see(body["epoch"])
-        for order in body["orders"]:
-            self._order(order)
+        self._accept_fencing_token(body["epoch"])
+        for command in body["orders"]:
+            self._execute(command)
         self.advance()
         return Reply(200, _encode(self.heartbeat_message()))
 
-    def _see(self, epoch: int) -> None:
-        if epoch > self.epoch:
-            self.epoch = epoch
+    def _accept_fencing_token(self, fencing_token: int) -> None:
+        if fencing_token > self.fencing_token:
+            self.fencing_token = fencing_token
             self._changed()
 
     async def run(self) -> None:
@@ -182,39 +183,39 @@
             sent = trio.current_time()
             incarnation = self.incarnation
             if not self.hung:
-                await self._report(sent, incarnation)
+                await self._send_heartbeat(sent, incarnation)
             change = self._change
             with trio.move_on_at(max(sent + self.heartbeat_interval_s, trio.current_time() + 0.01)):
                 await change.wait()
                 await trio.sleep_until(sent + 0.5)
 
-    async def _report(self, sent: float, incarnation: int) -> None:
+    async def _send_heartbeat(self, sent: float, incarnation: int) -> None:
         try:
-            status, raw = await self._clients[self._at].request(
+            status, raw = await self._clients[self._controller].request(
                 "POST", "/hello", _encode(self.heartbeat_message()), 4.0
             )
         except (NotSentError, NoAnswerError):
-            await self._next()
+            await self._try_next_controller()
             return
         if self.dead or self.hung:
             return
         answer = _decode(raw) if raw else {}
-        if status == 421 and answer.get("upstream") in self._nodes and answer["upstream"] != self._at:
-            self._at = answer["upstream"]
+        if status == 421 and answer.get("upstream") in self._nodes and answer["upstream"] != self._controller:
+            self._controller = answer["upstream"]
             self._changed()
         elif status != 200:
-            await self._next()
-        elif incarnation == self.incarnation and answer.get("epoch", -1) >= self.epoch:
-            self._see(answer["epoch"])
-            self.answered = max(self.answered, sent)
-            for order in answer["orders"]:
-                self._order(order)
+            await self._try_next_controller()
+        elif incarnation == self.incarnation and answer.get("epoch", -1) >= self.fencing_token:
+            self._accept_fencing_token(answer["epoch"])
+            self.lease_renewed_at = max(self.lease_renewed_at, sent)
+            for command in answer["orders"]:
+                self._execute(command)
             self.advance()
 
-    async def _next(self) -> None:
+    async def _try_next_controller(self) -> None:
         await trio.sleep(1.0)
         labels = sorted(self._nodes)
-        self._at = labels[(labels.index(self._at) + 1) % len(labels)]
+        self._controller = labels[(labels.index(self._controller) + 1) % len(labels)]
 
     async def live(self) -> None:
         while not self.dead:
--- a/tests/soak/failover_soak.py
+++ b/tests/soak/failover_soak.py
@@ -54,7 +54,7 @@
         )
 
 
-class TakeoverSoak:
+class FailoverSoak:
     """The users and the troubles of one history."""
 
     def __init__(self, simulation: SimulatedCluster, seed: int) -> None:
@@ -148,8 +148,8 @@
         simulation, dice = self._simulation, self._dice
         troubles: list[Callable[[], Awaitable[None]]] = [
             self._hang_machines,
-            self._silence_machines,
-            self._copy_reports,
+            self._partition_machine,
+            self._copy_heartbeats,
         ]
         if dice.random() < _HELD_COMMANDS:
             simulation.nursery.start_soon(self._hold_commands)
@@ -180,17 +180,17 @@
             if name in simulation.workers:
                 simulation.workers[name].hung = False
 
-    async def _silence_machines(self) -> None:
+    async def _partition_machine(self) -> None:
         """One that reaches no controller, or one that hears none."""
         simulation, dice = self._simulation, self._dice
         name = dice.choice(sorted(simulation.workers))
-        (simulation.mute if dice.random() < 0.5 else simulation.deafen)(name)
+        (simulation.refuse_outbound if dice.random() < 0.5 else simulation.drop_inbound)(name)
         await trio.sleep(dice.uniform(3.0, 13.0))
         simulation.net.refused.clear()
         simulation.net.heal()
 
-    async def _copy_reports(self) -> None:
-        self._simulation.late_reports(0.3, for_next=self._dice.random() < 0.5)
+    async def _copy_heartbeats(self) -> None:
+        self._simulation.late_heartbeat_copies(0.3, for_next=self._dice.random() < 0.5)
         await trio.sleep(8.0)
         self._simulation.net.copy = lambda src, dst, request: None
 
@@ -215,7 +215,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulations.append(simulation)
-        await TakeoverSoak(simulation, seed).play()
+        await FailoverSoak(simulation, seed).play()
 
     broken: tuple[str, ...] = ()
     with counted_events() as counts:
@@ -230,7 +230,7 @@
     return Reached(
         seed=seed,
         starts=len(simulation.starts),
-        changes_of_leader=len(simulation.led) - 1,
+        changes_of_leader=len(simulation.leader_terms) - 1,
         cancelled=len(simulation.cancelled_at),
         starts_refused=counts.count("start_refused"),
         unaccounted_cpus=counts.unaccounted_cpus(),
