--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -33,7 +33,7 @@
 from tests.simulation.leader_in_memory import LeaderInMemory, array_job
 
 STEP_S = 0.05  # s; simulated time between two looks at what is due, about a round of placing
-REPORT_S = 2.5  # s; the interval between reports
+REPORT_S = 2.5  # s; the interval between heartbeats
 LARGEST_SITE = 617  # machines; the rates of jobs below belong to so many
 SERVICES = 63  # jobs; running from the start
 ARRAYS_PER_S = 43 / 60  # of 50 tasks of one CPU for some 25 s
@@ -67,7 +67,7 @@
 
 
 class Load:
-    """Machines that report, jobs that come and end, and the leader's parts with their cost."""
+    """Machines that send heartbeats, jobs that come and end, and the leader's parts with their cost."""
 
     def __init__(self, machines: int, burst: float, seed: int) -> None:
         teams = [Team("blue", cpus=machines * 8.0), Team("green", cpus=machines * 4.0)]
@@ -201,7 +201,7 @@
 
 
 def framing_s() -> float:
-    """Processor time of one exchange of a plain report over memory streams, sender included."""
+    """Processor time of one exchange of a plain heartbeat over memory streams, sender included."""
     body = _encode(LeaderInMemory(1).next_heartbeat("m-000000"))
 
     async def answer(request: Request) -> Reply:
--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -78,7 +78,8 @@
 @pytest.mark.parametrize("reached", ["the old leader", "the one that died", "the third"])
 @pytest.mark.parametrize("away_s", [0.2, 4.0])
 def test_the_confirming_controller_dies_right_after_its_answer(away_s: float, reached: str) -> None:
-    """Nobody else knows then. So leases are renewed only as long as what it told still goes in time without a halt."""
+    """Nobody else knows then. So leases are renewed only as long as what it confirmed still ends in time without a
+    stop command."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await two_services(simulation, "run-c")
@@ -107,8 +108,8 @@
 
 
 def test_all_controllers_lose_their_memory_in_the_outage() -> None:
-    """Three blind processes can't know what their predecessors told, so they renew no lease at all: the cancellation
-    may be older than the time that leases could still be renewed in."""
+    """Three blind processes can't know what their predecessors confirmed, so they renew no lease at all: the
+    cancellation may be older than the time that leases could still be renewed in."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await two_services(simulation, "run-c")
@@ -207,7 +208,7 @@
 
 
 def test_the_old_leader_goes_on_with_its_term_after_the_outage() -> None:
-    """It is valid at its next ping, on a view that may be a minute old."""
+    """It is valid at its next lease renewal, on a watch cache that may be a minute old."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await two_services(simulation, "run-c")
--- a/tests/scenarios/test_delayed_messages.py
+++ b/tests/scenarios/test_delayed_messages.py
@@ -93,7 +93,7 @@
 
 
 def test_absence_from_a_direct_answer_does_not_prove_that_a_start_in_flight_is_gone() -> None:
-    """The answer to a report carries a start; a direct answer made before it arrives lacks the task."""
+    """The answer to a heartbeat carries a start; a direct answer made before it arrives lacks the task."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-0", shards=1, vcpus=1.0))
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -28,7 +28,7 @@
 
 
 def test_hundreds_of_machines_lost_at_once_are_given_up_in_stretches() -> None:
-    """Thousands of tasks in one stretch would keep pings waiting."""
+    """Thousands of tasks in one stretch would delay lease renewals."""
     leader = LeaderInMemory(MACHINES)
     leader.fill(16)
     silent = leader.names[:400]
@@ -50,7 +50,7 @@
 
 
 def test_machines_with_an_overdue_heartbeat_get_no_new_work_before_the_next_one() -> None:
-    """Found by reasoning: what was bound to fifty machines that hung waited for a lease to be proved lost."""
+    """Guards against this: what was bound to fifty machines that hung waited for a lease to be proved lost."""
     leader = LeaderInMemory(MACHINES)
     leader.fill(0)
     leader.now += OVERDUE_S + 0.5
@@ -65,7 +65,7 @@
 
 
 def test_machines_without_a_heartbeat_yet_reserve_only_what_may_run_on_them() -> None:
-    """After a takeover with fifty silent machines, their whole size filled each small team's limit for a lease."""
+    """After a failover with fifty silent machines, their whole size filled each small team's limit for a lease."""
     leader = LeaderInMemory(MACHINES, registered=True)
     silent = [n for n in leader.names if leader.spot(n)][:50]
     leader.add(array_job("run-old", shards=40, owner="red"), old=True)
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -222,7 +222,7 @@
 
 
 def test_a_leader_that_dies_while_it_checkpoints_a_gang_leaves_it_to_its_successor() -> None:
-    """The next leader finds some saving and some running; nothing runs twice and the group goes on."""
+    """The next leader finds some saving and some running; nothing runs twice and the gang goes on."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(saving("run-g", snapshotCostS=4.0, expectedRunS=60.0))
@@ -325,7 +325,8 @@
 
 
 def test_attempt_numbers_of_waiting_gangs_are_not_used_up() -> None:
-    """Found by reading: each look for room took an attempt number, some hundreds a second of 16 million a term."""
+    """Guards against this: each search for capacity took an attempt number, some hundreds a second of 16 million a
+    term."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 1
@@ -338,7 +339,7 @@
 
 
 def test_capacity_is_kept_ready_for_one_more_gang_where_cost_counts_but_not_for_ever() -> None:
-    """Found on a measured day: arrays filled every gap, and groups that should start within seconds waited for 20."""
+    """Guards against this: arrays filled every gap, and gangs that should start within seconds waited for 20."""
     from sorrelsill.jobs import parse_spec
     from sorrelsill.model import Catalog, MachineType, TaskSet
     from sorrelsill.placement import Scheduler
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -41,7 +41,7 @@
         assert not simulation.nodes[old].elector.valid()
         await simulation.submit(job("run-n"))
         await simulation.until_phase("run-n", "done")
-        simulation.net.heal()  # all that was held arrives now: pings, records, orders of the old term
+        simulation.net.heal()  # all that was held arrives now: lease renewals, records, commands of the old term
         await trio.sleep(20)
         leading = [n for n, node in simulation.nodes.items() if node.elector.valid()]
         assert len(leading) == 1
@@ -146,7 +146,7 @@
 
 
 def test_a_leader_that_loses_only_the_workers_steps_down_in_time() -> None:
-    """Found on a day of our own: it kept pinging the store while every worker's lease ran out."""
+    """Guards against this: it kept renewing its key while every worker's lease ran out."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=6))
@@ -172,7 +172,7 @@
         node = simulation.nodes[label]
         term = node.elector.term
         await trio.sleep(5)
-        # As after a standstill of the process: no report was taken in and no ping went out meanwhile.
+        # As after a pause of the process: no heartbeat was taken in and no lease renewal went out meanwhile.
         cluster = node.cluster
         assert cluster is not None
         now = trio.current_time()
--- a/tests/scenarios/test_machine_failures.py
+++ b/tests/scenarios/test_machine_failures.py
@@ -7,7 +7,7 @@
 
 
 def test_a_new_leader_does_not_return_machines_without_a_heartbeat_yet() -> None:
-    """Found on a day of our own: old machines that were slow to reach the new leader all went back."""
+    """Guards against this: old machines that were slow to reach the new leader all went back."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=6))
@@ -59,7 +59,7 @@
             60,
         )
         assert trio.current_time() - began > 10
-        simulation.net.heal()  # late reports of the old incarnation, late orders of ours
+        simulation.net.heal()  # late heartbeats of the old incarnation, late commands of ours
         await trio.sleep(30)
         assert len(simulation.running("run-s")) == 2
 
@@ -172,7 +172,7 @@
 
 
 def test_a_task_without_checkpoints_leaves_a_spot_machine_before_it_is_reclaimed() -> None:
-    """Found on a measured day: it died with its machine and was known lost only after a lease of silence."""
+    """Guards against this: it died with its machine and was known lost only after a lease of silence."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-a", shards=1, reclaimable=True, expectedRunS=60.0))
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("refused", ["all", "one"])
 def test_an_outage_of_the_state_service_confirms_nobody(refused: str) -> None:
-    """Found by reasoning: without a fresh view a missing key proves nothing, and in an outage leases stand still."""
+    """Without a fresh watch cache a missing key proves nothing, and in an outage leases stand still."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
--- a/tests/scenarios/test_one_way_partitions.py
+++ b/tests/scenarios/test_one_way_partitions.py
@@ -42,8 +42,8 @@
 
 
 def test_a_one_way_partition_does_not_block_a_failover_for_long() -> None:
-    """Roster machines were only given up when silent; one that reports but never shows our term blocked all old
-    jobs and counted toward every team's limit for ever."""
+    """Registered machines were only given up when silent; one that sends heartbeats but never shows our term blocked
+    all old jobs and counted toward every team's limit for ever."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4, scatter=True))
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -198,7 +198,7 @@
 
 
 def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends() -> None:
-    """The roster's write gets no answer and comes late; the machines take their time to find the next leader."""
+    """The registry's write gets no answer and comes late; the machines take their time to find the next leader."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
--- a/tests/scenarios/test_overload.py
+++ b/tests/scenarios/test_overload.py
@@ -1,4 +1,4 @@
-"""Storms of requests: polls, reports, lease renewals and submissions share one processor."""
+"""Storms of requests: polls, heartbeats, lease renewals and submissions share one processor."""
 
 import trio
 
@@ -41,11 +41,11 @@
                     assert trio.current_time() - began < 0.5, "a cancellation keeps its latency"
                 await trio.sleep(1 / 450)
         spent_s = 9000 / 450
-        assert len(simulation.leader_terms) == terms_before, "pings keep their time"
-        assert all(len(simulation.running(job_id)) == 2 for job_id in job_ids), "reports are answered"
+        assert len(simulation.leader_terms) == terms_before, "lease renewals are in time"
+        assert all(len(simulation.running(job_id)) == 2 for job_id in job_ids), "heartbeats are answered"
         assert set(statuses) <= {200, 404, 503}, statuses
         assert statuses[200] > 5000, statuses
-        assert max(latencies) < 1.6, "answered or refused within a user's patience"
+        assert max(latencies) < 1.6, "answered or refused within a user's time-out"
         assert len(simulation.store.requests) - reads_before < 500 * spent_s, "reads are shared"
         simulation.request_cost_s = 0.0
         await simulation.wait_for_convergence()
@@ -54,7 +54,7 @@
 
 
 def test_the_queue_of_polls_is_bounded_while_the_store_does_not_answer() -> None:
-    """Polls that find no place among those that wait are told at once to come back."""
+    """Polls that find the queue full are refused at once, with the time to come back."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
--- a/tests/scenarios/test_preemption.py
+++ b/tests/scenarios/test_preemption.py
@@ -7,7 +7,8 @@
 
 
 def test_borrowed_capacity_is_reclaimed_for_work_with_a_deadline_within_seconds() -> None:
-    """A guest's array holds every machine that the cloud has; it loses the tasks that ran for the shortest time."""
+    """An array of a team without a guarantee holds every machine that the cloud has; it loses the tasks that ran for
+    the shortest time."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 6
@@ -39,7 +40,7 @@
         before = len(simulation.starts)
         await simulation.submit(job("run-d", shards=10, vcpus=4.0, expectedRunS=10.0, dueS=60.0))
         await simulation.until_phase("run-d", "done", 60)
-        assert len(simulation.starts) == before + 10, "no task of the guests was stopped"
+        assert len(simulation.starts) == before + 10, "no task on borrowed capacity was stopped"
         await simulation.wait_for_convergence()
 
     run_scenario(scenario, teams=[Team("red"), Team("guests")])
--- a/tests/scenarios/test_process_pause.py
+++ b/tests/scenarios/test_process_pause.py
@@ -83,7 +83,7 @@
 
 
 def test_a_command_decided_within_the_validity_is_not_written_after_it() -> None:
-    """The freeze alone is shorter than any time-out; pings had failed for a while before it."""
+    """The freeze alone is shorter than any time-out; lease renewals had failed for a while before it."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = await simulation.until_leader()
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("path", ["/follow", "/kv", "/multi"])
 def test_a_paused_controller_answers_nobody_from_its_stale_watch_cache(path: str) -> None:
-    """Users of a frozen controller wait; others told them meanwhile that the jobs are over."""
+    """Users of a frozen controller wait; other controllers answered meanwhile that the jobs are over."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = await simulation.until_leader()
--- a/tests/scenarios/test_read_consistency.py
+++ b/tests/scenarios/test_read_consistency.py
@@ -1,4 +1,4 @@
-"""No controller answers with a state older than one that users were told before, also after late writes."""
+"""No controller answers with a state older than one that was confirmed to users before, also after late writes."""
 
 import msgspec
 import pytest
--- a/tests/scenarios/test_scale_out.py
+++ b/tests/scenarios/test_scale_out.py
@@ -56,7 +56,7 @@
 
 
 def test_a_returned_machine_in_the_lagging_list_is_not_awaited() -> None:
-    """Found on a measured day: such machines counted as coming, so nothing was rented in their place."""
+    """Guards against this: such machines counted as coming, so nothing was rented in their place."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.lag_s = 6.0
--- a/tests/scenarios/test_store_failures.py
+++ b/tests/scenarios/test_store_failures.py
@@ -65,7 +65,7 @@
 
 
 def test_a_long_store_outage_kills_nothing() -> None:
-    """Standstill: leases go on by promise of all controllers, for much longer than a worker's lease."""
+    """Degraded mode: leases go on by promise of all controllers, for much longer than a worker's lease."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4))
@@ -84,7 +84,8 @@
 
 
 def test_cancelled_jobs_end_even_in_degraded_mode() -> None:
-    """The leader dies with the halts unsent and the store goes with it: leases go on, cancelled tasks may not."""
+    """The leader dies with the stop commands unsent and the store goes with it: leases go on, cancelled tasks may
+    not."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=2))
@@ -100,7 +101,7 @@
         simulation.start(old)
         await trio.sleep(12)
         assert simulation.running("run-c") == [] and len(simulation.running("run-s")) == 2
-        # What the dead leader told in its last moments nobody knows, so leases can't be renewed for ever.
+        # What the dead leader confirmed in its last moments nobody knows, so leases can't be renewed for ever.
         await trio.sleep(38)
         simulation.store.end_outage()
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 30)
@@ -110,7 +111,7 @@
 
 
 def test_a_controller_that_crashes_and_returns_in_an_outage_kills_nothing_for_a_while() -> None:
-    """The tasks live on until a cancellation that it may have told at its end could be overdue."""
+    """The tasks live on until a cancellation that it may have confirmed at its end could be overdue."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4))
@@ -178,7 +179,7 @@
 
 
 def test_a_damaged_record_costs_nobody_else_anything_and_can_be_cancelled() -> None:
-    """Found by reading: a damaged time in one record made every follower read all keys anew, again and again."""
+    """Guards against this: a damaged time in one record made every follower read all keys anew, again and again."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=2, vcpus=1.0))
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -52,7 +52,7 @@
 
 
 def test_progress_is_written_at_the_lower_rate_too_but_never_before_what_is_urgent() -> None:
-    """Found by reading: what progress leaves to others was all that could be saved up, so it was never written."""
+    """Guards against this: what progress leaves to others was all that could be saved up, so it was never written."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.store.narrow(2.0, 5, 18.0)
@@ -292,7 +292,7 @@
         await simulation.submit(job("run-a", shards=12))
         await simulation.until_phase("run-a", "done", 60)
         simulation.kill(await simulation.until_leader())
-        await trio.sleep(30)  # nobody hears of those machines: they leave the roster, entry by entry
+        await trio.sleep(30)  # nobody hears of those machines: they leave the registry, entry by entry
         await simulation.submit(job("run-b"))
         await simulation.until_phase("run-b", "done")
         await simulation.until(
@@ -369,7 +369,7 @@
 
 
 def test_progress_is_written_seldom_and_the_end_at_once() -> None:
-    """Found on a measured day: each job written at each change used up the store's rate; submissions waited."""
+    """Guards against this: each job written at each change used up the store's rate; submissions waited."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         for number in range(6):
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -24,7 +24,8 @@
 
 
 def report_without_answer(leader: LeaderInMemory) -> None:
-    """All machines report, twice to show that they hear; the halts in the answers are still on their way."""
+    """All machines send heartbeats, twice to show that answers reach them; the stop commands in the answers are
+    still on their way."""
     for name in leader.names * 2:
         leader.cluster.on_heartbeat(leader.next_heartbeat(name), leader.now)
     leader.write_registry()
@@ -123,7 +124,7 @@
 
 
 def test_a_team_at_its_limit_stays_there_when_its_job_is_cancelled_while_nobody_leads() -> None:
-    """The same with whole controllers: the halts are held up on their way, the starts elsewhere are not."""
+    """The same with whole controllers: the stop commands are held up on their way, the starts elsewhere are not."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         # In zone b red finds some room beside a service at any time; in zone a its job fills two machines.
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -186,7 +186,7 @@
 
 
 def test_what_an_old_leader_adds_to_a_job_kept_in_parts_is_not_lost() -> None:
-    """Found by reading: a record that the former version wrote in full was left out of the parts beside it."""
+    """Guards against this: a record that the former version wrote in full was left out of the parts beside it."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         shards = 9000
--- a/tests/scenarios/test_user_requests.py
+++ b/tests/scenarios/test_user_requests.py
@@ -82,7 +82,7 @@
 
 
 def test_submissions_before_the_catalog_is_known_are_sent_back_not_refused() -> None:
-    """Found on a measured day: the catalog came between the look-up and the judgement, and a good job got 422."""
+    """Guards against this: the catalog came between the look-up and the judgement, and a good job got 422."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.outage = True
--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -1,4 +1,4 @@
-"""Groups as the workers run them: started together, saved together, ended together, at the pace of the slowest."""
+"""Gangs as the workers run them: started together, saved together, ended together, at the pace of the slowest."""
 
 from __future__ import annotations
 
@@ -37,18 +37,18 @@
 
 
 class Gangs:
-    """What all machines' groups have in common: who waits, how far each job got, what was saved."""
+    """What all machines' gangs have in common: who waits, how far each job got, what was saved."""
 
     def __init__(self, wait_s: float = 50.0, peer_s: float = 5.0) -> None:
         self.wait_s, self.peer_s = wait_s, peer_s
         self.saved: dict[str, float] = {}  # job -> progress that outlives its attempts
         self.done: set[str] = set()
-        self.begun: list[tuple[str, int]] = []  # each start of a whole group: job and attempt
-        self.reasons: list[str] = []  # why tasks of groups exited
+        self.begun: list[tuple[str, int]] = []  # each start of a whole gang: job and attempt
+        self.reasons: list[str] = []  # why tasks of gangs exited
         self._gangs: dict[tuple[str, int], _Gang] = {}
 
     def join(self, worker: FakeWorker, task_id: str, attempt_number: int, task: dict[str, Any], now: float) -> None:
-        """A task has its image and waits for the others; a replacement of the same number may complete the group."""
+        """A task has its image and waits for the others; a replacement of the same number may complete the gang."""
         job_id = task_id.rpartition("/")[0]
         gang = self._gangs.setdefault((job_id, attempt_number), _Gang(worker._specs[job_id]))
         gang.members[task_id] = _Member(worker, task_id, task)
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -1,4 +1,4 @@
-"""The leader's pure parts with workers that do what they are told: no network, no store, no message is lost."""
+"""The leader's pure parts with workers that execute every command: no network, no store, no message is lost."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class LeaderInMemory:
-    """A leader's cluster state and placer, with workers whose images are there at once."""
+    """A leader's cluster state and scheduler, with workers whose images are there at once."""
 
     def __init__(self, machines: int, registered: bool = False, teams: list[Team] | None = None) -> None:
         self.now = 0.0
@@ -86,7 +86,7 @@
                 tasks.pop(key, None)
 
     def send_heartbeat(self, name: str, fencing_token: int = TERM) -> None:
-        """A machine reports and carries out the answer."""
+        """A machine sends a heartbeat and executes the commands in the answer."""
         self.execute(name, self.cluster.on_heartbeat(self.next_heartbeat(name, fencing_token), self.now) or [])
 
     def write_registry(self) -> None:
@@ -96,7 +96,7 @@
         self.cluster.pending_writes.registrations.clear()
 
     def all_send_heartbeats(self, names: list[str] | None = None) -> None:
-        """All of these machines report, and are registered."""
+        """All of these machines send heartbeats, and are registered."""
         for name in names if names is not None else self.names:
             self.send_heartbeat(name)
         self.write_registry()
--- a/tests/simulation/simulated_cluster.py
+++ b/tests/simulation/simulated_cluster.py
@@ -1,4 +1,4 @@
-"""A whole small deployment: three controllers, store, cloud, workers and users, and the troubles that befall them."""
+"""A whole small deployment: three controllers, store, cloud, workers and users, and their failures."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         self._gates: dict[str, Gate] = {}
         self.request_cost_s = 0.0  # processor time of a controller for each request
         self._processors: dict[str, trio.Lock] = {}
-        self.may_refuse = 0  # transactions that the store may refuse as too large in this story
+        self.may_refuse = 0  # transactions that the store may refuse as too large in this scenario
         self.value_kb, self.txn_ops = self.store.value_kb, txn_ops  # as the settings tell
         self.cloud = FakeCloud(self._boot)
         self.cloud.on_return = self.kill_machine
@@ -210,7 +210,7 @@
             self.net.cut(name, label)
 
     def drop_inbound(self, name: str) -> None:
-        """Its reports arrive; answers and direct commands are lost."""
+        """Its heartbeats arrive; answers and direct commands are lost."""
         for label in LABELS:
             self.net.cut(label, name, both=False)
 
@@ -236,8 +236,8 @@
         self.net.late = late
 
     def late_heartbeat_copies(self, share: float, for_next: bool = False) -> None:
-        """Of this share of the reports a copy reaches every controller, from 2 s to well over a lease later, or just as
-        the next leader begins."""
+        """Of this share of the heartbeats a copy reaches every controller, from 2 s to well over a lease later, or just
+        as the next leader begins."""
 
         async def deliver(src: str, request: Request) -> None:
             if for_next:
@@ -256,7 +256,7 @@
         self.net.copy = copy
 
     async def wait_for_convergence(self) -> None:
-        """All troubles end. Then what users check at a day's end: every job's users are answered within 75 s, and every
+        """All failures end. Then what users check at a day's end: every job's users are answered within 75 s, and every
         job that was accepted and not cancelled runs or is done, as long as there is room."""
         self.net.late = lambda src, dst, request: None
         self.net.copy = lambda src, dst, request: None
@@ -294,7 +294,7 @@
     old: bool = False,
     membership: MembershipSettings | None = None,
 ) -> SimulatedCluster:
-    """Run a story on a virtual clock, and check at its end that no rule was broken on the way."""
+    """Run a scenario on a virtual clock, and check at its end that no rule was broken on the way."""
     simulations: list[SimulatedCluster] = []
     gated = GatedTasks()
 
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -1,4 +1,4 @@
-"""A worker after the protocol page: reports, tokens, leases and incarnations, start, halt and clear."""
+"""A worker after the protocol page: heartbeats, fencing tokens, leases and incarnations, start, halt and clear."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
                 elif whole:
                     self._gangs.join(self, task_id, attempt_number, task, now)
             if whole and task["phase"] in ("waiting", "running", "saving") and not self.fail(task_id):
-                continue  # the group decides
+                continue  # the gang decides
             if task["phase"] in ("waiting", "running") and self.fail(task_id):
                 self._exit(task_id, task, "error")
             elif (
--- a/tests/soak/event_counts.py
+++ b/tests/soak/event_counts.py
@@ -40,14 +40,14 @@
         return sum(1 for event in self.events if event.name == name)
 
     def unaccounted_cpus(self) -> float:
-        """CPUs that limited teams may have used unseen, summed over the takeovers."""
+        """CPUs that limited teams may have used unobserved, summed over the failovers."""
         at_takeovers = [event.fields for event in self.events if event.name == "team_use"]
         return sum(float(fields["unaccounted_cpus"]) for fields in at_takeovers if float(fields["limit_cpus"]))
 
 
 @contextmanager
 def counted_events() -> Iterator[EventCounts]:
-    """Count what the leader logs of limits, takeovers and halts."""
+    """Count what the leader logs of limits, failovers and stop commands."""
     counts = EventCounts()
     before = [(log, log.level, log.propagate) for log in _LOGS]
     for log in _LOGS:
--- a/tests/soak/failover_soak.py
+++ b/tests/soak/failover_soak.py
@@ -1,4 +1,4 @@
-"""Teams at their limits while the leader changes again and again, jobs are cancelled round each takeover, and machines
+"""Teams at their limits while the leader changes again and again, jobs are cancelled round each failover, and machines
 hang, fall silent or answer late. One history per seed; the simulated cluster holds every start against the rules."""
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
     changes_of_leader: int
     cancelled: int
     starts_refused: int  # for a team's limit
-    unaccounted_cpus: float  # of limited teams, summed over the takeovers
-    tasks_over: int  # tasks of jobs that were over, found on machines after a takeover
+    unaccounted_cpus: float  # of limited teams, summed over the failovers
+    tasks_over: int  # tasks of jobs that were over, found on machines after a failover
     broken: tuple[str, ...]
 
     @property
@@ -55,7 +55,7 @@
 
 
 class FailoverSoak:
-    """The users and the troubles of one history."""
+    """The users and the failures of one history."""
 
     def __init__(self, simulation: SimulatedCluster, seed: int) -> None:
         self._simulation = simulation
@@ -65,7 +65,7 @@
         self._live: list[str] = []
 
     async def play(self) -> None:
-        """A start-up, changes of leader with troubles round each, and the end of all troubles."""
+        """A start-up, changes of leader with failures round each, and the end of all failures."""
         simulation = self._simulation
         simulation.cloud.capacity = MACHINES
         for zone in "ab":
@@ -120,7 +120,7 @@
             if status == 200 and name in self._live:
                 self._live.remove(name)
 
-    # --- troubles ---
+    # --- failures ---
 
     async def _change_leader(self) -> None:
         simulation, dice = self._simulation, self._dice
