--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -118,11 +118,9 @@
         await cancel_at(simulation, others(old)[0], "run-c")
         simulation.store.begin_outage()
         simulation.net.drop_answers = lambda src, dst, request: False
-        for label in LABELS:
-            simulation.kill(label)
+        simulation.kill_all()
         await trio.sleep(4)
-        for label in LABELS:
-            simulation.start(label)
+        simulation.start_all()
         await trio.sleep(2 * CANCEL_S)
         assert simulation.running("run-c") == []
         simulation.store.end_outage()
@@ -142,8 +140,7 @@
         for label in others(old):
             simulation.kill(label)
         await trio.sleep(0.2)
-        for label in LABELS:
-            simulation.start(label)
+        simulation.start_all()
         await simulation.until(lambda: all(node.watch_cache.loaded for node in simulation.nodes.values()), 3)
         assert simulation.leader() is None and len(simulation.running("run-c")) == 2
         simulation.store.begin_outage()
--- a/tests/scenarios/test_controller_restarts.py
+++ b/tests/scenarios/test_controller_restarts.py
@@ -5,7 +5,6 @@
 
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 from tests.simulation.rules import LEASE_S
-from tests.simulation.users import LABELS
 
 
 async def wait_for_steps(
@@ -47,26 +46,22 @@
         await simulation.until(lambda: all(len(simulation.running(job_id)) == 3 for job_id in services), 90)
         await simulation.submit(job("run-a", shards=8, expectedRunS=20.0))
         await trio.sleep(3)
-        for label in LABELS:
-            simulation.kill(label)
+        simulation.kill_all()
         await trio.sleep(2 * LEASE_S)
         assert not any(worker.active_tasks for worker in simulation.workers.values())
         starts = len(simulation.starts)
         began = trio.current_time()
         if way == "back and gone again":
-            for label in LABELS:
-                simulation.start(label)
+            simulation.start_all()
             await trio.sleep(0.7)
-            for label in LABELS:
-                simulation.kill(label)
+            simulation.kill_all()
             await trio.sleep(5)
             began = trio.current_time()
         if way == "one by one":
             simulation.start("n2")
             simulation.nursery.start_soon(_start_later, simulation, {"n0": 6.0, "n1": 12.0})
         else:
-            for label in LABELS:
-                simulation.start(label)
+            simulation.start_all()
         simulation.nursery.start_soon(_ask_soon, simulation, [*services, "run-a"])
         steps = await wait_for_steps(simulation, began, services, starts)
         print(f"{way}: " + ", ".join(f"{step} {at:.2f} s" for step, at in steps.items()))
@@ -102,8 +97,7 @@
 
 def test_quick_restarts_in_the_middle_of_elections() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
         for turn in range(6):
             label = simulation.leader() or sorted(simulation.nodes)[turn % 3]
@@ -141,8 +135,7 @@
         await simulation.submit(service("run-c", shards=2, vcpus=1.0))
         await simulation.until(lambda: len(simulation.running("run-c")) == 2 and len(simulation.running("run-a")) == 6)
         await simulation.cancel("run-c")
-        for label in LABELS:
-            simulation.kill(label)
+        simulation.kill_all()
         await trio.sleep(2 * LEASE_S)
         assert not any(simulation.running(job_id) for job_id in ("run-s", "run-a", "run-c"))
         simulation.start("n1")
@@ -163,11 +156,9 @@
         await simulation.submit(service("run-c", shards=2))
         await simulation.cancel("run-c")
         await simulation.until(lambda: len(simulation.running("run-s")) == 2)
-        for label in list(simulation.nodes):
-            simulation.kill(label)
+        simulation.kill_all()
         await trio.sleep(4)
-        for label in list(simulation.nodes):
-            simulation.start(label)
+        simulation.start_all()
         assert (await simulation.poll("run-d"))[1]["phase"] == "done"
         assert (await simulation.poll("run-c"))[1]["phase"] == "cancelled"
         assert await simulation.submit(job("run-d")) == 200
@@ -180,8 +171,7 @@
 
 def test_controllers_restarted_one_after_the_other() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
         for label in list(simulation.nodes):
             simulation.kill(label)
--- a/tests/scenarios/test_delayed_messages.py
+++ b/tests/scenarios/test_delayed_messages.py
@@ -34,8 +34,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         sent = record_messages(simulation, "/hello")
-        await simulation.submit(service("run-s", shards=1))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 1)
+        await simulation.run_service("run-s", shards=1)
         first = simulation.running("run-s")[0][1]
         await trio.sleep(3)
         old_report = [s for s in sent if s[0] == first and b"running" in s[2].body][-1]
@@ -56,8 +55,7 @@
 def test_a_late_copy_of_a_heartbeat_does_not_hide_a_silent_machine() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         sent = record_messages(simulation, "/hello")
-        await simulation.submit(service("run-s", shards=1))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 1)
+        await simulation.run_service("run-s", shards=1)
         name = simulation.running("run-s")[0][1]
         await trio.sleep(3)
         last = [s for s in sent if s[0] == name][-1]
@@ -74,11 +72,9 @@
 
 def test_a_repeat_of_a_direct_start_does_not_run_a_stopped_task_again() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-0", shards=2, vcpus=1.0))
-        await simulation.until(lambda: len(simulation.running("run-0")) == 2)
+        await simulation.run_service("run-0", shards=2, vcpus=1.0)
         sent = record_messages(simulation, "/commands")
-        await simulation.submit(service("run-s", shards=1, vcpus=1.0, sizeGb=0.0))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 1)
+        await simulation.run_service("run-s", shards=1, vcpus=1.0, sizeGb=0.0)
         await simulation.cancel("run-s")
         await simulation.until(lambda: not simulation.running("run-s"))
         await trio.sleep(20)
@@ -96,8 +92,7 @@
     """The answer to a heartbeat carries a start; a direct answer made before it arrives lacks the task."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-0", shards=1, vcpus=1.0))
-        await simulation.until(lambda: len(simulation.running("run-0")) == 1)
+        await simulation.run_service("run-0", shards=1, vcpus=1.0)
         cluster = simulation.cluster_state(await simulation.until_leader())
         name = simulation.running("run-0")[0][1]
         worker = simulation.workers[name]
@@ -118,8 +113,7 @@
     """It reaches the next leader first; the machine that truly has the task takes its time to find that leader."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=1, vcpus=6.0))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 1)
+        await simulation.run_service("run-s", shards=1, vcpus=6.0)
         first = simulation.running("run-s")[0][1]
         old: list[Request] = []
 
--- a/tests/scenarios/test_handover.py
+++ b/tests/scenarios/test_handover.py
@@ -6,7 +6,7 @@
 from sorrelsill.membership import MembershipSettings
 from sorrelsill.membership.handover import Handover
 from sorrelsill.membership.view import Status
-from tests.simulation import SimulatedCluster, job, run_scenario, service
+from tests.simulation import SimulatedCluster, job, run_scenario
 from tests.simulation.users import LABELS
 
 SETTINGS = MembershipSettings()
@@ -26,8 +26,7 @@
 
 async def busy(simulation: SimulatedCluster) -> str:
     """A service runs and heartbeats are regular; returns the leader."""
-    await simulation.submit(service("run-s", shards=4))
-    await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+    await simulation.run_service("run-s", shards=4)
     await trio.sleep(10)
     return await simulation.until_leader()
 
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -12,8 +12,7 @@
 
 def test_a_leader_crash_costs_no_running_task() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
         leader = await simulation.until_leader()
         simulation.kill(leader)
@@ -31,8 +30,7 @@
 
 def test_a_paused_leader_resumes_and_does_nothing_on_its_stale_leadership() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         old = await simulation.until_leader()
         for other in ("store", "cloud", "n0", "n1", "n2", *simulation.workers):
             if other != old:
@@ -97,8 +95,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 2
-        await simulation.submit(service("run-s", shards=2, vcpus=5.0))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 2)
+        await simulation.run_service("run-s", shards=2, vcpus=5.0)
         old = await simulation.until_leader()
         name = simulation.running("run-s")[0][1]
         key = registry_key(name)
@@ -149,8 +146,7 @@
     """Guards against this: it kept renewing its key while every worker's lease ran out."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=6))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 6)
+        await simulation.run_service("run-s", shards=6)
         before = len(simulation.starts)
         old = await simulation.until_leader()
         for name in simulation.workers:
@@ -166,8 +162,7 @@
     """Seen in an incident: thawed, it blamed the workers and left the key to others for a while, though it had it."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         label = await simulation.until_leader()
         node = simulation.nodes[label]
         term = node.elector.term
@@ -185,8 +180,7 @@
 
 def test_a_cancellation_during_a_failover() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         leader = await simulation.until_leader()
         simulation.kill(leader)
         assert (await simulation.cancel("run-s"))["phase"] == "cancelled"
@@ -245,8 +239,7 @@
 
 def test_a_controller_that_reaches_only_its_workers_redirects_them() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
         old = await simulation.until_leader()
         others = [n for n in simulation.nodes if n != old]
--- a/tests/scenarios/test_machine_failures.py
+++ b/tests/scenarios/test_machine_failures.py
@@ -10,8 +10,7 @@
     """Guards against this: old machines that were slow to reach the new leader all went back."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=6))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 6)
+        await simulation.run_service("run-s", shards=6)
         await trio.sleep(120)
         machines = set(simulation.cloud.machines)
         old = await simulation.until_leader()
@@ -30,8 +29,7 @@
 
 def test_a_worker_silent_within_its_lease_keeps_its_tasks() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=2))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 2)
+        await simulation.run_service("run-s", shards=2)
         before = len(simulation.starts)
         name = simulation.running("run-s")[0][1]
         simulation.cut_machine(name)
@@ -46,8 +44,7 @@
 
 def test_a_worker_silent_past_its_lease_is_replaced_but_not_before() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=2))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 2)
+        await simulation.run_service("run-s", shards=2)
         name = simulation.running("run-s")[0][1]
         simulation.cut_machine(name)
         began = trio.current_time()
@@ -86,8 +83,7 @@
     """A direct start that is held while the job is cancelled must not bring a task back minutes later."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-0", shards=4, vcpus=1.0))
-        await simulation.until(lambda: len(simulation.running("run-0")) == 4)
+        await simulation.run_service("run-0", shards=4, vcpus=1.0)
         names = set(simulation.workers)
         simulation.net.hold_request = lambda src, dst, request: dst in names and request.path == "/commands"
         await simulation.submit(service("run-s", shards=2, vcpus=1.0, sizeGb=0.0))
@@ -106,8 +102,7 @@
     """What the silent machine runs may not be started elsewhere; a job that came later need not wait."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4, scatter=True))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4, scatter=True)
         name = simulation.running("run-s")[0][1]
         simulation.cut_machine(name)
         leader = await simulation.until_leader()
@@ -124,8 +119,7 @@
 
 def test_zone_spread_and_limits_count_what_is_not_proved_lost() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4, scatter=True))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4, scatter=True)
         zone_a = {h for _, h in simulation.running("run-s") if simulation.workers[h].zone == "a"}
         for name in zone_a:
             simulation.cut_machine(name)
@@ -178,8 +172,7 @@
         await simulation.submit(job("run-a", shards=1, reclaimable=True, expectedRunS=60.0))
         await simulation.until(lambda: len(simulation.running("run-a")) == 1)
         name = simulation.running("run-a")[0][1]
-        await simulation.submit(service("run-k", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-k")) == 4)
+        await simulation.run_service("run-k", shards=4)
         simulation.workers[name].spot_reclaim_at = trio.current_time() + 8
         began = trio.current_time()
         await simulation.until(lambda: any(h != name for _, h in simulation.running("run-a")), 10)
--- a/tests/scenarios/test_one_way_partitions.py
+++ b/tests/scenarios/test_one_way_partitions.py
@@ -9,8 +9,7 @@
 def test_a_machine_in_a_one_way_partition_is_replaced_and_gets_no_work_until_it_heals() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 3
-        await simulation.submit(service("run-s", shards=2))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 2)
+        await simulation.run_service("run-s", shards=2)
         name = simulation.running("run-s")[0][1]
         simulation.drop_inbound(name)
         await simulation.until(lambda: len([1 for _, h in simulation.running("run-s") if h != name]) == 2, 60)
@@ -46,8 +45,7 @@
     all old jobs and counted toward every team's limit for ever."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4, scatter=True))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4, scatter=True)
         name = simulation.running("run-s")[0][1]
         simulation.drop_inbound(name)
         simulation.kill(await simulation.until_leader())
@@ -62,8 +60,7 @@
 
 def test_a_cancellation_reaches_an_unreachable_machine_by_its_lease() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         simulation.drop_inbound(simulation.running("run-s")[0][1])
         await simulation.cancel("run-s")
         await simulation.until(lambda: not simulation.running("run-s"), 25)
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -99,11 +99,9 @@
             simulation.cut_machine(name)
         simulation.store.begin_outage()
         await trio.sleep(3)
-        for label in list(simulation.nodes):
-            simulation.kill(label)
+        simulation.kill_all()
         await trio.sleep(0.3)
-        for label in list(simulation.nodes):
-            simulation.start(label)
+        simulation.start_all()
         await trio.sleep(9)
         simulation.store.end_outage()
         await repeat(simulation, sent, 60)
@@ -120,11 +118,9 @@
             await simulation.submit(job(f"run-{number}", shards=2, expectedRunS=15.0))
         simulation.store.begin_outage()
         await trio.sleep(10)
-        for label in list(simulation.nodes):
-            simulation.kill(label)
+        simulation.kill_all()
         await trio.sleep(3)
-        for label in list(simulation.nodes):
-            simulation.start(label)
+        simulation.start_all()
         await trio.sleep(10)
         simulation.store.end_outage()
         ended = trio.current_time()
@@ -226,8 +222,7 @@
 
 def test_ten_changes_of_leader_in_two_minutes_also_in_an_outage() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4, vcpus=1.0))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4, vcpus=1.0)
         for turn in range(10):
             began = trio.current_time()
             await simulation.submit(job(f"run-{turn}", shards=2, vcpus=1.0, expectedRunS=4.0), 5.0)
--- a/tests/scenarios/test_process_pause.py
+++ b/tests/scenarios/test_process_pause.py
@@ -8,7 +8,7 @@
 
 from sorrelsill.http import Request
 from sorrelsill.leadership.leader_elector import Watchdog
-from tests.simulation import SimulatedCluster, job, run_scenario, service
+from tests.simulation import SimulatedCluster, job, run_scenario
 from tests.simulation.users import LABELS
 
 FROZEN_S = 9.0  # longer than the leader's lease, shorter than the workers'
@@ -61,8 +61,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = await simulation.until_leader()
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         await simulation.submit(job("run-gone", shards=6, vcpus=4.0, expectedRunS=4.0))
         await simulation.until_phase("run-gone", "done")
         assert simulation.leader() == leader
@@ -189,8 +188,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         dead = await simulation.until_leader()
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
         simulation.kill(dead)
         for worker in simulation.workers:
--- a/tests/scenarios/test_read_consistency.py
+++ b/tests/scenarios/test_read_consistency.py
@@ -72,8 +72,7 @@
         await simulation.wait_for_convergence()
         for label in LABELS:  # what memories hide, the records have to say as well
             simulation.kill(label)
-        for label in LABELS:
-            simulation.start(label)
+        simulation.start_all()
         await simulation.wait_for_convergence()
         for job_id in sorted(simulation.accepted):
             await look_closely(simulation, job_id)
@@ -102,10 +101,8 @@
         await simulation.until_phase("run-a", "done")
         assert held
         await trio.sleep(15)
-        for label in LABELS:
-            simulation.kill(label)
-        for label in LABELS:
-            simulation.start(label)
+        simulation.kill_all()
+        simulation.start_all()
         await trio.sleep(5)
         await look_closely(simulation, "run-a")
         assert (await simulation.poll("run-a"))[1]["phase"] == "done"
--- a/tests/scenarios/test_store_failures.py
+++ b/tests/scenarios/test_store_failures.py
@@ -49,8 +49,7 @@
 
 def test_a_short_store_outage_is_hardly_noticed() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         term = simulation.nodes[await simulation.until_leader()].elector.term
         before = len(simulation.starts)
         simulation.store.begin_outage()
@@ -114,8 +113,7 @@
     """The tasks live on until a cancellation that it may have confirmed at its end could be overdue."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
         simulation.store.begin_outage()
         await trio.sleep(10)
@@ -140,15 +138,12 @@
     scenario of it is in test_cancellation_in_outages.py). Tasks may only be kept where that is known."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         simulation.store.begin_outage()
         await trio.sleep(10)
-        for label in list(simulation.nodes):
-            simulation.kill(label)
+        simulation.kill_all()
         await trio.sleep(4)
-        for label in list(simulation.nodes):
-            simulation.start(label)
+        simulation.start_all()
         await trio.sleep(20)
         simulation.store.end_outage()
         leader = await simulation.until_leader()
@@ -160,8 +155,7 @@
 
 def test_one_controller_refused_by_the_store_gets_no_promises_and_is_not_ready() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(service("run-s", shards=4))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 4)
+        await simulation.run_service("run-s", shards=4)
         old = await simulation.until_leader()
         simulation.store.refused.add(old)
         await simulation.until(lambda: simulation.leader() not in (None, old), 15)
@@ -183,8 +177,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=2, vcpus=1.0))
-        await simulation.submit(service("run-d", shards=2, vcpus=1.0))
-        await simulation.until(lambda: len(simulation.running("run-d")) == 2)
+        await simulation.run_service("run-d", shards=2, vcpus=1.0)
         for broken in ({"t": "soon"}, {"s": None}, {"n": "x", "d": "9999"}):
             value, _, _ = simulation.store.kv["s/j/run-d"]
             simulation.store._multi({"if": [], "writes": [{"set": "s/j/run-d", "value": {**value, **broken}}]})
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -8,7 +8,7 @@
 from sorrelsill.http import Request
 from sorrelsill.model import TaskSet
 from sorrelsill.settings import Team
-from tests.simulation import LeaderInMemory, SimulatedCluster, array_job, job, run_scenario, service
+from tests.simulation import LeaderInMemory, SimulatedCluster, array_job, job, run_scenario
 from tests.simulation.leader_in_memory import TERM
 from tests.simulation.users import LABELS
 
@@ -128,8 +128,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         # In zone b red finds some room beside a service at any time; in zone a its job fills two machines.
-        await simulation.submit(service("run-s", shards=2, vcpus=5.0, owner="blue", region="b"))
-        await simulation.until(lambda: len(simulation.running("run-s")) == 2)
+        await simulation.run_service("run-s", shards=2, vcpus=5.0, owner="blue", region="b")
         await simulation.submit(job("run-over", shards=8, region="a", expectedRunS=200.0))
         await simulation.until(lambda: len(simulation.running("run-over")) == 8)
         await simulation.submit(job("run-red", shards=8, region="b", expectedRunS=5.0))
--- a/tests/scenarios/test_user_requests.py
+++ b/tests/scenarios/test_user_requests.py
@@ -70,10 +70,8 @@
         spec = job("run-1", shape="standing", shards=4)
         assert await simulation.submit(spec) == 201
         simulation.teams = [Team("red", cpus_max=2.0)]
-        for label in list(simulation.nodes):
-            simulation.kill(label)
-        for label in list(simulation.nodes):
-            simulation.start(label)
+        simulation.kill_all()
+        simulation.start_all()
         await simulation.until_leader()
         assert await simulation.submit(spec) == 200
         simulation.teams = []  # the run that the smaller limit did not start yet is not judged by it
--- a/tests/simulation/simulated_cluster.py
+++ b/tests/simulation/simulated_cluster.py
@@ -151,6 +151,16 @@
         self._gates[label].thaw()
         self.net.down |= {label, f"{label}:peer"}
 
+    def kill_all(self) -> None:
+        """Every controller's process ends at the same moment."""
+        for label in LABELS:
+            self.kill(label)
+
+    def start_all(self) -> None:
+        """A new process for every controller, in the order of their labels."""
+        for label in LABELS:
+            self.start(label)
+
     async def restart_later(self, label: str, away_s: float) -> None:
         """After this time the killed controller's process is started, unless it was meanwhile."""
         await trio.sleep(away_s)
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -81,6 +81,11 @@
         self.specs[spec["uid"]] = spec
         return (await self._retry("POST", "/v2/runs", spec, limit))[0]
 
+    async def run_service(self, job_id: str, shards: int, **fields: Any) -> None:
+        """Submit a service, and wait until all of its tasks run."""
+        await self.submit(service(job_id, shards=shards, **fields))
+        await self.until(lambda: len(self.running(job_id)) == shards)
+
     async def cancel(self, job_id: str, limit: float = 60.0) -> Any:
         return (await self._retry("POST", f"/v2/runs/{job_id}/cancel", None, limit))[1]
 
