--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -33,7 +33,7 @@
 from tests.simulation.leader_in_memory import LeaderInMemory, array_job
 
 STEP_S = 0.05  # s; simulated time between two looks at what is due, about a round of placing
-REPORT_S = 2.5  # s; the interval between heartbeats
+HEARTBEAT_S = 2.5  # s; the interval between heartbeats
 LARGEST_SITE = 617  # machines; the rates of jobs below belong to so many
 SERVICES = 63  # jobs; running from the start
 ARRAYS_PER_S = 43 / 60  # of 50 tasks of one CPU for some 25 s
@@ -147,7 +147,7 @@
                 heapq.heappush(self._ends, (leader.now + spec.expected_run_s * self._rng.uniform(0.6, 1.4), name, key))
 
     def _machines_report(self) -> None:
-        count = max(1, int(len(self._schedule) * STEP_S / REPORT_S))
+        count = max(1, int(len(self._schedule) * STEP_S / HEARTBEAT_S))
         regular = set(self._schedule[i] for i in range(count))
         self._schedule.rotate(-count)
         pushed = set(self.leader.cluster.machines_with_pending_commands)
--- a/tests/processes/controllers.py
+++ b/tests/processes/controllers.py
@@ -12,7 +12,7 @@
 from tests.simulation.users import LABELS
 
 ROOT = Path(__file__).resolve().parents[2]
-REPORT_S, LEASE_S, CANCEL_S = 0.5, 8.0, 24.0
+HEARTBEAT_S, LEASE_S, CANCEL_S = 0.5, 8.0, 24.0
 
 
 def free_port() -> int:
@@ -47,7 +47,7 @@
             f'[services]\ncloud = "{cloud}"\nstate = "{store}"\n'
             f'[facts]\nnodes = 3\nzones = ["a", "b"]\ntime_bound_ms = 25.0\n'
             '[[facts.teams]]\nname = "red"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n'
-            f"[facts.workers]\nreport_s = {REPORT_S}\nlease_s = {LEASE_S}\ncancel_s = {CANCEL_S}\n"
+            f"[facts.workers]\nreport_s = {HEARTBEAT_S}\nlease_s = {LEASE_S}\ncancel_s = {CANCEL_S}\n"
             "[facts.state]\nrps = 500.0\nwrite_rps = 200.0\nvalue_kb = 32.0\ntxn_ops = 16\n"
             "[facts.cloud]\nrps = 5.0\nlist_lag_s = 2.0\n"
             "[facts.quota]\ncpu = 1.0\nram_mb = 512.0\nsockets = 1024\n"
--- a/tests/processes/deployment.py
+++ b/tests/processes/deployment.py
@@ -11,7 +11,7 @@
 import trio
 
 from sorrelsill.http import Client, NoAnswerError, NotSentError, Reply, Request, Server
-from tests.processes.controllers import LEASE_S, REPORT_S, Controllers
+from tests.processes.controllers import HEARTBEAT_S, LEASE_S, Controllers
 from tests.processes.history import Accepted, Answered, Event, LeaderSeen, TaskBegan, TaskEnded, TokenSeen
 from tests.simulation import FakeCloud, FakeStore, FakeWorker, job
 from tests.simulation.gangs import Gangs
@@ -81,7 +81,7 @@
             spot,
             self.controllers.addresses,
             Client,
-            REPORT_S,
+            HEARTBEAT_S,
             LEASE_S,
             self.specs,
             self._on_task_change,
--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -24,7 +24,7 @@
     return [label for label in LABELS if label != leader]
 
 
-def no_watch_is_answered(simulation: SimulatedCluster) -> None:
+def drop_watch_answers(simulation: SimulatedCluster) -> None:
     """What is committed from now on reaches no other controller's view."""
     simulation.net.drop_answers = lambda src, dst, request: dst == "store" and request.path == "/follow"
 
@@ -65,7 +65,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await two_services(simulation, "run-c")
         simulation.store.refused.add(old)
-        no_watch_is_answered(simulation)
+        drop_watch_answers(simulation)
         await cancel_at(simulation, others(old)[0], "run-c")
         await trio.sleep(pause_s)
         simulation.store.begin_outage()
@@ -86,17 +86,17 @@
         await trio.sleep(CANCEL_S + 5)  # all have followed for long enough to know what a blind process lacks
         simulation.store.refused.add(old)
         other, third = others(old)
-        no_watch_is_answered(simulation)
+        drop_watch_answers(simulation)
         await cancel_at(simulation, other, "run-c")
         simulation.store.begin_outage()
         simulation.kill(other)
-        told = trio.current_time()
+        confirmed_at = trio.current_time()
         await trio.sleep(away_s)
         simulation.start(other)
         workers_reach_only(simulation, {"the old leader": old, "the one that died": other, "the third": third}[reached])
-        await trio.sleep_until(told + CANCEL_S - LEASE_S - constants.RENEW_MARGIN_S - 1.5)
+        await trio.sleep_until(confirmed_at + CANCEL_S - LEASE_S - constants.RENEW_MARGIN_S - 1.5)
         assert len(simulation.running("run-s")) == 2, "as long as it is safe, leases are renewed"
-        await trio.sleep_until(told + 2 * CANCEL_S)
+        await trio.sleep_until(confirmed_at + 2 * CANCEL_S)
         assert simulation.running("run-c") == []
         simulation.net.drop_answers = lambda src, dst, request: False
         simulation.net.refused.clear()
@@ -114,7 +114,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await two_services(simulation, "run-c")
         simulation.store.refused.add(old)
-        no_watch_is_answered(simulation)
+        drop_watch_answers(simulation)
         await cancel_at(simulation, others(old)[0], "run-c")
         simulation.store.begin_outage()
         simulation.net.drop_answers = lambda src, dst, request: False
@@ -165,7 +165,7 @@
         # The former version goes on renewing, so the workers only reach the refused leader.
         workers_reach_only(simulation, leader)
         simulation.store.refused.add(leader)
-        no_watch_is_answered(simulation)
+        drop_watch_answers(simulation)
         await trio.sleep(0.3)
         await cancel_at(simulation, first if confirms_old else second, "run-c")
         simulation.store.begin_outage()
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -232,7 +232,7 @@
         leader = LeaderInMemory(machines)
         async with trio.open_nursery() as nursery:
             net, fake = FakeNet(nursery), FakeStore(txn_ops=40, value_kb=8.0)
-            fake.narrow(8.0, 40, 50.0)
+            fake.lower_limits(8.0, 40, 50.0)
             net.handlers["store"] = fake.handle
             store = KeyValueStore(net.client("n0")("store"), StateLimits(150.0, 50.0, 8.0, 40), 3)
             store.set_leading(True)
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -10,7 +10,7 @@
 from tests.simulation.users import LABELS
 
 
-async def busy(simulation: SimulatedCluster) -> None:
+async def start_mixed_load(simulation: SimulatedCluster) -> None:
     """Some twenty machines with services and arrays of two teams on them."""
     simulation.cloud.capacity = 24
     for number in range(4):
@@ -21,7 +21,7 @@
     await simulation.until(lambda: sum(len(w.active_tasks) for w in simulation.workers.values()) > 90)
 
 
-async def repeat(simulation: SimulatedCluster, sent: list[SentMessage], count: int) -> None:
+async def send_copies(simulation: SimulatedCluster, sent: list[SentMessage], count: int) -> None:
     """Copies reach whoever is there now: machines that still are, and every controller."""
     for src, dst, request in simulation.rng.sample(sent, min(count, len(sent))):
         targets = [dst] if dst in simulation.workers else [n for n in simulation.nodes if n not in simulation.net.down]
@@ -30,7 +30,7 @@
                 await simulation.net.handlers[target](src, request)
 
 
-async def all_served(simulation: SimulatedCluster) -> None:
+async def until_all_served(simulation: SimulatedCluster) -> None:
     for number in range(4):
         await simulation.until_phase(f"run-{number}", "done", 240)
     for number in range(4):
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_half_the_machines_cut_and_others_hanging_around_a_failover(seed: int) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await busy(simulation)
+        await start_mixed_load(simulation)
         sent = record_messages(simulation, "/hello", "/commands")
         names = sorted(simulation.workers)
         cut = [n for n in names if simulation.workers[n].zone == "b"]
@@ -59,10 +59,10 @@
         for name in hung:
             if name in simulation.workers:
                 simulation.workers[name].hung = False
-        await repeat(simulation, sent, 60)
+        await send_copies(simulation, sent, 60)
         await trio.sleep(8)
         simulation.net.heal()
-        await repeat(simulation, sent, 60)
+        await send_copies(simulation, sent, 60)
         for number in range(1, 4):
             await simulation.until_phase(f"run-{number}", "done", 240)
         for number in range(4):
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_every_controller_in_turn_while_machines_die(seed: int) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await busy(simulation)
+        await start_mixed_load(simulation)
         sent = record_messages(simulation, "/hello", "/commands")
         for label in sorted(simulation.nodes):
             simulation.kill(label)
@@ -85,15 +85,15 @@
             await trio.sleep(simulation.rng.choice([0.2, 3.0]))
             simulation.start(label)
             await trio.sleep(5)
-            await repeat(simulation, sent, 30)
-        await all_served(simulation)
+            await send_copies(simulation, sent, 30)
+        await until_all_served(simulation)
 
     run_scenario(scenario, seed)
 
 
 def test_all_controllers_at_once_with_an_outage_and_a_cut_zone() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await busy(simulation)
+        await start_mixed_load(simulation)
         sent = record_messages(simulation, "/hello", "/commands")
         for name in [n for n, w in simulation.workers.items() if w.zone == "a"]:
             simulation.cut_machine(name)
@@ -104,10 +104,10 @@
         simulation.start_all()
         await trio.sleep(9)
         simulation.store.end_outage()
-        await repeat(simulation, sent, 60)
+        await send_copies(simulation, sent, 60)
         await trio.sleep(6)
         simulation.net.heal()
-        await all_served(simulation)
+        await until_all_served(simulation)
 
     run_scenario(scenario)
 
@@ -167,14 +167,14 @@
         for team in ("red", "blue"):
             for number in range(4, 6):
                 await simulation.submit(service(f"run-{team}{number}", owner=team, shards=2, vcpus=2.0))
-        gone = {name for job_id in ("run-red0", "run-blue0") for _, name in simulation.running(job_id)}
+        unreachable = {name for job_id in ("run-red0", "run-blue0") for _, name in simulation.running(job_id)}
         act = {
             "cut": simulation.cut_machine,
             "hang": simulation.hang,
             "inbound_lost": simulation.drop_inbound,
             "outbound_refused": simulation.refuse_outbound,
         }[trouble]
-        for name in gone:
+        for name in unreachable:
             act(name)
         leader = await simulation.until_leader()
         await simulation.cancel("run-red0")
--- a/tests/scenarios/test_read_consistency.py
+++ b/tests/scenarios/test_read_consistency.py
@@ -9,7 +9,7 @@
 from tests.simulation.users import LABELS
 
 
-async def look_closely(simulation: SimulatedCluster, job_id: str, rounds: int = 3) -> None:
+async def read_and_resubmit_everywhere(simulation: SimulatedCluster, job_id: str, rounds: int = 3) -> None:
     """Polls and repeats of the submission at all controllers, again within milliseconds."""
     async with trio.open_nursery() as nursery:
         for _ in range(rounds):
@@ -34,20 +34,20 @@
                 simulation.nursery.start_soon(simulation.restart_later, leader, 0.3)
             job_id = f"run-{number}"
             await simulation.submit(job(job_id, shards=1, vcpus=1.0, expectedRunS=1.0, sizeGb=0.0))
-            await look_closely(simulation, job_id)
+            await read_and_resubmit_everywhere(simulation, job_id)
             if number % 3 == 0:
                 await simulation.cancel(job_id)
-                await look_closely(simulation, job_id)
+                await read_and_resubmit_everywhere(simulation, job_id)
             elif number % 3 == 1:
                 await simulation.until(lambda u=job_id: f"{u}/0" in simulation.finished, 60)  # type: ignore[misc]
                 await simulation.cancel(job_id)  # at the end of its last task
-                await look_closely(simulation, job_id)
+                await read_and_resubmit_everywhere(simulation, job_id)
             else:
                 await simulation.until_phase(job_id, "done", 120)
-                await look_closely(simulation, job_id)
+                await read_and_resubmit_everywhere(simulation, job_id)
         await simulation.wait_for_convergence()
         for job_id in sorted(simulation.accepted):
-            await look_closely(simulation, job_id)
+            await read_and_resubmit_everywhere(simulation, job_id)
 
     run_scenario(scenario)
 
@@ -75,7 +75,7 @@
         simulation.start_all()
         await simulation.wait_for_convergence()
         for job_id in sorted(simulation.accepted):
-            await look_closely(simulation, job_id)
+            await read_and_resubmit_everywhere(simulation, job_id)
 
     run_scenario(scenario)
 
@@ -104,7 +104,7 @@
         simulation.kill_all()
         simulation.start_all()
         await trio.sleep(5)
-        await look_closely(simulation, "run-a")
+        await read_and_resubmit_everywhere(simulation, "run-a")
         assert (await simulation.poll("run-a"))[1]["phase"] == "done"
 
     run_scenario(scenario)
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -18,9 +18,9 @@
 SMALL = 2048
 
 
-def narrow(simulation: SimulatedCluster) -> None:
+def lower_limits(simulation: SimulatedCluster) -> None:
     assert COMING.txn_ops and COMING.value_kb
-    simulation.store.narrow(COMING.value_kb, COMING.txn_ops, COMING.write_rps)
+    simulation.store.lower_limits(COMING.value_kb, COMING.txn_ops, COMING.write_rps)
 
 
 def sizes(simulation: SimulatedCluster, prefix: str) -> list[int]:
@@ -36,7 +36,7 @@
         await simulation.submit(job("run-s", shape="standing", shards=4, rank="prod", expectedRunS=0.0))
         await simulation.submit(job("run-a", shards=40, expectedRunS=4.0))
         await simulation.until(lambda: len(simulation.finished) > 4)
-        narrow(simulation)
+        lower_limits(simulation)
         for number in range(25):
             assert await simulation.submit(job(f"run-{number}", shards=2, expectedRunS=2.0), 10) == 201
         await simulation.cancel("run-3")
@@ -55,7 +55,7 @@
     """Guards against this: what progress leaves to others was all that could be saved up, so it was never written."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        simulation.store.narrow(2.0, 5, 18.0)
+        simulation.store.lower_limits(2.0, 5, 18.0)
         simulation.cloud.capacity = 2
         await simulation.submit(job("run-a", shards=60, expectedRunS=6.0))
         await simulation.until(lambda: len(simulation.finished) >= 10)
@@ -72,7 +72,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = simulation.nodes[await simulation.until_leader()]
         before = leader.store.writes.rate
-        narrow(simulation)
+        lower_limits(simulation)
 
         async def user(job_id: str) -> None:
             await simulation.submit(job(job_id, shards=1, expectedRunS=1.0))
@@ -115,7 +115,7 @@
         leader.cluster.pending_writes.records.add("run-big")
         await simulation.until(lambda: simulation.store.kv["s/j/run-big"][0]["n"] > 7000, 30)
         assert max(sizes(simulation, "s/j/")) > SMALL, "written while longer values were allowed"
-        narrow(simulation)
+        lower_limits(simulation)
         known: set[int] = set()
         for _ in range(4):
             label = await simulation.until_leader()
@@ -153,16 +153,16 @@
 
     for seed in range(3):
 
-        async def told(simulation: SimulatedCluster, seed: int = seed) -> None:
+        async def run_seed(simulation: SimulatedCluster, seed: int = seed) -> None:
             simulation.may_refuse = 7  # each process learns of the limits by one refusal
             await scenario(simulation, seed)
 
-        run_scenario(told, seed=seed, coming=COMING)
+        run_scenario(run_seed, seed=seed, coming=COMING)
 
 
 def test_a_hundred_thousand_tasks_in_no_order_fit_small_values() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        narrow(simulation)
+        lower_limits(simulation)
         simulation.may_refuse = 2
         leader = simulation.nodes[await simulation.until_leader()]
         shards = 100_000
@@ -192,7 +192,7 @@
         long = {"flavours": ["c8", *(f"type-{n:04d}" for n in range(190))]}
         assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long)) == 201
         await simulation.until(lambda: len(simulation.running("run-long")) > 0)
-        narrow(simulation)
+        lower_limits(simulation)
         simulation.may_refuse = 3
         assert await simulation.submit(job("run-next", **long), 5) in (400, 201)
         assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long)) == 200, (
@@ -208,7 +208,7 @@
 
 def test_one_submission_that_is_too_long_does_not_hold_up_its_batch() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        narrow(simulation)
+        lower_limits(simulation)
         simulation.may_refuse = 6
         long = {"flavours": ["c8", *(f"type-{n:04d}" for n in range(190))]}
         answers: dict[str, int] = {}
@@ -287,7 +287,7 @@
             simulation.store.rev += 1
             simulation.store.kv[key] = (full, simulation.store.rev, None)
             simulation.store.log.append((simulation.store.rev, key, full, True))
-        narrow(simulation)
+        lower_limits(simulation)
         simulation.may_refuse = 3  # each process learns of the limits by one refusal
         await simulation.submit(job("run-a", shards=12))
         await simulation.until_phase("run-a", "done", 60)
@@ -335,7 +335,7 @@
             return request.path == "/multi" and dice.random() < 0.1
 
         simulation.net.hold_request = late
-        narrow(simulation)
+        lower_limits(simulation)
         for _ in range(3):
             await trio.sleep(6)
             label = await simulation.until_leader()
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -23,7 +23,7 @@
         leader.tasks[machine][f"{job_id}/{index}", ((TERM - 1) << constants.TRY_BITS) + index] = "running"
 
 
-def report_without_answer(leader: LeaderInMemory) -> None:
+def send_heartbeats_without_answers(leader: LeaderInMemory) -> None:
     """All machines send heartbeats, twice to show that answers reach them; the stop commands in the answers are
     still on their way."""
     for name in leader.names * 2:
@@ -36,7 +36,7 @@
     leader = LeaderInMemory(2, registered=True, teams=TEAMS)
     in_zone_a, in_zone_b = leader.names
     run_by_earlier_leader(leader, in_zone_a, "run-over", 10)
-    report_without_answer(leader)
+    send_heartbeats_without_answers(leader)
     leader.add(array_job("run-blue", shards=16, owner="blue", region="a"))
     leader.add(array_job("run-red", shards=30, owner="red", region="b"))
     leader.run_cycle()
@@ -58,7 +58,7 @@
     in_zone_a, _ = leader.names
     run_by_earlier_leader(leader, in_zone_a, "run-over", 10)
     assert leader.cluster.unobserved("red") == (10.0, 0.0), "they may run on any machine"
-    report_without_answer(leader)
+    send_heartbeats_without_answers(leader)
     assert leader.cluster.team_use("red").total == (10.0, 0.0)
     leader.add(array_job("run-blue", shards=16, owner="blue", region="a"))
     leader.add(array_job("run-red", shards=30, owner="red", region="b"))
@@ -76,7 +76,7 @@
     leader = LeaderInMemory(2, registered=True, teams=TEAMS)
     in_zone_a, in_zone_b = leader.names
     run_by_earlier_leader(leader, in_zone_a, "run-over", 10)
-    report_without_answer(leader)
+    send_heartbeats_without_answers(leader)
     assert leader.cluster.index.ready.names() == {in_zone_b}
     assert leader.cluster.team_use("red").total == (16.0, 0.0), "all of its room"
     leader.all_send_heartbeats()
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -31,7 +31,7 @@
         self.requests: list[tuple[float, str, Request]] = []
         self._changed = trio.Event()
 
-    def narrow(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
+    def lower_limits(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
         """Smaller limits, without notice."""
         self.value_kb, self.txn_ops, self.write_rps = value_kb, txn_ops, write_rps
         self._tokens, self._filled = write_rps, trio.current_time()
