--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -21,7 +21,7 @@
 from sorrelsill.fleet import Cloud, FleetManager, parse_catalog
 from sorrelsill.http import Client, Reply, Request
 from sorrelsill.jobs import Admission, Cancellations, RecordWriter, json_size
-from sorrelsill.leadership import LeaderElector, Watchdog
+from sorrelsill.leadership import ControllerLabels, ElectionCallbacks, LeaderElector, Watchdog
 from sorrelsill.membership import PRESENCE_PREFIX, MembershipSettings, make_membership
 from sorrelsill.model import Catalog
 from sorrelsill.peers import DegradedMode
@@ -78,13 +78,10 @@
             self.store,
             self.watch_cache,
             self.timings,
-            settings.label,
+            ControllerLabels(settings.label, [member.label for member in settings.members]),
             self.watchdog,
             rng,
-            [member.label for member in settings.members],
-            on_term=self._on_term,
-            hears_no_worker=self._hears_no_worker,
-            other_candidates=self._other_candidates,
+            ElectionCallbacks(self._on_term, self._hears_no_worker, self._other_candidates),
         )
         self.elector.acquire_after = now + (constants.PROMISE_S if settings.members else 0.0)
         self.degraded_mode = DegradedMode(
--- a/sorrelsill/leadership/__init__.py
+++ b/sorrelsill/leadership/__init__.py
@@ -1,5 +1,6 @@
-"""Who leads: the leased key, pings, validity, yielding and taking over."""
+"""Leader election: the leased key, lease renewals, validity, resigning and campaigning."""
 
-from sorrelsill.leadership.leader_elector import LeaderElector, Watchdog
+from sorrelsill.leadership.leader_elector import ControllerLabels, ElectionCallbacks, LeaderElector
+from sorrelsill.leadership.watchdog import Watchdog
 
-__all__ = ["LeaderElector", "Watchdog"]
+__all__ = ["ControllerLabels", "ElectionCallbacks", "LeaderElector", "Watchdog"]
--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -1,13 +1,13 @@
 """One controller leads: it holds `s/leader`, a key attached to a lease in the state service.
 
-The term is that key's revision; it is the workers' fencing token. The leader pings (renews its lease) every
-sixth of the lease and acts only while its last good ping was *sent* less than two thirds of the lease
+The term is that key's revision; it is the workers' fencing token. The leader renews its lease every
+sixth of the lease and acts only while its last successful renewal was *sent* less than two thirds of the lease
 ago. Since the key cannot go before a whole lease after the last renewal arrived, another controller can
 take it only when this one has stopped acting.
 
-After Strøm's guide a ping slower than its interval makes the leader yield. Beyond the guide: an answer
-that says 'not carried out' (503, 429, refused) is no slow ping, and is repeated. When the validity runs
-out that way the leader only pauses: if a later ping still finds the lease, the key was ours all along
+After Strøm's guide a renewal slower than its interval makes the leader resign. Beyond the guide: an answer
+that says 'not carried out' (503, 429, refused) is no slow renewal, and is repeated. When the validity runs
+out that way the leader only pauses: if a later renewal still finds the lease, the key was ours all along
 (leases stand still during an outage of the store), and it goes on with the same term."""
 
 from __future__ import annotations
@@ -15,147 +15,122 @@
 import logging
 import random
 from collections.abc import Awaitable, Callable, Sequence
+from dataclasses import dataclass
 
 import trio
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
+from sorrelsill.leadership.leader_key import LeaderKey
+from sorrelsill.leadership.watchdog import Watchdog
 from sorrelsill.settings import Timings
 from sorrelsill.store import LEADER, AmbiguousError, Compare, KeyValueStore, Put, UnavailableError, WatchCache
 
 log = logging.getLogger(__name__)
 
+_NEVER = float("-inf")
+_LONGEST_ACQUIRE_TIMEOUT_S = 10.0
+_SHORTEST_WAIT_S = 0.02  # before a campaign that has to wait
 
-class Watchdog:
-    """Beats of the leader's loops. A loop without a beat for the stall limit, or that exited, is out."""
 
-    def __init__(self, stall_s: float, release_s: float) -> None:
-        self._stall_s = stall_s
-        self._release_s = release_s
-        self._beats: dict[str, float] = {}
-        self._exited: set[str] = set()
-        self._asked_at = trio.current_time()
+@dataclass(frozen=True, slots=True)
+class ControllerLabels:
+    """The names of the controllers of a deployment, as the settings file and the wire have them."""
 
-    def beat(self, loop: str) -> None:
-        """The loop goes on."""
-        self._beats[loop] = trio.current_time()
+    own: str
+    others: Sequence[str] = ()
 
-    def exited(self, loop: str) -> None:
-        """The loop has ended for good."""
-        self._exited.add(loop)
+    def next_in_order(self) -> str | None:
+        """The controller that workers try after this one: they go through all in the order of the labels' numbers."""
+        order = sorted({self.own, *self.others}, key=lambda label: (len(label), label))
+        return order[(order.index(self.own) + 1) % len(order)] if len(order) > 1 else None
 
-    def out(self) -> list[str]:
-        """Loops that are stalled past limit and release time, or gone; the leader yields if any is."""
-        now = trio.current_time()
-        unwatched = now - self._asked_at
-        self._asked_at = now
-        if unwatched >= self._stall_s:
-            # Guards against a process that stood still as a whole and, on waking, takes its loops for stalled.
-            self._beats = {name: at + unwatched for name, at in self._beats.items()}
-        limit = self._stall_s + self._release_s
-        stalled = [n for n, at in self._beats.items() if now - at > limit]
-        return sorted(self._exited | set(stalled))
 
+async def _no_other_candidate(former_leader: str) -> bool:
+    """For a controller that knows of no others."""
+    return False
 
-def next_in_order(label: str, others: Sequence[str]) -> str | None:
-    """The controller that workers try after this one: they go through all in the order of the labels' numbers."""
-    order = sorted({label, *others}, key=lambda name: (len(name), name))
-    return order[(order.index(label) + 1) % len(order)] if len(order) > 1 else None
 
+@dataclass(frozen=True, slots=True)
+class ElectionCallbacks:
+    """What the election tells its controller, and asks of it."""
 
-async def _nobody(former: str) -> bool:
-    """Whether other controllers may take the key, for one that knows of none."""
-    return False
+    on_term_changed: Callable[[int | None], None] = lambda term: None  # each term that begins; None when one ends
+    hears_no_worker: Callable[[], bool] = lambda: False  # we lead, but no worker's heartbeat arrives any more
+    # Whether any controller but the former leader could take the key now.
+    has_other_candidates: Callable[[str], Awaitable[bool]] = _no_other_candidate
 
 
 class LeaderElector:
-    """The loop that keeps, loses and takes the key."""
+    """The loop that campaigns for the key, renews its lease and resigns."""
 
     def __init__(
         self,
         store: KeyValueStore,
         watch_cache: WatchCache,
         timings: Timings,
-        label: str,
+        labels: ControllerLabels,
         watchdog: Watchdog,
         rng: random.Random,
-        others: Sequence[str] = (),
-        on_term: Callable[[int | None], None] = lambda term: None,
-        hears_no_worker: Callable[[], bool] = lambda: False,
-        other_candidates: Callable[[str], Awaitable[bool]] = _nobody,
+        callbacks: ElectionCallbacks,
     ) -> None:
-        """`on_term` is told of each term that begins, and None when one ends; `hears_no_worker` says whether we lead
-        but hear no worker any more; `other_candidates` whether any but the former leader could take the key now."""
         self._store = store
         self._watch_cache = watch_cache
-        self._t = timings
-        self._label = label
+        self._timings = timings
+        self._label = labels.own
+        self._next_label = labels.next_in_order()
         self._watchdog = watchdog
         self._rng = rng
-        self._next_label = next_in_order(label, others)
-        self._former: str | None = None  # who led last, as far as we followed
-        self._predecessor: str | None = None  # and who before that
+        self._callbacks = callbacks
+        self._last_leader: str | None = None  # as far as the watch cache told
+        self._leader_before_last: str | None = None
         self._resigned = False
         self.term: int | None = None
         self._lease: int | None = None
-        self._good_ping = float("-inf")
-        self.since = float("-inf")  # when we learnt of our term
-        self.promised_until = float("-inf")  # a promise to a peer: no acquiring and no acting before this
-        self.acquire_after = float("-inf")  # a fresh process waits out what it may have promised before
-        self._hears_no_worker = hears_no_worker
-        self._ended: set[int] = set()  # leases of earlier processes of ours that we tried to end, once each
-        self.acquiring = False  # a try for the key is under way, so no promise can be given
-        self._on_term = on_term
-        self._other_candidates = other_candidates
-        self._changed = trio.Event()
-        watch_cache.listeners.append(self._seen)
+        self.last_renewal_sent_at = _NEVER  # of the renewals that succeeded
+        self.promised_until = _NEVER  # a promise to a peer: no acquiring and no acting before this
+        self.acquire_after = _NEVER  # a fresh process waits out what it may have promised before
+        self.acquiring = False  # an attempt at the key is under way, so no promise can be given
+        self._revoked_leases: set[int] = set()  # leases of earlier processes of ours, tried once each
+        self._leader_key_changed = trio.Event()
+        watch_cache.listeners.append(self.on_key_changed)
 
     def valid(self) -> bool:
         """Whether this controller may act as leader at this very moment."""
         now = trio.current_time()
         return (
             self.term is not None
-            and now - self._good_ping < self._t.validity_s
+            and now - self.last_renewal_sent_at < self._timings.validity_s
             and now >= self.promised_until
-            and not self._watchdog.out()
+            and not self._watchdog.stalled_loops()
         )
 
     def leader_label(self) -> str | None:
-        """Who leads as far as the view tells."""
+        """Who leads as far as the watch cache tells."""
         known = self._watch_cache.leader()
-        if known is None or not isinstance(known[0], dict):
-            return None
-        label = known[0].get("label")
-        return label if isinstance(label, str) else None
+        return LeaderKey.from_stored(known[0]).label if known is not None else None
+
+    @property
+    def predecessor(self) -> str | None:
+        """While we lead: the controller that led before us."""
+        return self._leader_before_last
 
-    def _seen(self, key: str, value: object, rev: int) -> None:
+    def on_key_changed(self, key: str, value: object, rev: int) -> None:
+        """A listener of the watch cache: `value` is None if the key was deleted."""
         if key != LEADER:
             return
         if value is not None:
-            self._predecessor, self._former = self._former, self.leader_label()
-        if self.term is not None and (value is None and rev > self.term or value is not None and rev > self.term):
+            self._leader_before_last, self._last_leader = self._last_leader, self.leader_label()
+        if self.term is not None and rev > self.term:
             # The key went or changed hands; act no more, whatever our own clock says.
-            self._drop("the leader key is gone")
-        self._changed.set()
-        self._changed = trio.Event()
-
-    def _drop(self, reason: str) -> None:
-        log_event(log, logging.INFO, "leading_ended", term=self.term, reason=reason)
-        self.term = None
-        self._lease = None
-        self._good_ping = float("-inf")
-        self._store.set_leading(False)
-        self._on_term(None)
+            self._step_down("the leader key is gone")
+        self._leader_key_changed.set()
+        self._leader_key_changed = trio.Event()
 
     def fenced(self, fencing_token: int) -> None:
         """A worker has seen a higher fencing token: another controller leads, or led, after us."""
         if self.term is not None and fencing_token > self.term:
-            self._drop(f"a worker has seen fencing token {fencing_token}")
-
-    @property
-    def predecessor(self) -> str | None:
-        """While we lead: the controller that led before us."""
-        return self._predecessor
+            self._step_down(f"a worker has seen fencing token {fencing_token}")
 
     async def resign(self) -> None:
         """Lead no more, and leave the key to others from now on: the process stops as planned."""
@@ -164,75 +139,98 @@
         lease = self._lease
         if lease is None:
             return
-        self._drop("the process stops as planned")
-        try:
-            await self._store.revoke(lease, self._t.ping_s)
-        except (UnavailableError, AmbiguousError) as error:
-            log.info("the key could not be given back (%s); it ends with its lease", error)
+        self._step_down("the process stops as planned")
+        await self._revoke_or_let_expire(lease, logging.INFO)
 
     async def run(self) -> None:
-        """Keep, lose and take the key for ever."""
+        """Campaign for the key, renew its lease and resign, for ever."""
         while True:
             if self.term is not None:
-                await self._keep()
+                await self._lead()
             else:
-                await self._seek()
+                await self._campaign()
+
+    # --- while this controller leads ---
+
+    def _step_down(self, reason: str) -> None:
+        """Stop acting at once. The key stays with its lease."""
+        log_event(log, logging.INFO, "leading_ended", term=self.term, reason=reason)
+        self.term = None
+        self._lease = None
+        self.last_renewal_sent_at = _NEVER
+        self._store.set_leading(False)
+        self._callbacks.on_term_changed(None)
+
+    async def _step_down_and_revoke(self, lease: int, reason: str) -> None:
+        """Stop acting first, give the key back second: so no overlap comes from us."""
+        self._step_down(reason)
+        await self._revoke_or_let_expire(lease, logging.INFO)
+        await trio.sleep(self._timings.renewal_interval_s)
+
+    async def _revoke_or_let_expire(self, lease: int, log_level: int) -> None:
+        """Give a lease back. If the state service does not answer, the lease ends by itself."""
+        try:
+            await self._store.revoke(lease, self._timings.renewal_interval_s)
+        except (UnavailableError, AmbiguousError) as error:
+            log_event(log, log_level, "lease_not_revoked", lease=lease, reason=str(error))
 
-    async def _keep(self) -> None:
-        """Ping; on return either all is well and it slept till the next ping, or the term is over."""
+    async def _lead(self) -> None:
+        """Renew the lease; on return either it slept till the next renewal, or the term is over."""
         assert self._lease is not None and self.term is not None
-        term, lease = self.term, self._lease
-        out = self._watchdog.out()
-        if out:
-            log.error("yielding: loops stalled or exited: %s", ", ".join(out))
-            await self._yield(lease, "loops stalled or exited")
+        stalled = self._watchdog.stalled_loops()
+        if stalled:
+            log_event(log, logging.ERROR, "loops_stalled", term=self.term, loops=",".join(stalled))
+            await self._step_down_and_revoke(self._lease, "loops stalled or exited")
             return
-        if self.valid() and self._hears_no_worker():
-            # Only while valid: one that stood still itself heard nobody either; its pings tell whether it still leads.
+        if self.valid() and self._callbacks.hears_no_worker():
+            # Only while valid: a paused process itself heard nobody either; its renewals tell whether it still leads.
             # Guards against a leader that reaches the store but not the workers: their leases would all run out.
-            log.error("yielding: no worker is heard any more")
+            log_event(log, logging.ERROR, "no_worker_heard", term=self.term)
             self.acquire_after = trio.current_time() + constants.DEAF_HOLD_S
-            await self._yield(lease, "no worker is heard")
+            await self._step_down_and_revoke(self._lease, "no worker is heard")
             return
+        await self._renew(self.term, self._lease)
+
+    async def _renew(self, term: int, lease: int) -> None:
+        """One lease renewal, and the sleep after it."""
+        interval_s = self._timings.renewal_interval_s
         sent_at = trio.current_time()
-        pause = self._t.ping_s
         try:
-            if await self._store.renew(lease, self._t.ping_s):
-                if self.term == term:
-                    if sent_at - self._good_ping >= self._t.validity_s:
-                        log.info("the lease of term %d held; leading again", term)
-                    self._good_ping = sent_at
-                pause = max(0.0, sent_at + self._t.ping_s - trio.current_time())
-            elif self.term == term:
-                self._drop("the lease has ended")
-                return
+            renewed = await self._store.renew(lease, interval_s)
         except UnavailableError as error:
-            log.debug("ping not taken: %s", error)
-            pause = self._t.ping_s / 3
+            log_event(log, logging.DEBUG, "renewal_refused", term=term, reason=str(error))
+            await trio.sleep(interval_s / 3)
+            return
         except AmbiguousError as error:
-            await self._yield(lease, f"ping without an answer: {error}")
+            await self._step_down_and_revoke(lease, f"lease renewal without an answer: {error}")
             return
-        await trio.sleep(pause)
-
-    async def _yield(self, lease: int, reason: str) -> None:
-        """Stop acting first, give the key back second: so no overlap comes from us."""
-        self._drop(reason)
-        try:
-            await self._store.revoke(lease, self._t.ping_s)
-        except (UnavailableError, AmbiguousError) as error:
-            log.info("the key could not be given back (%s); it ends with its lease", error)
-        await trio.sleep(self._t.ping_s)
-
-    async def _seek(self) -> None:
+        if renewed:
+            if self.term == term:
+                self._renewed(sent_at)
+            await trio.sleep(max(0.0, sent_at + interval_s - trio.current_time()))
+        elif self.term == term:
+            self._step_down("the lease has ended")
+        else:
+            await trio.sleep(interval_s)
+
+    def _renewed(self, sent_at: float) -> None:
+        if sent_at - self.last_renewal_sent_at >= self._timings.validity_s:
+            log_event(log, logging.INFO, "leading_again", term=self.term)
+        self.last_renewal_sent_at = sent_at
+
+    # --- while another controller leads, or none ---
+
+    async def _campaign(self) -> None:
         """Warm follower: wait for the key to go, then try to take it."""
-        changed = self._changed
+        changed = self._leader_key_changed
         now = trio.current_time()
-        free = self._watch_cache.loaded and self._watch_cache.leader() is None
-        if self._watch_cache.loaded and await self._end_former():
+        is_free = self._watch_cache.loaded and self._watch_cache.leader() is None
+        if self._watch_cache.loaded and await self._revoke_previous_lease():
             return
-        wait = max(self.promised_until, self.acquire_after) - now
-        if not free or self._watchdog.out() or wait > 0:
-            with trio.move_on_after(max(wait, 0.02) if free and wait > 0 else self._t.ping_s):
+        wait_s = max(self.promised_until, self.acquire_after) - now
+        if not is_free or self._watchdog.stalled_loops() or wait_s > 0:
+            must_wait = is_free and wait_s > 0
+            with trio.move_on_after(max(wait_s, _SHORTEST_WAIT_S) if must_wait else self._timings.renewal_interval_s):
                 await changed.wait()
             return
         await trio.sleep(self._rng.random() * constants.ACQUIRE_JITTER_S)
@@ -243,9 +241,9 @@
         try:
             await self._acquire()
         except (UnavailableError, AmbiguousError) as error:
-            log.debug("acquiring: %s", error)
+            log_event(log, logging.DEBUG, "acquiring_failed", reason=str(error))
             self.acquiring = False
-            await trio.sleep(min(self._t.ping_s, constants.RETRY_S * 2))
+            await trio.sleep(min(self._timings.renewal_interval_s, constants.RETRY_S * 2))
         finally:
             self.acquiring = False
 
@@ -255,79 +253,84 @@
         Workers whose controller does not answer go on to the next one in order, and each that does not answer either
         costs them up to 5 s of their lease. With the former leader down, a leader right before it would, should it
         freeze or end as well, be two unreachable controllers away from the next: most of a lease. Any other is one."""
-        former = self._former
-        if former is not None and former == self._next_label and await self._other_candidates(former):
+        former = self._last_leader
+        if former is None or former != self._next_label:
+            return
+        if await self._callbacks.has_other_candidates(former):
             await trio.sleep(constants.ACQUIRE_DEFER_S)
 
-    async def _end_former(self) -> bool:
-        """A process that is back at once finds the key of its former self, which is dead for certain, or one that a
-        request of its former self took after its end. Nobody pings it: ending it spares the wait for its lease."""
+    async def _revoke_previous_lease(self) -> bool:
+        """Whether the leader key was that of an earlier process of this controller, whose lease was then given back.
+
+        A process that is back at once finds the key of its previous one, which is dead for certain, or one that a
+        request of the previous one took after its end. Nobody renews it: revoking it spares the wait for its end."""
         known = self._watch_cache.leader()
-        value = known[0] if known is not None else None
-        if not isinstance(value, dict) or value.get("label") != self._label:
+        key = LeaderKey.from_stored(known[0] if known is not None else None)
+        if key.label != self._label or key.lease is None or key.lease in self._revoked_leases:
             return False
-        lease = value.get("lease")
-        if not isinstance(lease, int) or lease in self._ended:
-            return False
-        self._ended.add(lease)
-        log.info("ending the lease of an earlier process of ours")
-        try:
-            await self._store.revoke(lease, self._t.ping_s)
-        except (UnavailableError, AmbiguousError) as error:
-            log.debug("it ends by itself: %s", error)
+        self._revoked_leases.add(key.lease)
+        log_event(log, logging.INFO, "revoking_previous_lease", lease=key.lease)
+        await self._revoke_or_let_expire(key.lease, logging.DEBUG)
         return True
 
     async def _acquire(self) -> None:
-        timeout = min(10.0, self._t.lease_s / 3)
+        """Try once to take the key, with a lease of its own."""
+        timeout_s = min(_LONGEST_ACQUIRE_TIMEOUT_S, self._timings.lease_s / 3)
         sent_at = trio.current_time()
-        lease = await self._store.grant(self._t.lease_s, timeout)
-        nonce = f"{self._rng.getrandbits(64):016x}"
-        value = {"label": self._label, "nonce": nonce, "lease": lease}
+        lease = await self._store.grant(self._timings.lease_s, timeout_s)
+        key = LeaderKey(self._label, f"{self._rng.getrandbits(64):016x}", lease)
+        term = await self._write_key(key, lease)
+        if term is None:
+            await self._store.revoke(lease, timeout_s)
+            await trio.sleep(self._timings.renewal_interval_s / 3)
+            return
+        if not await self._follow_up_to(term, sent_at) or self._resigned:
+            # `_resigned` guards against a key that was on its way when the process was told to stop.
+            await self._store.revoke(lease, timeout_s)
+            return
+        self._begin_term(term, key, sent_at)
+
+    async def _write_key(self, key: LeaderKey, lease: int) -> int | None:
+        """Write the key if nobody holds it. Returns its revision, the term; None if another controller was first."""
         try:
-            txn = await self._store.commit([Compare(LEADER, 0)], [Put(LEADER, value, lease)], urgent=True)
-            term = txn.rev if txn.ok else None
+            put = Put(LEADER, key.to_stored(), lease)
+            result = await self._store.commit([Compare(LEADER, 0)], [put], urgent=True)
         except AmbiguousError:
             # The answer is lost, not necessarily the write: read back and compare the nonce.
             found = await self._store.get(LEADER)
-            ours = found is not None and isinstance(found[0], dict) and found[0].get("nonce") == nonce
-            term = found[1] if found is not None and ours else None
-        if term is None:
-            await self._store.revoke(lease, timeout)
-            await trio.sleep(self._t.ping_s / 3)
-            return
-        if trio.current_time() - sent_at >= self._t.validity_s:
-            # Slow answers ate the lease's first part: no good ping to act on, so let it go.
-            await self._store.revoke(lease, timeout)
-            return
-        # The view may have been read page by page while the old leader still wrote: rebuild from one that
-        # holds everything up to our own term.
+            if found is None or LeaderKey.from_stored(found[0]).nonce != key.nonce:
+                return None
+            return found[1]
+        return result.rev if result.ok else None
+
+    async def _follow_up_to(self, term: int, sent_at: float) -> bool:
+        """Wait until the watch cache holds everything up to our own term. False if slow answers ate the validity of the
+        lease, asked for at `sent_at`: there is no renewal to act on then.
+
+        The watch cache may have been read page by page while the old leader still wrote."""
         while self._watch_cache.rev < term:
-            if trio.current_time() - sent_at >= self._t.validity_s:
-                await self._store.revoke(lease, timeout)
-                return
+            if self._validity_ended(sent_at):
+                return False
             if not await self._watch_cache.read_barrier():
                 await trio.sleep(constants.RETRY_S / 5)
-        if trio.current_time() - sent_at >= self._t.validity_s:
-            # Guards against a process that stood still during the last read and would begin a term that is over.
-            await self._store.revoke(lease, timeout)
-            return
-        if self._resigned:
-            # Guards against a key that was on its way when the process was told to stop.
-            await self._store.revoke(lease, timeout)
-            return
-        self.term, self._lease = term, lease
-        self._good_ping = sent_at
-        self.since = trio.current_time()
+        # Guards against a process that was paused during the last read and would begin a term that is over.
+        return not self._validity_ended(sent_at)
+
+    def _validity_ended(self, sent_at: float) -> bool:
+        return trio.current_time() - sent_at >= self._timings.validity_s
+
+    def _begin_term(self, term: int, key: LeaderKey, sent_at: float) -> None:
+        self.term, self._lease = term, key.lease
+        self.last_renewal_sent_at = sent_at
         self._store.set_leading(True)
-        self._watch_cache.apply_change(LEADER, value, term, True)
-        view_age_s = self.since - self._watch_cache.fresh_at
+        self._watch_cache.apply_change(LEADER, key.to_stored(), term, True)
         log_event(
             log,
             logging.INFO,
             "leading",
             term=term,
-            lease_s=self._t.lease_s,
+            lease_s=self._timings.lease_s,
             view_revision=self._watch_cache.rev,
-            view_age_s=view_age_s,
+            view_age_s=trio.current_time() - self._watch_cache.fresh_at,
         )
-        self._on_term(term)
+        self._callbacks.on_term_changed(term)
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -151,11 +151,11 @@
         return any(o.kind == "finished" for o in aims) and not any(o.kind == "deadline" for o in aims)
 
 
-class Timings(msgspec.Struct, frozen=True):
-    """What the leadership and loss rules use, derived so that the values cannot contradict each other."""
+class Timings(msgspec.Struct, frozen=True, rename={"renewal_interval_s": "ping_s"}):
+    """What the leadership and loss rules use, derived so that the values cannot contradict each other. In seconds."""
 
     lease_s: float
-    ping_s: float
+    renewal_interval_s: float  # between two renewals of the leader's lease; shown to operators as `ping_s`
     validity_s: float
     loss_s: float
     stall_s: float
@@ -171,7 +171,7 @@
         )
         return cls(
             lease_s=lease,
-            ping_s=min(constants.PING_MAX_S, lease * constants.PING_OF_LEASE),
+            renewal_interval_s=min(constants.PING_MAX_S, lease * constants.PING_OF_LEASE),
             validity_s=lease * constants.VALIDITY_OF_LEASE,
             loss_s=workers.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LOSS_MARGIN_S,
             stall_s=operator.stall_limit_s or constants.STALL_LIMIT_S,
--- a/sorrelsill/test_settings.py
+++ b/sorrelsill/test_settings.py
@@ -49,7 +49,7 @@
     settings = load(_file(tmp_path, GOOD))
     assert settings.facts.objectives[0].job_class == "live"
     timings = Timings.derive(settings.facts.workers, load_operator(None))
-    assert timings.ping_s < timings.validity_s < timings.lease_s < settings.facts.workers.lease_s / 2
+    assert timings.renewal_interval_s < timings.validity_s < timings.lease_s < settings.facts.workers.lease_s / 2
     assert timings.loss_s > settings.facts.workers.lease_s
 
 
--- a/tests/scenarios/test_frozen.py
+++ b/tests/scenarios/test_frozen.py
@@ -7,7 +7,7 @@
 import trio.testing
 
 from sorrelsill.http import Request
-from sorrelsill.leadership.leader_elector import Watchdog
+from sorrelsill.leadership import Watchdog
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 from tests.simulation.users import LABELS
 
@@ -94,7 +94,7 @@
         moments = freeze_once(
             simulation,
             leader,
-            lambda r: r.path == "/commands" and trio.current_time() - elector._good_ping > 1.2,
+            lambda r: r.path == "/commands" and trio.current_time() - elector.last_renewal_sent_at > 1.2,
             False,
             1.9,
         )
@@ -173,11 +173,11 @@
         watchdog = Watchdog(10.0, 10.0)
         watchdog.beat("place")
         await trio.sleep(30)
-        assert not watchdog.out()
+        assert not watchdog.stalled_loops()
         for _ in range(25):
             await trio.sleep(1)
-            watchdog.out()
-        assert watchdog.out() == ["place"]
+            watchdog.stalled_loops()
+        assert watchdog.stalled_loops() == ["place"]
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -58,7 +58,7 @@
         await simulation.until(lambda: len(simulation.running("run-a")) > 3)
         old = await simulation.until_leader()
         node = simulation.nodes[old]
-        node.watch_cache.listeners.remove(node.elector._seen)  # it does not notice
+        node.watch_cache.listeners.remove(node.elector.on_key_changed)  # it does not notice
         lease = next(iter(simulation.store.leases))
         simulation.store._end_lease(lease)
         await simulation.until(lambda: any(n.elector.valid() for k, n in simulation.nodes.items() if k != old), 5)
@@ -175,7 +175,7 @@
         cluster = node.cluster
         assert cluster is not None
         now = trio.current_time()
-        cluster.heard_at, node.elector._good_ping = now - 3.5, now - 3.5
+        cluster.heard_at, node.elector.last_renewal_sent_at = now - 3.5, now - 3.5
         await trio.sleep(3)
         assert node.elector.term == term and node.elector.valid()
 
