--- /dev/null
+++ b/sorrelsill/membership/factory.py
@@ -0,0 +1,30 @@
+"""Builds the feature where it is turned on, and only then imports what it needs."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from sorrelsill.membership.settings import MembershipSettings
+
+if TYPE_CHECKING:
+    from sorrelsill.http import Client
+    from sorrelsill.membership.service import Membership
+    from sorrelsill.settings import Settings
+    from sorrelsill.store import KeyValueStore, WatchCache
+
+
+def make_membership(
+    settings: Settings,
+    membership: MembershipSettings,
+    store: KeyValueStore,
+    watch_cache: WatchCache,
+    make_client: Callable[[str], Client],
+    count: Callable[[str], None],
+) -> Membership:
+    """The feature, for a controller; `count` is told of its events."""
+    from sorrelsill.membership.presence import PresenceKeeper  # noqa: PLC0415 - heavy, and start-up time is charged
+    from sorrelsill.membership.service import Membership  # noqa: PLC0415
+
+    presence = PresenceKeeper(store, watch_cache, settings.label, membership.presence_lease_s)
+    return Membership(settings.label, settings.members, membership, make_client, presence, count)
--- a/sorrelsill/membership/presence.py
+++ b/sorrelsill/membership/presence.py
@@ -9,18 +9,13 @@
 import trio
 
 from sorrelsill import constants
-from sorrelsill.membership import PRESENCE_PREFIX
 from sorrelsill.membership.detector import Presence
+from sorrelsill.membership.keys import presence_key
 from sorrelsill.store import AmbiguousError, KeyValueStore, Put, UnavailableError, WatchCache
 
 log = logging.getLogger(__name__)
 
 
-def presence_key(label: str) -> str:
-    """The key of a controller."""
-    return PRESENCE_PREFIX + label
-
-
 class PresenceKeeper:
     """Holds the key for as long as the process runs."""
 
