--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -90,7 +90,7 @@
             settings.members,
             make_client,
             self.cancellations,
-            on_bound=self._on_bound,
+            on_promised=self._on_promised,
             on_cancelled=self._on_cancelled,
         )
         self.scheduler = Scheduler(
@@ -193,7 +193,7 @@
             on_drain=lambda: self._wake.set(),
         )
 
-    def _on_bound(self, until: float) -> None:
+    def _on_promised(self, until: float) -> None:
         if self.cluster is not None:
             self.cluster.renewed_by_others = max(self.cluster.renewed_by_others, until)
 
@@ -230,7 +230,7 @@
         """Whether any controller but the former leader could take the key now: as detection knows, or by asking."""
         if self.membership is not None and any(label != former for label in self.membership.view.alive()):
             return True
-        return await self.degraded_mode.other_candidates(former)
+        return await self.degraded_mode.has_other_candidates(former)
 
     def _fresh(self) -> bool:
         """Whether the view of the jobs is recent enough to start anything on it."""
@@ -286,7 +286,7 @@
         """Able to serve. If all lack the store, staying ready and answering 503 beats a refused connection."""
         if not self.watch_cache.loaded or self._draining:
             return False
-        return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.others_fail_too()
+        return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.any_peer_failing()
 
     def state(self) -> dict[str, Any]:
         """For operators: what this controller believes."""
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -136,7 +136,7 @@
         until = trio.current_time() + 4
         for node in simulation.nodes.values():
             node.elector.promised_until = until
-            node.degraded_mode.on_bound(until)
+            node.degraded_mode.on_promised(until)
         await simulation.submit(job("run-1"))
         await simulation.until_phase("run-1", "done")
         assert all(at >= until for at, task_id, _ in simulation.starts if task_id.startswith("run-1/"))
