--- a/sorrelsill/cli.py
+++ b/sorrelsill/cli.py
@@ -73,7 +73,7 @@
     """Check settings and show the timings derived from them."""
     try:
         settings = load(config)
-        timings = Timings.derive(settings.facts.workers, load_operator(operator))
+        timings = Timings.derive(settings.platform.workers, load_operator(operator))
         detection = load_membership(membership)
     except SettingsError as error:
         click.echo(str(error), err=True)
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -112,7 +112,7 @@
             timings.loss_s,
             timings.validity_s,
             timings.overdue_s,
-            self.settings.facts.workers.gang_peer_s,
+            self.settings.platform.workers.gang_peer_s,
         )
         cluster.renewed_by_others = min(now, self.elector.promised_until)
         cluster.failover.expect_machines(self.watch_cache.registered_machines())
@@ -136,7 +136,7 @@
         )
         if not log.isEnabledFor(logging.DEBUG):
             return
-        for team, state in team_states(cluster, self.settings.facts.teams).items():
+        for team, state in team_states(cluster, self.settings.platform.teams).items():
             use = msgspec.structs.asdict(state)
             log_event(log, logging.DEBUG, "team_use", term=cluster.term, team=team, **use)
 
@@ -150,15 +150,15 @@
         )
 
     def _make_fleet(self, cluster: ClusterState) -> FleetManager:
-        facts = self.settings.facts
+        platform = self.settings.platform
         return FleetManager(
             self._parts.cloud,
             cluster,
             self.elector.valid,
             lambda: list(self.scheduler.unschedulable.values()),
             self.settings.optimise_latency,
-            facts.cloud.list_lag_s,
-            {aim.job_class for aim in facts.objectives if aim.kind == "wait" and aim.job_class},
+            platform.cloud.list_lag_s,
+            {aim.job_class for aim in platform.objectives if aim.kind == "wait" and aim.job_class},
             on_catalog=self._on_catalog,
             on_drain=lambda: self._wake_scheduler.set(),
         )
@@ -193,7 +193,7 @@
             self._wake_scheduler.set()
 
     def _hears_no_worker(self) -> bool:
-        limit_s = constants.DEAF_REPORTS * self.settings.facts.workers.heartbeat_interval_s + constants.DEAF_EXTRA_S
+        limit_s = constants.DEAF_REPORTS * self.settings.platform.workers.heartbeat_interval_s + constants.DEAF_EXTRA_S
         return self.cluster is not None and self.cluster.hears_no_worker(trio.current_time(), limit_s)
 
     async def _has_other_candidates(self, former: str) -> bool:
--- a/sorrelsill/controller/operator_state.py
+++ b/sorrelsill/controller/operator_state.py
@@ -33,7 +33,7 @@
         refused=parts.store.refused,
         set_aside=leader_term.record_writer.set_aside if leader_term is not None else 0,
         starts_refused=cluster.starts_refused if cluster else None,
-        teams=team_states(cluster, parts.settings.facts.teams) if cluster else None,
+        teams=team_states(cluster, parts.settings.platform.teams) if cluster else None,
         counts=event_counts,
         peers=membership.state() if membership is not None else None,
         handovers_s=[round(handover.lasted_s, 3) for handover in membership.handovers()] if membership else None,
--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/parts.py
@@ -81,17 +81,19 @@
 def build_parts(environment: Environment, callbacks: ControllerCallbacks) -> ControllerParts:
     """Build all parts and connect them; nothing runs yet."""
     settings, operator = environment.settings, environment.operator
-    facts, make_client = settings.facts, environment.make_client
-    timings = Timings.derive(facts.workers, operator)
-    ended_window_s = facts.workers.cancel_s + facts.workers.lease_s
-    store = KeyValueStore(make_client(settings.services.state), facts.state, facts.nodes)
+    platform, make_client = settings.platform, environment.make_client
+    timings = Timings.derive(platform.workers, operator)
+    ended_window_s = platform.workers.cancel_s + platform.workers.lease_s
+    store = KeyValueStore(make_client(settings.services.state), platform.state, platform.nodes)
     watch_cache = WatchCache(
         store,
         ended_window_s + constants.ENDED_MARGIN_S,
         callbacks.on_final,
         (PRESENCE_PREFIX,) if environment.membership is not None else (),
     )
-    cancellations = Cancellations(trio.current_time(), facts.workers.cancel_s, timings.renew_s, len(settings.members))
+    cancellations = Cancellations(
+        trio.current_time(), platform.workers.cancel_s, timings.renew_s, len(settings.members)
+    )
     watchdog = Watchdog(timings.stall_s, timings.self_release_s)
     elector = _make_elector(environment, callbacks, store, watch_cache, timings, watchdog)
     return ControllerParts(
@@ -101,7 +103,7 @@
         watch_cache=watch_cache,
         cancellations=cancellations,
         followed_jobs=FollowedJobs(watch_cache, cancellations, environment.time_of_day, ended_window_s),
-        admission=Admission(store, watch_cache, facts.teams, environment.time_of_day),
+        admission=Admission(store, watch_cache, platform.teams, environment.time_of_day),
         watchdog=watchdog,
         elector=elector,
         degraded_mode=DegradedMode(
@@ -114,12 +116,12 @@
             on_cancelled=callbacks.on_cancelled,
         ),
         scheduler=_make_scheduler(environment),
-        cloud=Cloud(make_client(settings.services.cloud), facts.cloud),
+        cloud=Cloud(make_client(settings.services.cloud), platform.cloud),
         command_sender=CommandSender(
             make_client,
             elector.valid,
             partial(jobs_are_fresh, watch_cache),
-            CallLimits.derive(facts.quota.sockets),
+            CallLimits.derive(platform.quota.sockets),
             callbacks.on_worker_answer,
         ),
         membership=_make_membership(environment, callbacks, store, watch_cache),
@@ -152,8 +154,8 @@
 def _make_scheduler(environment: Environment) -> Scheduler:
     settings = environment.settings
     return Scheduler(
-        settings.facts.teams,
-        settings.facts.objectives,
+        settings.platform.teams,
+        settings.platform.objectives,
         environment.rng,
         environment.operator.sample or constants.SAMPLE,
         settings.optimise_latency,
--- a/sorrelsill/serve.py
+++ b/sorrelsill/serve.py
@@ -40,7 +40,7 @@
 async def run(settings: Settings, operator: OperatorOverrides, membership: MembershipSettings | None = None) -> None:
     """Listen and serve until cancelled."""
     node = Controller(settings, operator, random.Random(), membership=membership)
-    sockets = settings.facts.quota.sockets
+    sockets = settings.platform.quota.sockets
     peers = constants.PEER_SOCKETS if settings.members else 0
     pushes = CallLimits.derive(sockets).connections
     most = max(8, sockets - constants.SOCKET_RESERVE - peers - pushes)
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -1,11 +1,15 @@
 """The platform's settings file (TOML) and the operators' own (HCL), checked, and the timings derived
-from them. Unknown fields are ignored; a bad one is refused with a line that names file, field and reason."""
+from them. Unknown fields are ignored; a bad one is refused with a line that names file, field and reason.
+
+A controller's `label` is its name: the settings file, the wire and the state service know it by that word."""
 
 from __future__ import annotations
 
+import io
 import math
 import tomllib
-from typing import Any, TypeVar
+from collections.abc import Callable
+from typing import Any, BinaryIO, TypeVar
 
 import msgspec
 
@@ -49,7 +53,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """An aim for a class of jobs."""
+    """A service-level objective of a class of jobs."""
 
     kind: str
     job_class: str | None = None
@@ -89,12 +93,12 @@
     @property
     def coming(self) -> StateLimits:
         """The smaller of what holds now and what will."""
-        n = self.next or NextLimits()
+        following = self.next or NextLimits()
         return StateLimits(
             self.rps,
-            min(self.write_rps, n.write_rps or self.write_rps),
-            min(self.value_kb, n.value_kb or self.value_kb),
-            min(self.txn_ops, n.txn_ops or self.txn_ops),
+            min(self.write_rps, following.write_rps or self.write_rps),
+            min(self.value_kb, following.value_kb or self.value_kb),
+            min(self.txn_ops, following.txn_ops or self.txn_ops),
         )
 
 
@@ -127,28 +131,28 @@
     quota: ControllerResources = ControllerResources()
 
 
-class Settings(msgspec.Struct, frozen=True):
+class Settings(msgspec.Struct, frozen=True, rename={"platform": "facts"}):
     """The platform's settings file."""
 
     label: str
     listen: str
     services: Services
-    facts: PlatformSettings
+    platform: PlatformSettings  # `facts` in the file
     area: str = ""
     peer_listen: str = ""
     members: list[Member] = []
 
     @property
     def optimise_latency(self) -> bool:
-        """Whether an aim counts seconds since submission for work that ends: then a machine's boot time
-        comes too late and idle machines are worth keeping. Deadlines leave time to boot, and where a class has them,
-        seconds that are named besides are only an outer bound; the aims on money are not told to controllers, so
-        elsewhere money is saved. Found on measured days: with such a bound added, no idle machine ever went back; the
-        same with seconds named for another class than the one with the deadlines, which gets room kept of its own."""
-        aims = self.facts.objectives
-        if any(o.kind == "guarantee" for o in aims):
-            return True
-        return any(o.kind == "finished" for o in aims) and not any(o.kind == "deadline" for o in aims)
+        """Whether to optimise for latency instead of cost: whether an objective counts seconds since submission for
+        work that ends. Then a machine's boot time comes too late and idle machines are worth keeping. Deadlines leave
+        time to boot, and where a class has them, seconds that are named besides are only an outer bound; the objectives
+        on cost are not told to controllers, so elsewhere cost is saved. Found on measured days: with such a bound
+        added, no idle machine ever went back; the same with seconds named for another class than the one with the
+        deadlines, which gets room kept of its own."""
+        objectives = self.platform.objectives
+        kinds = {objective.kind for objective in objectives}
+        return "guarantee" in kinds or "finished" in kinds and "deadline" not in kinds
 
 
 class Timings(msgspec.Struct, frozen=True, rename={"renewal_interval_s": "ping_s"}):
@@ -207,99 +211,115 @@
     return host, int(port)
 
 
-def _positive(path: str, field: str, value: float, zero: bool = False) -> None:
-    if not math.isfinite(value) or value < 0 or (value == 0 and not zero):
-        raise SettingsError(f"{path}: {field}: must be a positive number, is {value}")
+def _check_number(path: str, field: str, value: float, may_be_zero: bool = False) -> None:
+    if not math.isfinite(value) or value < 0 or (value == 0 and not may_be_zero):
+        raise SettingsError.of(path, field, f"must be a positive number, is {value}")
 
 
 def check(settings: Settings, path: str) -> Settings:
-    """What types alone do not tell: addresses, ranges, names that must differ."""
-    addresses = [("listen", settings.listen), ("services.cloud", settings.services.cloud)]
-    addresses.append(("services.state", settings.services.state))
+    """What types alone do not tell: addresses, ranges, names that must differ. Raises SettingsError, with the names
+    that the fields have in the file."""
+    _check_addresses(settings, path)
+    _check_platform(settings.platform, path)
+    labels = [settings.label, *(member.label for member in settings.members)]
+    if len(set(labels)) != len(labels):
+        raise SettingsError.of(path, "members", "two controllers have the same label")
+    if len({team.name for team in settings.platform.teams}) != len(settings.platform.teams):
+        raise SettingsError.of(path, "facts.teams", "two teams have the same name")
+    return settings
+
+
+def _check_addresses(settings: Settings, path: str) -> None:
+    addresses = [
+        ("listen", settings.listen),
+        ("services.cloud", settings.services.cloud),
+        ("services.state", settings.services.state),
+    ]
     if settings.peer_listen or settings.members:
         addresses.append(("peer_listen", settings.peer_listen))
-    addresses += [(f"members[{m.label}].addr", m.addr) for m in settings.members]
+    addresses += [(f"members[{member.label}].addr", member.addr) for member in settings.members]
     for field, addr in addresses:
         try:
             split_addr(addr)
         except ValueError as error:
-            raise SettingsError(f"{path}: {field}: {error}") from None
-    facts = settings.facts
+            raise SettingsError.of(path, field, str(error)) from None
+
+
+def _check_platform(platform: PlatformSettings, path: str) -> None:
     for field, value in (
-        ("facts.workers.report_s", facts.workers.heartbeat_interval_s),
-        ("facts.workers.lease_s", facts.workers.lease_s),
-        ("facts.workers.cancel_s", facts.workers.cancel_s),
-        ("facts.state.rps", facts.state.rps),
-        ("facts.state.write_rps", facts.state.write_rps),
-        ("facts.state.value_kb", facts.state.value_kb),
-        ("facts.state.txn_ops", facts.state.txn_ops),
-        ("facts.cloud.rps", facts.cloud.rps),
-        ("facts.quota.cpu", facts.quota.cpu),
-        ("facts.quota.sockets", facts.quota.sockets),
+        ("facts.workers.report_s", platform.workers.heartbeat_interval_s),
+        ("facts.workers.lease_s", platform.workers.lease_s),
+        ("facts.workers.cancel_s", platform.workers.cancel_s),
+        ("facts.state.rps", platform.state.rps),
+        ("facts.state.write_rps", platform.state.write_rps),
+        ("facts.state.value_kb", platform.state.value_kb),
+        ("facts.state.txn_ops", platform.state.txn_ops),
+        ("facts.cloud.rps", platform.cloud.rps),
+        ("facts.quota.cpu", platform.quota.cpu),
+        ("facts.quota.sockets", platform.quota.sockets),
     ):
-        _positive(path, field, value)
-    for prefix, ops in (("", facts.state.txn_ops), ("next.", facts.state.coming.txn_ops)):
-        if ops < constants.LEAST_OPS:
-            raise SettingsError(
-                f"{path}: facts.state.{prefix}txn_ops: must be at least {constants.LEAST_OPS}, is {ops}"
-            )
-    if facts.state.next is not None:
+        _check_number(path, field, value)
+    _check_transaction_sizes(platform.state, path)
+    if platform.state.next is not None:
         for name in ("write_rps", "value_kb", "txn_ops"):
-            _positive(path, f"facts.state.next.{name}", getattr(facts.state.next, name), zero=True)
-    for team in facts.teams:
+            value = getattr(platform.state.next, name)
+            _check_number(path, f"facts.state.next.{name}", value, may_be_zero=True)
+    for team in platform.teams:
         for name in ("cpus", "cpus_max", "gpus", "gpus_max"):
-            _positive(path, f"facts.teams[{team.name}].{name}", getattr(team, name), zero=True)
-    labels = [settings.label, *(m.label for m in settings.members)]
-    if len(set(labels)) != len(labels):
-        raise SettingsError(f"{path}: members: two controllers have the same label")
-    if len({t.name for t in facts.teams}) != len(facts.teams):
-        raise SettingsError(f"{path}: facts.teams: two teams have the same name")
-    return settings
+            _check_number(path, f"facts.teams[{team.name}].{name}", getattr(team, name), may_be_zero=True)
 
 
-def _convert(raw: Any, kind: type[Any], path: str) -> Any:
+def _check_transaction_sizes(state: StateLimits, path: str) -> None:
+    for prefix, txn_ops in (("", state.txn_ops), ("next.", state.coming.txn_ops)):
+        if txn_ops < constants.LEAST_OPS:
+            reason = f"must be at least {constants.LEAST_OPS}, is {txn_ops}"
+            raise SettingsError.of(path, f"facts.state.{prefix}txn_ops", reason)
+
+
+def _parse_file(path: str, parse: Callable[[BinaryIO], Any], syntax_errors: tuple[type[Exception], ...]) -> Any:
+    try:
+        with open(path, "rb") as file:
+            return parse(file)
+    except OSError as error:
+        raise SettingsError.of(path, "file", str(error.strerror)) from None
+    except syntax_errors as error:
+        lines = str(error).strip().splitlines()
+        raise SettingsError.of(path, "syntax", lines[0] if lines else type(error).__name__) from None
+
+
+def _convert(raw: Any, kind: type[_K], path: str) -> _K:
     try:
         return msgspec.convert(raw, kind, strict=True)
     except msgspec.ValidationError as error:
-        text = str(error)
-        reason, _, where = text.partition(" - at ")
+        reason, _, where = str(error).partition(" - at ")
         field = where.strip("`").removeprefix("$.") or "top level"
-        raise SettingsError(f"{path}: {field}: {reason}") from None
+        raise SettingsError.of(path, field, reason) from None
 
 
 def load(path: str) -> Settings:
-    """Read and check the platform's file."""
-    try:
-        with open(path, "rb") as file:
-            raw = tomllib.load(file)
-    except OSError as error:
-        raise SettingsError(f"{path}: file: {error.strerror}") from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise SettingsError(f"{path}: syntax: {error}") from None
+    """Read and check the platform's file. Raises SettingsError."""
+    raw = _parse_file(path, tomllib.load, (tomllib.TOMLDecodeError, UnicodeDecodeError))
     return check(_convert(raw, Settings, path), path)
 
 
 def load_hcl(path: str, kind: type[_K]) -> _K:
-    """Read one of the operators' HCL files; the parser is imported only then, since start-up time is charged."""
+    """Read one of the operators' HCL files. Raises SettingsError.
+
+    The parser is imported only then, since start-up time is charged."""
     import hcl2  # noqa: PLC0415
 
-    try:
-        with open(path, encoding="utf-8") as file:
-            raw = hcl2.load(file)
-    except OSError as error:
-        raise SettingsError(f"{path}: file: {error.strerror}") from None
-    except Exception as error:  # the parser's own errors share no base class
-        first = str(error).strip().splitlines()
-        raise SettingsError(f"{path}: syntax: {first[0] if first else type(error).__name__}") from None
-    found: _K = _convert({k: v for k, v in raw.items() if not k.startswith("__")}, kind, path)
-    return found
+    def parse(file: BinaryIO) -> Any:
+        return hcl2.load(io.TextIOWrapper(file, encoding="utf-8"))
+
+    raw = _parse_file(path, parse, (Exception,))  # the parser's own errors share no base class
+    return _convert({name: value for name, value in raw.items() if not name.startswith("__")}, kind, path)
 
 
 def load_operator(path: str | None) -> OperatorOverrides:
-    """Read the operators' own settings; without a file, nothing is overridden."""
+    """Read the operators' own settings; without a file, nothing is overridden. Raises SettingsError."""
     if not path:
         return OperatorOverrides()
     operator = load_hcl(path, OperatorOverrides)
     for field in ("lease_s", "stall_limit_s", "self_release_s", "sample", "tick_s"):
-        _positive(path, field, getattr(operator, field), zero=True)
+        _check_number(path, field, getattr(operator, field), may_be_zero=True)
     return operator
--- a/sorrelsill/test_settings.py
+++ b/sorrelsill/test_settings.py
@@ -47,10 +47,10 @@
 
 def test_a_good_file_loads_and_timings_fit_the_workers_lease(tmp_path: Path) -> None:
     settings = load(_file(tmp_path, GOOD))
-    assert settings.facts.objectives[0].job_class == "live"
-    timings = Timings.derive(settings.facts.workers, load_operator(None))
-    assert timings.renewal_interval_s < timings.validity_s < timings.lease_s < settings.facts.workers.lease_s / 2
-    assert timings.loss_s > settings.facts.workers.lease_s
+    assert settings.platform.objectives[0].job_class == "live"
+    timings = Timings.derive(settings.platform.workers, load_operator(None))
+    assert timings.renewal_interval_s < timings.validity_s < timings.lease_s < settings.platform.workers.lease_s / 2
+    assert timings.loss_s > settings.platform.workers.lease_s
 
 
 @pytest.mark.parametrize(
@@ -107,10 +107,10 @@
 def test_limits_to_come_are_read_and_checked(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
     path.write_text(GOOD)
-    state = load(str(path)).facts.state
+    state = load(str(path)).platform.state
     assert state.next is None and state.coming.txn_ops == state.txn_ops
     path.write_text(GOOD + "[facts.state.next]\nvalue_kb = 0.5\ntxn_ops = 5\nnew_field = 1\n")
-    coming = load(str(path)).facts.state.coming
+    coming = load(str(path)).platform.state.coming
     assert (coming.value_kb, coming.txn_ops, coming.write_rps) == (0.5, 5, state.write_rps)
     for bad in ("txn_ops = 1", "value_kb = -1.0", 'write_rps = "many"'):
         path.write_text(GOOD + f"[facts.state.next]\n{bad}\n")
