--- a/sorrelsill/controller/__init__.py
+++ b/sorrelsill/controller/__init__.py
@@ -1,4 +1,4 @@
-"""A controller: the slices put together, its routes, and its loops."""
+"""A controller: its parts put together, its routes, and its loops."""
 
 from sorrelsill.controller.controller import Controller
 
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -1,4 +1,5 @@
-"""Jobs out of the followed records: into a new leader's cluster state, and into that of the term as they change."""
+"""Jobs out of the records in the watch cache: into a new leader's cluster state, and into that of the term as they
+change."""
 
 from __future__ import annotations
 
@@ -49,7 +50,7 @@
         cluster.failover.set_all_ended_known(readable and recently_ended.complete)
 
     def record_changed(self, cluster: ClusterState, job_id: str, value: Any, rev: int) -> bool:
-        """A job's record was written or removed. True if placing has to look at it."""
+        """A job's record was written or removed. True if the scheduler has to look at it."""
         job = cluster.jobs.get(job_id)
         if value is None:
             if job is not None:
@@ -89,9 +90,9 @@
             log.error("record of %s: %s", job_id, error)
             return False
         now = trio.current_time()
-        age = max(0.0, self._time_of_day() - accepted)
-        job = cluster.add_job(spec, done, rev, rev <= cluster.term, now - age, why, accepted)
-        # What the record says already need not be written again: after a takeover that would be one write a job.
+        age_s = max(0.0, self._time_of_day() - accepted)
+        job = cluster.add_job(spec, done, rev, rev <= cluster.term, now - age_s, why, accepted)
+        # What the record says already need not be written again: after a failover that would be one write a job.
         running = value.get("r")
         job.recorded_running = running if isinstance(running, int) else 0
         job.chunked |= bool(self._watch_cache.chunk_keys(job_id))
--- a/sorrelsill/membership/detector.py
+++ b/sorrelsill/membership/detector.py
@@ -6,8 +6,8 @@
 
 Silence beyond what past heartbeats explain makes a controller suspected. It is confirmed to be gone only if, besides,
 it was suspected for some time, a whole round of probes since then found nothing, directly and through every other
-controller that answers, and its lease in the state service has ended in a view that is fresh. So an outage of the state
-service, a cut between two controllers, or a refused connection confirms nobody."""
+controller that answers, and its lease in the state service has ended in a watch cache that is fresh. So an outage
+of the state service, a cut between two controllers, or a refused connection confirms nobody."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Presence:
-    """What our followed copy of the state service says of a controller's lease."""
+    """What the watch cache says of a controller's lease."""
 
     held: bool  # its key is there
-    fresh: bool  # and the copy is recent, so that a missing key means an ended lease
+    fresh: bool  # and the watch cache is recent, so that a missing key means an ended lease
 
 
 class Detector:
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -62,7 +62,7 @@
         self._tracker = HandoverTracker(label)
         self._traces = HandoverTraces(label)
         self._probing: set[str] = set()  # one round at a time for each
-        self._complained_at = float("-inf")
+        self._refusal_logged_at = float("-inf")
 
     @property
     def view(self) -> MembershipView:
@@ -136,21 +136,21 @@
         self._take(message)
         return self._reply(self._own_heartbeat())
 
-    async def _answer_probe(self, asked: ProbeRequest) -> Reply:
-        if not self._knows(asked.cluster, asked.sender) or asked.target not in self._clients:
-            return self._refuse(f"probe of {asked.target!r} for {asked.sender!r}, which are not both members")
-        return self._reply(ProbeAnswer(await self._exchange(asked.target)))
+    async def _answer_probe(self, request: ProbeRequest) -> Reply:
+        if not self._knows(request.cluster, request.sender) or request.target not in self._clients:
+            return self._refuse(f"probe of {request.target!r} for {request.sender!r}, which are not both members")
+        return self._reply(ProbeAnswer(await self._exchange(request.target)))
 
     def _knows(self, cluster: str, sender: str) -> bool:
         return cluster == self._cluster and sender in self._clients
 
-    def _refuse(self, why: str) -> Reply:
+    def _refuse(self, reason: str) -> Reply:
         """Bad input is counted, and named in the log at a bounded rate."""
         self._count("membership_refused")
         now = trio.current_time()
-        if now - self._complained_at >= constants.COMPLAIN_EVERY_S:
-            self._complained_at = now
-            log.warning("membership message refused: %.200s", why)
+        if now - self._refusal_logged_at >= constants.COMPLAIN_EVERY_S:
+            self._refusal_logged_at = now
+            log.warning("membership message refused: %.200s", reason)
         return Reply(400, b"{}", kind="application/json")
 
     @staticmethod
@@ -198,10 +198,10 @@
 
     async def _probe_through(self, helper: str, target: str) -> bool:
         """Whether the target answers another controller."""
-        asked = ProbeRequest(self._cluster, self._label, target)
+        probe = ProbeRequest(self._cluster, self._label, target)
         try:
             status, raw = await self._clients[helper].request(
-                "POST", _PROBE, encode(asked), 2 * self._settings.probe_timeout_s
+                "POST", _PROBE, encode(probe), 2 * self._settings.probe_timeout_s
             )
             answer = parse(raw, ProbeAnswer) if status == 200 else ProbeAnswer()
         except (NotSentError, NoAnswerError, MalformedMessageError) as error:
@@ -245,9 +245,9 @@
     def _judge(self, now: float) -> None:
         presences = {label: self._presence.of(label, now) for label in self._clients}
         for peer in self._detector.judge(presences, now, self._clock.awake(now)):
-            self._tell(peer)
+            self._record_judgement(peer)
 
-    def _tell(self, peer: Peer) -> None:
+    def _record_judgement(self, peer: Peer) -> None:
         self._count(f"membership_{peer.status.value}")
         log.info("%s is %s: %s", peer.label, peer.status.value, peer.evidence)
 
@@ -259,14 +259,14 @@
                 return
             found = False
 
-            async def ask(helper: str) -> None:
+            async def probe_through(helper: str) -> None:
                 nonlocal found
                 found |= await self._probe_through(helper, label)
 
             async with trio.open_nursery() as nursery:
                 for helper in self.view.alive():
                     if helper != label:
-                        nursery.start_soon(ask, helper)
+                        nursery.start_soon(probe_through, helper)
             if not found:
                 self._detector.round_failed(label, begun_at)
         finally:
--- a/sorrelsill/serve.py
+++ b/sorrelsill/serve.py
@@ -14,6 +14,7 @@
 
 from sorrelsill import constants
 from sorrelsill.controller import Controller
+from sorrelsill.events import log_event
 from sorrelsill.http import Server
 from sorrelsill.membership import MembershipSettings, load_membership
 from sorrelsill.settings import OperatorOverrides, Settings, SettingsError, load, load_operator, split_addr
@@ -21,6 +22,7 @@
 
 log = logging.getLogger("sorrelsill")
 
+_LEAST_USER_CONNECTIONS = 8
 _LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
@@ -29,7 +31,7 @@
 
 
 async def _listen(addr: str, backlog: int) -> trio.SocketListener:
-    """A listening socket on a numeric address, without any look-up. After a takeover all workers come at once."""
+    """A listening socket on a numeric address, without any look-up. After a failover all workers come at once."""
     sock = trio.socket.socket()
     sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
     await sock.bind(split_addr(addr))
@@ -39,37 +41,41 @@
 
 async def run(settings: Settings, operator: OperatorOverrides, membership: MembershipSettings | None = None) -> None:
     """Listen and serve until cancelled."""
-    node = Controller(settings, operator, random.Random(), membership=membership)
+    controller = Controller(settings, operator, random.Random(), membership=membership)
     sockets = settings.platform.quota.sockets
-    peers = constants.PEER_SOCKETS if settings.members else 0
-    pushes = CallLimits.derive(sockets).connections
-    most = max(8, sockets - constants.SOCKET_RESERVE - peers - pushes)
+    peer_connections = constants.PEER_SOCKETS if settings.members else 0
+    command_connections = CallLimits.derive(sockets).connections
+    user_connections = max(
+        _LEAST_USER_CONNECTIONS, sockets - constants.SOCKET_RESERVE - peer_connections - command_connections
+    )
     # A worker that is silent for a whole lease begins a new incarnation, so its connection is good for nothing after
     # that.
-    users = Server(node.handle, most, "users", node.timings.loss_s)
+    users = Server(controller.handle, user_connections, "users", controller.timings.loss_s)
     try:
-        listeners = [(users, await _listen(settings.listen, most))]
+        listeners = [(users, await _listen(settings.listen, user_connections))]
         if settings.members:
-            listeners.append((Server(node.handle_peer, peers, "peers"), await _listen(settings.peer_listen, peers)))
+            peers = Server(controller.handle_peer, peer_connections, "peers")
+            listeners.append((peers, await _listen(settings.peer_listen, peer_connections)))
     except OSError as error:
         raise ListenError(f"listen: {error}") from None
-    log.info("%s serves on %s, lease %.1f s", settings.label, settings.listen, node.timings.lease_s)
+    lease_s = controller.timings.lease_s
+    log_event(log, logging.INFO, "serving", controller=settings.label, listen=settings.listen, lease_s=lease_s)
     async with trio.open_nursery() as nursery:
         for server, listener in listeners:
             nursery.start_soon(trio.serve_listeners, server.serve_stream, [listener])
         if membership is not None:
-            nursery.start_soon(_drain_on_signal, node, nursery.cancel_scope)
-        await node.run()
+            nursery.start_soon(_drain_on_signal, controller, nursery.cancel_scope)
+        await controller.run()
 
 
-async def _drain_on_signal(node: Controller, scope: trio.CancelScope) -> None:
+async def _drain_on_signal(controller: Controller, scope: trio.CancelScope) -> None:
     """SIGTERM and SIGINT stop the controller as planned; a second one ends it at once."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             break
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_second_signal, signals, scope)
-            await node.drain()
+            await controller.drain()
             nursery.cancel_scope.cancel()
     scope.cancel()
 
