--- a/sorrelsill/jobs/admission.py
+++ b/sorrelsill/jobs/admission.py
@@ -266,7 +266,7 @@
             return 200, known
         if self._store.failing_for() > constants.READY_STORE_S / 2:
             raise BusyError("the state service can't be reached")
-        if self._watch_cache.waiting() >= constants.POLL_QUEUE:
+        if self._watch_cache.barrier_waiters() >= constants.POLL_QUEUE:
             # Guards against storms of polls: what waits is bounded, and the rest is told at once to come back.
             raise BusyError("too many polls are waiting")
         asked_at = trio.current_time()
@@ -363,8 +363,8 @@
             return {"p": "cancelled", "n": count, "o": None}
         if done.size == count and not spec.is_service:
             # Every task is done and recorded; only the move to the final key is missing.
-            return final_record("done", spec, count, why, self._store.small_bytes)
-        return final_record("cancelled", spec, count, [*why, "cancelled by its user"], self._store.small_bytes)
+            return final_record("done", spec, count, why, self._store.reduced_value_bytes)
+        return final_record("cancelled", spec, count, [*why, "cancelled by its user"], self._store.reduced_value_bytes)
 
     async def _cancel(self, job_id: str) -> Answer:
         while True:
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -131,7 +131,7 @@
         return True
 
     def _refused(self, batch: _Batch, why: RefusedError, now: float) -> None:
-        if why.narrowed:
+        if why.limits_reduced:
             return  # what is longer than the limits that hold now is written otherwise the next time
         if len(batch.units) > 1:
             self._alone = len(batch.units)
@@ -247,7 +247,7 @@
             parts_gone = [Delete(key) for key in self._watch_cache.chunk_keys(job_id)][: max(0, batch.ops - 3)]
             if not batch.room(1, 2 + len(parts_gone), 500):
                 return False
-            record = final_record("done", spec, spec.task_count, job.why, store.small_bytes)
+            record = final_record("done", spec, spec.task_count, job.why, store.reduced_value_bytes)
             batch.compares.append(Compare(job_key(job_id), job.rev))
             batch.writes += [Delete(job_key(job_id)), Put(final_key(job_id), record), *parts_gone]
             batch.size += json_size(record) + 300
@@ -276,7 +276,7 @@
             size <= store.value_bytes
         )  # else it was accepted under a larger limit: it stays as it stands till its end
         if fits:
-            value = with_notes(value, job.why, max(size, store.small_bytes))
+            value = with_notes(value, job.why, max(size, store.reduced_value_bytes))
             size = json_size(value) + 300
         puts, numbers = self._parts(job, max(1, batch.ops - 1)) if job.chunked else ([], set(job.unrecorded_parts))
         size += sum(json_size(p.value) + 200 for p in puts)
--- a/sorrelsill/store/__init__.py
+++ b/sorrelsill/store/__init__.py
@@ -1,4 +1,4 @@
-"""Dealings with the state service: a client under a rate budget, and a followed view of our keys."""
+"""The key-value store: a client under a rate budget, the names of our keys, and the watch cache that follows them."""
 
 from sorrelsill.store.client import (
     AmbiguousError,
@@ -7,21 +7,24 @@
     KeyValueStore,
     Put,
     RefusedError,
+    StoreError,
     TransactionResult,
     UnavailableError,
+    VersionedValue,
+    WatchResult,
 )
-from sorrelsill.store.watch_cache import (
+from sorrelsill.store.ended_jobs import EndedRecords
+from sorrelsill.store.keys import (
     CATALOG,
     JOB_PREFIX,
     LEADER,
-    EndedRecords,
-    WatchCache,
     chunk_key,
     final_key,
     job_key,
     registry_key,
     small_chunk_key,
 )
+from sorrelsill.store.watch_cache import WatchCache
 
 __all__ = [
     "AmbiguousError",
@@ -34,9 +37,12 @@
     "RefusedError",
     "Delete",
     "KeyValueStore",
+    "StoreError",
     "TransactionResult",
     "UnavailableError",
+    "VersionedValue",
     "WatchCache",
+    "WatchResult",
     "chunk_key",
     "final_key",
     "job_key",
--- a/sorrelsill/store/client.py
+++ b/sorrelsill/store/client.py
@@ -1,16 +1,18 @@
-"""The state service's client. Every answer is one of: a result, Unavailable (certainly not carried out)
-or Ambiguous (may have been carried out, or may yet be). Callers must treat these differently."""
+"""The client of the key-value store, which the platform calls the state service. Every call gives a result, or raises
+UnavailableError (certainly not carried out) or AmbiguousError (may have been carried out, or may yet be). Callers must
+treat these differently."""
 
 from __future__ import annotations
 
 import logging
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 import trio
 
 from sorrelsill import constants
+from sorrelsill.events import log_event
 from sorrelsill.http import Client, NoAnswerError, NotSentError
 from sorrelsill.settings import StateLimits
 from sorrelsill.token_bucket import TokenBucket
@@ -21,7 +23,11 @@
 _decode = msgspec.msgpack.Decoder().decode
 
 
-class UnavailableError(Exception):
+class StoreError(Exception):
+    """A request to the store brought no result."""
+
+
+class UnavailableError(StoreError):
     """The request was certainly not carried out: refused, throttled or never sent."""
 
     def __init__(self, text: str, throttled: bool = False) -> None:
@@ -30,15 +36,15 @@
 
 
 class RefusedError(UnavailableError):
-    """The store will never carry it out as it is: a value or the whole is larger than it allows. `narrowed`: by this we
-    learnt of smaller limits."""
+    """The store will never carry it out as it is: a value or the whole is larger than it allows.
+    `limits_reduced`: by this we learnt of smaller limits."""
 
-    def __init__(self, text: str, narrowed: bool) -> None:
+    def __init__(self, text: str, limits_reduced: bool) -> None:
         super().__init__(text)
-        self.narrowed = narrowed
+        self.limits_reduced = limits_reduced
 
 
-class AmbiguousError(Exception):
+class AmbiguousError(StoreError):
     """No proper answer: the request may have been carried out, or may yet be, minutes later."""
 
 
@@ -90,6 +96,46 @@
     failed: list[str] = field(default_factory=list)
 
 
+class VersionedValue(NamedTuple):
+    """The value of a key, and the revision at which it was written."""
+
+    value: Any
+    rev: int
+
+
+class ScanResult(NamedTuple):
+    """All keys with a prefix, and the revision from which later changes have to be followed."""
+
+    entries: dict[str, VersionedValue]
+    rev: int
+
+
+class WatchResult(NamedTuple):
+    """What changed up to a revision; `decode_change` reads each change."""
+
+    rev: int
+    changes: list[dict[str, Any]]
+
+
+class KeyChange(NamedTuple):
+    """A key was written (`present`) or deleted."""
+
+    key: str
+    value: Any
+    rev: int
+    present: bool
+
+
+def decode_change(raw: dict[str, Any]) -> KeyChange | None:
+    """One change of a watch's answer, None if it is of a sort that we don't know. Raises KeyError or TypeError if it is
+    damaged."""
+    if "set" in raw:
+        return KeyChange(raw["set"], raw.get("value"), raw["keyRev"], True)
+    if "remove" in raw:
+        return KeyChange(raw["remove"], None, raw["keyRev"], False)
+    return None
+
+
 class KeyValueStore:
     """Requests under a budget. Pings (`urgent`) never wait for it; what they use is taken from the rest."""
 
@@ -97,9 +143,9 @@
         self._client = client
         rps = limits.rps * constants.STORE_SHARE / max(1, nodes)
         self.requests = TokenBucket(rps, max(2.0, rps / 2))
-        coming = limits.coming
+        reduced = limits.coming
         self._write_rate = limits.write_rps * constants.STORE_SHARE
-        self._coming_rate = coming.write_rps * constants.STORE_SHARE
+        self._reduced_write_rate = reduced.write_rps * constants.STORE_SHARE
         self._leading = False
         self._nodes = max(1, nodes)
         self.writes = TokenBucket(1.0, 1.0)
@@ -108,9 +154,9 @@
         self.failing_since: float | None = None
         # Smaller limits come without notice. What costs nothing keeps to them from the start; the longest values and
         # the rate only once the store has refused something.
-        self.txn_ops = coming.txn_ops
+        self.txn_ops = reduced.txn_ops
         self.value_bytes = int(limits.value_kb * 1024 * constants.VALUE_SHARE)  # in force, as far as is known
-        self.small_bytes = int(coming.value_kb * 1024 * constants.VALUE_SHARE)
+        self.reduced_value_bytes = int(reduced.value_kb * 1024 * constants.VALUE_SHARE)
         self.refused = 0
 
     def set_leading(self, leading: bool) -> None:
@@ -144,10 +190,10 @@
             )
             answer = _decode(raw) if raw else {}
         except NotSentError as error:
-            self._failed(sent_at)
+            self._note_failure(sent_at)
             raise UnavailableError(str(error)) from None
         except (NoAnswerError, msgspec.DecodeError) as error:
-            self._failed(sent_at)
+            self._note_failure(sent_at)
             raise AmbiguousError(str(error)) from None
         if status == 429:
             # Throttled is not down: the store is there, others use the rate too.
@@ -155,16 +201,16 @@
             self.requests.drain()
             raise UnavailableError("throttled", throttled=True)
         if status == 503:
-            self._failed(sent_at)
+            self._note_failure(sent_at)
             raise UnavailableError("the store answers 503")
         if status >= 500 or status in (408, 413) or not isinstance(answer, dict):
-            self._failed(sent_at)
+            self._note_failure(sent_at)
             raise AmbiguousError(f"the store answers {status}")
         self.last_ok = max(self.last_ok, sent_at)
         self.failing_since = None
         return status, answer
 
-    def _failed(self, at: float) -> None:
+    def _note_failure(self, at: float) -> None:
         if self.failing_since is None:
             self.failing_since = at
 
@@ -174,18 +220,18 @@
             return 0.0
         return trio.current_time() - max(self.failing_since, self.last_ok)
 
-    async def get(self, key: str) -> tuple[Any, int] | None:
-        """Value and revision, or None if the key does not exist."""
+    async def get(self, key: str) -> VersionedValue | None:
+        """None if the key does not exist."""
         status, answer = await self._call("GET", f"/kv/{key}")
         if status == 200:
-            return answer.get("value"), _rev(answer, "keyRev")
+            return VersionedValue(answer.get("value"), _int_field(answer, "keyRev"))
         if status == 404:
             return None
         raise AmbiguousError(f"the store answers {status} to a read")
 
-    async def scan(self, prefix: str) -> tuple[dict[str, tuple[Any, int]], int]:
+    async def scan(self, prefix: str) -> ScanResult:
         """All keys with a prefix, and the revision of the first page: later changes have to be followed."""
-        found: dict[str, tuple[Any, int]] = {}
+        found: dict[str, VersionedValue] = {}
         last = ""
         first_rev: int | None = None
         while True:
@@ -194,17 +240,18 @@
             if status != 200 or not isinstance(answer.get("pairs"), list):
                 raise AmbiguousError(f"the store answers {status} to a list")
             if first_rev is None:
-                first_rev = _rev(answer, "storeRev")
+                first_rev = _int_field(answer, "storeRev")
             for pair in answer["pairs"]:
                 last = pair["k"]
-                found[last] = (pair.get("value"), _rev(pair, "keyRev"))
+                found[last] = VersionedValue(pair.get("value"), _int_field(pair, "keyRev"))
             if not answer.get("hasNext") or not answer["pairs"]:
-                return found, first_rev
+                return ScanResult(found, first_rev)
 
     async def commit(
         self, compares: list[Compare], writes: list[Put | Delete], urgent: bool = False
     ) -> TransactionResult:
-        """One atomic transaction."""
+        """One compare-and-swap transaction: all writes are carried out, or none. Raises RefusedError, UnavailableError
+        or AmbiguousError."""
         if urgent:
             self.writes.take(len(writes))
         elif writes:
@@ -215,24 +262,32 @@
         except UnavailableError as error:
             if error.throttled:
                 self.writes.drain()
-                if writes and self._coming_rate < self._write_rate:
-                    log.info("the store refuses writes for their rate: keeping to the lower one")
-                    self._write_rate = self._coming_rate
+                if writes and self._reduced_write_rate < self._write_rate:
+                    log_event(log, logging.INFO, "store_write_rate_reduced", writes_per_s=self._reduced_write_rate)
+                    self._write_rate = self._reduced_write_rate
                     self.set_leading(self._leading)
             raise
         if status == 200:
-            return TransactionResult(True, _rev(answer, "storeRev"))
+            return TransactionResult(True, _int_field(answer, "storeRev"))
         if status == 409:
-            return TransactionResult(False, _rev(answer, "storeRev"), [str(k) for k in answer.get("failed") or []])
+            return TransactionResult(
+                False, _int_field(answer, "storeRev"), [str(k) for k in answer.get("failed") or []]
+            )
         # 400: malformed, too large or, for a put with a lease, that lease has ended. Either way nothing was done.
         text = f"the store answers {status}: {answer.get('error')}"
         if status == 400 and not any(isinstance(w, Put) and w.lease is not None for w in writes):
             self.refused += 1
-            narrowed = self.small_bytes < self.value_bytes
-            if narrowed:
-                log.info("the store refuses a transaction (%s): keeping to the smaller values", answer.get("error"))
-                self.value_bytes = self.small_bytes
-            raise RefusedError(text, narrowed)
+            limits_reduced = self.reduced_value_bytes < self.value_bytes
+            if limits_reduced:
+                log_event(
+                    log,
+                    logging.INFO,
+                    "store_value_limit_reduced",
+                    value_bytes=self.reduced_value_bytes,
+                    error=answer.get("error"),
+                )
+                self.value_bytes = self.reduced_value_bytes
+            raise RefusedError(text, limits_reduced)
         raise UnavailableError(text)
 
     async def grant(self, ttl_s: float, timeout: float) -> int:
@@ -240,7 +295,7 @@
         status, answer = await self._call("POST", "/grants", {"ttlMs": int(ttl_s * 1000)}, timeout=timeout, urgent=True)
         if status != 200:
             raise UnavailableError(f"the store answers {status} to a grant")
-        return _rev(answer, "tenancy")
+        return _int_field(answer, "tenancy")
 
     async def renew(self, lease: int, timeout: float) -> bool:
         """True if the lease goes on, False if it has ended."""
@@ -253,9 +308,7 @@
         """End a lease at once."""
         await self._call("DELETE", f"/grants/{lease}", timeout=timeout, urgent=True)
 
-    async def watch(
-        self, prefix: str, since: int, hold_s: float, timeout: float
-    ) -> tuple[int, list[dict[str, Any]]] | None:
+    async def watch(self, prefix: str, since: int, hold_s: float, timeout: float) -> WatchResult | None:
         """Changes after a revision, or None if that revision is too old to follow from."""
         hold = f"&holdMs={int(hold_s * 1000)}"
         status, answer = await self._call("GET", f"/follow?starts={prefix}&from={since}{hold}", timeout=timeout)
@@ -263,10 +316,10 @@
             return None
         if status != 200 or not isinstance(answer.get("news"), list):
             raise AmbiguousError(f"the store answers {status} to a watch")
-        return _rev(answer, "storeRev"), answer["news"]
+        return WatchResult(_int_field(answer, "storeRev"), answer["news"])
 
 
-def _rev(answer: dict[str, Any], name: str) -> int:
+def _int_field(answer: dict[str, Any], name: str) -> int:
     value = answer.get(name)
     if not isinstance(value, int) or isinstance(value, bool):
         raise AmbiguousError(f"the store's answer lacks {name}")
--- a/sorrelsill/store/test_watch_cache.py
+++ b/sorrelsill/store/test_watch_cache.py
@@ -1,4 +1,4 @@
-"""The followed view: what comes late or out of order."""
+"""The watch cache: what comes late or out of order."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 import trio.testing
 
 from sorrelsill.settings import StateLimits
-from sorrelsill.store import EndedRecords, KeyValueStore, WatchCache, job_key
+from sorrelsill.store import EndedRecords, KeyValueStore, WatchCache, WatchResult, job_key
 from tests.simulation import FakeNet, FakeStore
 
 
@@ -54,12 +54,11 @@
 
     async def tell(watch_cache: WatchCache, fake: FakeStore) -> None:
         await trio.sleep(1)
-        since = watch_cache.rev
         write(fake, job_key("run-1"), {"n": 1})
-        older = (fake.rev, [{"set": job_key("run-1"), "value": {"n": 1}, "keyRev": fake.rev}])
+        older = WatchResult(fake.rev, [{"set": job_key("run-1"), "value": {"n": 1}, "keyRev": fake.rev}])
         write(fake, job_key("run-1"), None)
         assert await watch_cache.read_barrier()
-        watch_cache._take(since, older, trio.current_time())
+        watch_cache._apply_watch(older, trio.current_time())
         assert watch_cache.job("run-1") is None
 
     _follow(tell)
@@ -95,7 +94,7 @@
         await trio.sleep(31)
         watch_cache.apply_change(job_key("run-x"), {"n": 0}, 30_000, True)
         watch_cache.apply_change(job_key("run-x"), None, 30_001, False)
-        assert list(watch_cache.ended) == ["run-x"], "what is older takes no memory"
+        assert watch_cache.ended_jobs.job_ids() == ["run-x"], "what is older takes no memory"
         assert not watch_cache.recently_ended(31).complete, "nothing is said about more than is remembered"
 
     _follow(tell)
@@ -108,14 +107,13 @@
     async def tell(watch_cache: WatchCache, fake: FakeStore) -> None:
         key, heard = job_key("run-1"), []
         await trio.sleep(1)
-        since = watch_cache.rev
         accepted = write(fake, key, {"n": 1})
-        older = (accepted, [{"set": key, "value": {"n": 1}, "keyRev": accepted}])
+        older = WatchResult(accepted, [{"set": key, "value": {"n": 1}, "keyRev": accepted}])
         watch_cache.listeners.append(lambda k, value, rev: heard.append((k, value)))
         watch_cache.apply_change(key, None, accepted + 1, False)
-        watch_cache._take(since, older, trio.current_time())
+        watch_cache._apply_watch(older, trio.current_time())
         assert watch_cache.job("run-1") is None and (key, {"n": 1}) not in heard
-        assert [job_id for job_id in watch_cache.ended] == ["run-1"]
+        assert watch_cache.ended_jobs.job_ids() == ["run-1"]
         write(fake, key, None)
         assert await watch_cache.read_barrier() and watch_cache.job("run-1") is None and not watch_cache._removed
 
