--- a/sorrelsill/controller/operator_state.py
+++ b/sorrelsill/controller/operator_state.py
@@ -29,7 +29,7 @@
         "groups": len(cluster.gangs) if cluster else None,
         "groups_waiting": sum(1 for j in cluster.gangs.values() if not j.running()) if cluster else None,
         "refused": controller.store.refused,
-        "set_aside": controller.leading.record_writer.set_aside if controller.leading else 0,
+        "set_aside": controller.leading.record_writer.quarantined if controller.leading else 0,
         "starts_refused": cluster.starts_refused if cluster else None,
         "teams": team_state(cluster, controller.settings.facts.teams) if cluster else None,
         "counts": controller.counts,
--- a/sorrelsill/jobs/machine_registry.py
+++ b/sorrelsill/jobs/machine_registry.py
@@ -1,9 +1,9 @@
-"""The roster of machines that may hold work, many to a key: which key to write next. Pure.
+"""The registry of machines that may hold work, many to a key: which key to write next. Pure.
 
-A part that is full goes on in further keys (`View.roster_parts`). The version before this one takes every map under the
-prefix for entries, so it waits for those machines too; it removes entries from the first key only, and what it leaves
-behind costs the next leader a wait, until a leader of this version removes it wherever it stands. A machine may
-stand in two keys at any time: removing it means all of them, finding it means any."""
+A part that is full goes on in further keys (`WatchCache.registry_parts`). The version before this one takes every map
+under the prefix for entries, so it waits for those machines too; it removes entries from the first key only, and what
+it leaves behind costs the next leader a wait, until a leader of this version removes it wherever it stands.
+A machine may stand in two keys at any time: removing it means all of them, finding it means any."""
 
 from __future__ import annotations
 
--- /dev/null
+++ b/sorrelsill/jobs/progress_chunks.py
@@ -0,0 +1,49 @@
+"""Progress chunks: the finished tasks of a very large job, kept in keys beside its record."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from sorrelsill import constants
+from sorrelsill.jobs.records import chunk_value, json_size
+from sorrelsill.store import Put, chunk_key, small_chunk_key
+from sorrelsill.workers import Job
+
+_SMALL_CHUNKS_PER_CHUNK = constants.CHUNK_SHARDS // constants.PART_SHARDS
+
+
+@dataclass(slots=True)
+class ChunkWrites:
+    """Chunks to put, and the numbers of the small chunks that they cover."""
+
+    puts: list[Put] = field(default_factory=list)
+    covered: set[int] = field(default_factory=set)
+
+
+def chunk_writes(job: Job, max_writes: int, value_bytes: int) -> ChunkWrites:
+    """At most `max_writes` chunks with finished tasks that are not recorded yet: in keys that the version before this
+    one reads as well, as long as the store takes values of that length."""
+    job_id, done = job.spec.job_id, job.done
+    result = ChunkWrites()
+    for number in sorted(job.unrecorded_parts):
+        if number in result.covered:
+            continue
+        if len(result.puts) == max_writes:
+            break
+        chunk = number // _SMALL_CHUNKS_PER_CHUNK
+        text = chunk_value(done, chunk)
+        if json_size(text) <= value_bytes:
+            result.puts.append(Put(chunk_key(job_id, chunk), text))
+            first = chunk * _SMALL_CHUNKS_PER_CHUNK
+            result.covered.update(job.unrecorded_parts & set(range(first, first + _SMALL_CHUNKS_PER_CHUNK)))
+        else:
+            text = chunk_value(done, number, constants.PART_SHARDS)
+            result.puts.append(Put(small_chunk_key(job_id, number), text))
+            result.covered.add(number)
+    return result
+
+
+def small_chunks_with_finished_tasks(job: Job) -> list[int]:
+    """The numbers of the small chunks of which any task is done."""
+    count = -(-job.spec.task_count // constants.PART_SHARDS)
+    return [number for number in range(count) if chunk_value(job.done, number, constants.PART_SHARDS)]
--- /dev/null
+++ b/sorrelsill/jobs/registry_writes.py
@@ -0,0 +1,111 @@
+"""Adds changes of the machine registry to a write batch: machines that may hold work, many to a key.
+
+Each write carries the revision of what it replaces: found by reading, a removal that was carried out late or twice
+could undo a later entry of the same term, and the next leader would not have waited for that machine."""
+
+from __future__ import annotations
+
+import logging
+from dataclasses import dataclass, field
+from functools import partial
+
+from sorrelsill.events import log_event
+from sorrelsill.jobs.machine_registry import RegistryWrite, next_registry_write
+from sorrelsill.jobs.records import json_size
+from sorrelsill.jobs.write_batch import WriteBatch
+from sorrelsill.jobs.write_quarantine import WriteQuarantine
+from sorrelsill.model import RegistryEntry
+from sorrelsill.store import Compare, KeyValueStore, Put, WatchCache, registry_key
+from sorrelsill.workers import ClusterState, Machine
+
+log = logging.getLogger(__name__)
+
+_FRAME_BYTES = 50  # of a transaction, for one key of the registry
+
+
+@dataclass(slots=True)
+class _DuePart:
+    """A part of the registry (a first key and those it goes on in) that has to change."""
+
+    one_machine: str  # any machine of the part
+    to_register: dict[str, Machine] = field(default_factory=dict)
+
+
+def _entry(machine: Machine) -> RegistryEntry:
+    return RegistryEntry(machine.machine_type, machine.addr, machine.zone, machine.spot)
+
+
+class RegistryWrites:
+    """Knows which machines have to be registered and deregistered."""
+
+    def __init__(
+        self, store: KeyValueStore, watch_cache: WatchCache, cluster: ClusterState, quarantine: WriteQuarantine
+    ) -> None:
+        self._store = store
+        self._watch_cache = watch_cache
+        self._cluster = cluster
+        self._quarantine = quarantine
+
+    def add_to(self, batch: WriteBatch) -> None:
+        """Add one write for each part that has to change, as far as there is room."""
+        for base, part in sorted(self._due_parts().items()):
+            self._add_part(batch, base, part)
+
+    def _due_parts(self) -> dict[str, _DuePart]:
+        """By first key. What needs no write any more is taken off what is due."""
+        pending = self._cluster.pending_writes
+        due: dict[str, _DuePart] = {}
+        for name in list(pending.deregistrations):
+            machine = self._cluster.machines.get(name)
+            if machine is not None and machine.token_acknowledged or not self._is_stored(name):
+                pending.deregistrations.discard(name)
+            else:
+                due[registry_key(name)] = _DuePart(name)
+        for name, machine in list(pending.registrations.items()):
+            if not machine.token_acknowledged or machine.registered or machine.returning:
+                del pending.registrations[name]
+            else:
+                due.setdefault(registry_key(name), _DuePart(name)).to_register[name] = machine
+        return due
+
+    def _is_stored(self, name: str) -> bool:
+        return any(name in value for value, _ in self._watch_cache.registry_parts(name).values())
+
+    def _add_part(self, batch: WriteBatch, base: str, part: _DuePart) -> None:
+        stored = self._watch_cache.registry_parts(part.one_machine)
+        # Further keys only once the store refuses longer values: a leader of the former version that finds a
+        # machine in two of them never takes it for heard.
+        write = next_registry_write(
+            base,
+            {key: value for key, (value, _) in stored.items()},
+            {name: _entry(machine).to_stored() for name, machine in part.to_register.items()},
+            self._cluster.pending_writes.deregistrations,
+            self._store.value_bytes,
+        )
+        if write is None:
+            # Without an entry a machine gets no work: that must not go unseen.
+            log_event(log, logging.ERROR, "registry_entries_too_long", key=base, machines=len(part.to_register))
+            return
+        size = json_size(write.value) + len(write.key) + _FRAME_BYTES
+        if not self._quarantine.admits(batch, write.key) or not batch.has_room(max(1, len(stored)), 1, size):
+            return
+        # Of all keys, since what is left out of one may rest on standing in another.
+        compares = [Compare(key, rev) for key, (_, rev) in stored.items()]
+        if write.key not in stored:
+            compares.append(Compare(write.key, 0))
+        added = [(part.to_register[n], part.to_register[n].incarnation) for n in write.added if n in part.to_register]
+        on_commit = partial(self._committed, write, added)
+        batch.add(write.key, compares, [Put(write.key, write.value)], size, on_commit)
+
+    def _committed(self, write: RegistryWrite, added: list[tuple[Machine, int]], rev: int) -> None:
+        """The added machines may be given work, unless they changed meanwhile. Machines that are gone stay due until
+        they stand in no key any more."""
+        cluster = self._cluster
+        self._watch_cache.apply_change(write.key, write.value, rev, True)
+        for machine, incarnation in added:
+            cluster.pending_writes.registrations.pop(machine.name, None)
+            if machine.token_acknowledged and machine.incarnation == incarnation:
+                machine.registered = True
+                cluster.wake_scheduler = True
+            elif machine.token_acknowledged:
+                cluster.pending_writes.registrations[machine.name] = machine
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -164,7 +164,7 @@
         if self.leader.now % constants.WRITER_TICK_S < STEP_S:
             due, cluster.pending_writes.records = cluster.pending_writes.records, set(cluster.jobs)
             with self.parts["records"]:
-                self._record_writer._due()
+                self._record_writer.due_records()
             cluster.pending_writes.records = due
         for job_id in list(cluster.pending_writes.records):
             job = cluster.jobs.get(job_id)
