--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -204,7 +204,7 @@
         if self.cluster is not None:
             self.cluster.end_job(job_id)  # its record may be followed later than its final state
         if is_cancelled(value):
-            self.cancellations.learn(job_id, trio.current_time())
+            self.cancellations.add(job_id, trio.current_time())
 
     def _on_cancelled(self, job_ids: list[str]) -> None:
         """A peer told us: they are over, as committed, though our view doesn't show it yet."""
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -65,7 +65,7 @@
 
     def _over(self, job_id: str) -> bool:
         """Whether the job is known to be over, whatever an older record says."""
-        return self._watch_cache.final(job_id) is not None or self._cancellations.known(job_id)
+        return self._watch_cache.final(job_id) is not None or self._cancellations.is_cancelled(job_id)
 
     def _add_ended(self, cluster: ClusterState, job_id: str, value: Any) -> bool:
         """A job that is over, with its last live record. False if that is damaged."""
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -101,7 +101,7 @@
 
     def _may_renew(self, now: float) -> bool:
         """The one rule for every answer that renews a worker's lease (`jobs/cancellations.py`)."""
-        self._cancellations.followed(self._watch_cache.followed_since, self._watch_cache.fresh_at)
+        self._cancellations.observe_watch_cache(self._watch_cache.followed_since, self._watch_cache.fresh_at)
         return self._cancellations.may_renew(now)
 
     def _stop_commands(self, heartbeat: WorkerHeartbeat, now: float) -> list[Command]:
@@ -112,7 +112,7 @@
         out: list[Command] = []
         for item in heartbeat.tasks:
             job_id = item.task_id.rpartition("/")[0]
-            over = self._cancellations.known(job_id) or is_cancelled(self._watch_cache.final(job_id))
+            over = self._cancellations.is_cancelled(job_id) or is_cancelled(self._watch_cache.final(job_id))
             if item.phase != "exited" and (over or unknown and self._watch_cache.job(job_id) is None):
                 out.append(StopCommand(item.task_id, item.attempt_number, 0.0))
         return out
--- a/sorrelsill/controller/test_followed_jobs.py
+++ b/sorrelsill/controller/test_followed_jobs.py
@@ -55,7 +55,7 @@
     """By reading: it was left out as over, and was not among the jobs lately over yet."""
     for learn in (
         lambda fake, watch_cache, cancellations: watch_cache.remember_final("run-1", CANCELLED),
-        lambda fake, watch_cache, cancellations: cancellations.learn("run-1", trio.current_time()),
+        lambda fake, watch_cache, cancellations: cancellations.add("run-1", trio.current_time()),
     ):
         cluster = load(learn)
         assert "run-1" not in cluster.jobs
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -91,7 +91,7 @@
         promised = bool(asked.get("promise")) and failing and not self._elector.acquiring
         if promised:
             self._bind()
-        known = self._cancellations.tell(asked, trio.current_time())
+        known = self._cancellations.answer_peer(asked, trio.current_time())
         return orjson.dumps({"promised": promised, "failing": failing, "known": known})
 
     async def other_candidates(self, former: str) -> bool:
@@ -113,7 +113,7 @@
 
     async def _call(self, client: Client, promise: bool, timeout_s: float) -> dict[str, Any] | None:
         """Ask a peer, for a promise or only for what it knows; None if there is no proper answer."""
-        body = orjson.dumps({"promise": promise, **self._cancellations.ask(trio.current_time())})
+        body = orjson.dumps({"promise": promise, **self._cancellations.peer_request(trio.current_time())})
         try:
             status, raw = await client.request("POST", "/promise", body, timeout_s)
             answer = orjson.loads(raw) if status == 200 else None
@@ -140,7 +140,7 @@
         if answer is None:
             return
         # Before its promise counts: what is renewed on it rests on what the peer knows.
-        new = self._cancellations.take(number, answer.get("known"), sent_at, trio.current_time())
+        new = self._cancellations.merge_peer_answer(number, answer.get("known"), sent_at, trio.current_time())
         if new:
             log.info("a peer knows of %d cancellations that we did not", len(new))
             self._on_cancelled(new)
--- a/tests/scenarios/test_cancelled.py
+++ b/tests/scenarios/test_cancelled.py
@@ -273,14 +273,14 @@
         old = await two_services(simulation, "run-c")
         simulation.store.refused.add(old)
         for label in others(old):
-            tell_all = simulation.nodes[label].cancellations.tell
+            tell_all = simulation.nodes[label].cancellations.answer_peer
             damaged = [{"cancelled": None}, {"cancelled": [7], "back": 1e9}, {"cancelled": [], "back": "x"}, [], None]
 
             def lie(asked: dict[str, object], now: float, tell_all=tell_all, damaged=damaged) -> object:  # type: ignore[no-untyped-def]
                 tell_all(asked, now)
                 return damaged[int(now * 10) % len(damaged)]
 
-            simulation.nodes[label].cancellations.tell = lie  # type: ignore[method-assign, assignment]
+            simulation.nodes[label].cancellations.answer_peer = lie  # type: ignore[method-assign, assignment]
         await trio.sleep(0.2)
         await cancel_at(simulation, others(old)[0], "run-c")
         simulation.store.begin_outage()
