--- a/sorrelsill/controller/user_routes.py
+++ b/sorrelsill/controller/user_routes.py
@@ -5,7 +5,6 @@
 import logging
 import re
 from collections.abc import Awaitable, Callable
-from typing import Any
 from urllib.parse import parse_qs
 
 import msgspec
@@ -14,7 +13,7 @@
 from sorrelsill import constants
 from sorrelsill.events import log_event
 from sorrelsill.http import Reply, Request
-from sorrelsill.jobs import Admission, BusyError
+from sorrelsill.jobs import Admission, Answer, BusyError, ErrorAnswer
 from sorrelsill.store import WatchCache
 
 log = logging.getLogger(__name__)
@@ -24,8 +23,6 @@
 _JOB = re.compile(r"/v2/runs/([^/]+)(/cancel|/why)?\Z")
 _TEAM = re.compile(r"/v2/teams/([^/]+)/runs\Z")
 
-Answer = tuple[int, dict[str, Any]]
-
 
 class UserRoutes:
     """Each call is answered, or refused at once with the time to come back."""
@@ -53,7 +50,7 @@
         if action == "/cancel":
             return await self._only("POST", request, lambda: self._admission.cancel(job_id))
         if action == "/why":
-            return await self._only("GET", request, lambda: self._admission.why(job_id))
+            return await self._only("GET", request, lambda: self._admission.explain(job_id))
         return await self._only("GET", request, lambda: self._admission.poll(job_id))
 
     async def _only(self, method: str, request: Request, call: Callable[[], Awaitable[Answer]]) -> Reply:
@@ -75,7 +72,7 @@
                 method=method,
                 path=request.path,
                 status=status,
-                phase=answer.get("phase"),
+                phase=answer.phase,
                 view_revision=self._watch_cache.rev,
                 view_age_s=trio.current_time() - self._watch_cache.fresh_at,
             )
@@ -85,5 +82,5 @@
         try:
             body = _decode(request.body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, ValueError):
-            return 400, {"error": "body: not MessagePack"}
+            return Answer(400, ErrorAnswer("body: not MessagePack"))
         return await self._admission.submit(body)
--- a/sorrelsill/jobs/__init__.py
+++ b/sorrelsill/jobs/__init__.py
@@ -1,8 +1,9 @@
 """Jobs: what users submit, its checks, records, polls and cancellation."""
 
-from sorrelsill.jobs.admission import Admission, BusyError
+from sorrelsill.jobs.admission import Admission
 from sorrelsill.jobs.cancellations import Cancellations
-from sorrelsill.jobs.messages import InvalidJobError, parse_spec, valid_job_id
+from sorrelsill.jobs.errors import BusyError, InvalidJobError, JobError
+from sorrelsill.jobs.messages import parse_spec, valid_job_id
 from sorrelsill.jobs.record_writer import RecordWriter
 from sorrelsill.jobs.records import (
     chunk_value,
@@ -13,13 +14,19 @@
     parse_record,
     record_value,
 )
+from sorrelsill.jobs.user_answers import Answer, ErrorAnswer, JobAnswer, TeamJobsAnswer
 
 __all__ = [
     "Admission",
-    "InvalidJobError",
+    "Answer",
     "BusyError",
     "Cancellations",
+    "ErrorAnswer",
+    "InvalidJobError",
+    "JobAnswer",
+    "JobError",
     "RecordWriter",
+    "TeamJobsAnswer",
     "chunk_value",
     "final_record",
     "impossible",
--- a/sorrelsill/jobs/job_record_writes.py
+++ b/sorrelsill/jobs/job_record_writes.py
@@ -13,6 +13,7 @@
 from sorrelsill.jobs.records import final_record, json_size, record_value, with_notes
 from sorrelsill.jobs.write_batch import WriteBatch
 from sorrelsill.jobs.write_quarantine import WriteQuarantine
+from sorrelsill.model import JobPhase
 from sorrelsill.store import Compare, Delete, KeyValueStore, Put, WatchCache, final_key, job_key
 from sorrelsill.workers import Attempt, ClusterState, Job
 
@@ -64,7 +65,7 @@
         chunk_deletes = [Delete(key) for key in self._watch_cache.chunk_keys(job_id)][: max(0, batch.max_writes - 3)]
         if not batch.has_room(1, 2 + len(chunk_deletes), _FINAL_ROOM):
             return False
-        record = final_record("done", job.spec, job.spec.task_count, job.why, self._store.reduced_value_bytes)
+        record = final_record(JobPhase.DONE, job.spec, job.spec.task_count, job.why, self._store.reduced_value_bytes)
         batch.add(
             job_id,
             [Compare(job_key(job_id), job.rev)],
--- a/sorrelsill/jobs/messages.py
+++ b/sorrelsill/jobs/messages.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from sorrelsill import constants
+from sorrelsill.jobs.errors import InvalidJobError
 from sorrelsill.model import JobKind, JobSpec, Priority
 
 _KINDS = {"sweep": JobKind.ARRAY, "standing": JobKind.SERVICE, "group": JobKind.GANG}
@@ -21,10 +22,6 @@
 _NAME_MAX = 200
 
 
-class InvalidJobError(Exception):
-    """The field and what is wrong with it."""
-
-
 def valid_job_id(job_id: object) -> bool:
     """Whether this is a name that a job may have."""
     return isinstance(job_id, str) and _UID.match(job_id) is not None
--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -7,8 +7,9 @@
 import msgspec
 
 from sorrelsill import constants
-from sorrelsill.jobs.messages import InvalidJobError, parse_spec
-from sorrelsill.model import Catalog, JobKind, JobSpec, TaskSet
+from sorrelsill.jobs.errors import InvalidJobError
+from sorrelsill.jobs.messages import parse_spec
+from sorrelsill.model import Catalog, JobKind, JobPhase, JobSpec, TaskSet
 from sorrelsill.settings import Team
 
 
@@ -54,13 +55,20 @@
     return done.encode(start, min(done.size, start + size))
 
 
-def final_record(phase: str, spec: JobSpec, done: int, why: list[str], limit: int) -> dict[str, Any]:
+def final_record(phase: JobPhase, spec: JobSpec, done: int, why: list[str], limit: int) -> dict[str, Any]:
     """What is kept for ever."""
-    return with_notes({"p": phase, "n": done, "o": spec.team}, why, limit)
+    return with_notes({"p": phase.value, "n": done, "o": spec.team}, why, limit)
+
+
+def count_of(record: Any, name: str) -> int:
+    """A count of a live record (`n` finished, `r` running); a damaged one must not keep its job's users without an
+    answer."""
+    found = record.get(name) if isinstance(record, dict) else None
+    return found if isinstance(found, int) else 0
 
 
 def parse_record(value: Any, chunks: list[tuple[int, Any]]) -> tuple[JobSpec, TaskSet, list[str]]:
-    """A live record back to its parts; BadJob or ValueError if it is damaged."""
+    """A live record back to its parts; InvalidJobError, ValueError or TypeError if it is damaged."""
     if not isinstance(value, dict):
         raise InvalidJobError("record: must be a map")
     spec = parse_spec(value.get("s"))
--- /dev/null
+++ b/sorrelsill/jobs/submissions.py
@@ -0,0 +1,234 @@
+"""Submissions: what came while one batch was under way goes with the next, and is answered once it is committed.
+
+A repeated submission is an idempotent request: it is answered with the job's present state."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+import trio
+
+from sorrelsill import constants
+from sorrelsill.jobs.errors import BusyError, InvalidJobError
+from sorrelsill.jobs.job_status import JobStatus
+from sorrelsill.jobs.messages import parse_spec
+from sorrelsill.jobs.records import impossible, json_size, new_record
+from sorrelsill.jobs.user_answers import Answer, ErrorAnswer, JobAnswer, is_out_of_date
+from sorrelsill.model import Catalog, JobPhase, JobSpec
+from sorrelsill.settings import Team
+from sorrelsill.store import (
+    AmbiguousError,
+    Compare,
+    Delete,
+    KeyValueStore,
+    Put,
+    RefusedError,
+    StoreError,
+    TransactionResult,
+    UnavailableError,
+    WatchCache,
+    final_key,
+    job_key,
+)
+
+log = logging.getLogger(__name__)
+
+_RECORD_FRAME = 200  # bytes of a transaction for one job, beside its specification
+
+
+@dataclass(slots=True, eq=False)
+class _PendingSubmission:
+    spec: JobSpec
+    deadline: float
+    resolved: trio.Event = field(default_factory=trio.Event)
+    answer: Answer | None = None
+    known_at: float = 0.0  # when the request was sent on whose outcome the answer rests
+
+    def resolve(self, answer: Answer, known_at: float) -> None:
+        """At once: what the rest of its batch still waits for would make the answer older than need be."""
+        self.answer = answer
+        self.known_at = known_at
+        self.resolved.set()
+
+
+_ByJob = dict[str, list[_PendingSubmission]]
+
+
+class Submissions:
+    """Validates jobs and commits their first records, many to a transaction."""
+
+    def __init__(
+        self,
+        store: KeyValueStore,
+        watch_cache: WatchCache,
+        teams: dict[str, Team],
+        time_of_day: Callable[[], float],
+        status: JobStatus,
+    ) -> None:
+        self._store = store
+        self._watch_cache = watch_cache
+        self._teams = teams
+        self._time_of_day = time_of_day
+        self._status = status
+        self.catalog: Catalog | None = None
+        self._queue: list[_PendingSubmission] = []
+        self._queued = trio.Event()
+
+    async def submit(self, body: Any) -> Answer:
+        """Accept a job, or answer what is known of it. Raises BusyError if it is not taken in time."""
+        try:
+            spec = parse_spec(body)
+        except InvalidJobError as error:
+            # A known job's repeat may be sent by a client gone wrong; it is still malformed.
+            return Answer(400, ErrorAnswer(str(error)))
+        ended = self._status.ended_state(spec.job_id)
+        if ended is not None:
+            return Answer(200, ended)
+        pending = await self._enqueue(spec)
+        if pending.answer is None:
+            raise BusyError("the state service did not take the job in time")
+        # Other controllers may have told more since the read or write that the answer rests on.
+        ended = self._status.ended_state(spec.job_id)
+        if ended is not None:
+            return Answer(200, ended)
+        if pending.answer.status in (200, 201) and is_out_of_date(pending.known_at):
+            return await self._status.poll(spec.job_id)
+        return pending.answer
+
+    async def _enqueue(self, spec: JobSpec) -> _PendingSubmission:
+        """Wait until it is resolved or its deadline is over."""
+        if len(self._queue) >= constants.ADMIT_QUEUE:
+            raise BusyError("too many submissions are waiting")
+        pending = _PendingSubmission(spec, trio.current_time() + constants.ADMIT_DEADLINE_S)
+        self._queue.append(pending)
+        self._queued.set()
+        with trio.move_on_after(constants.ADMIT_DEADLINE_S):
+            await pending.resolved.wait()
+        return pending
+
+    async def run(self) -> None:
+        """Commit batches for ever."""
+        while True:
+            await self._queued.wait()
+            self._queued = trio.Event()
+            while self._queue:
+                batch = self._next_batch()
+                try:
+                    await self._admit(batch)
+                except Exception:
+                    # Guards against one odd batch ending the loop: its users are told to come back.
+                    log.exception("admission_failed")
+                for pending in batch:
+                    pending.resolved.set()
+
+    def _next_batch(self) -> list[_PendingSubmission]:
+        limit = max(1, self._store.txn_ops)
+        batch: list[_PendingSubmission] = []
+        size = 0
+        while self._queue and len(batch) < limit:
+            size += len(str(self._queue[0].spec.raw)) + _RECORD_FRAME
+            if batch and size > constants.TXN_BYTES:
+                break
+            batch.append(self._queue.pop(0))
+        return batch
+
+    async def _admit(self, batch: list[_PendingSubmission]) -> None:
+        now = trio.current_time()
+        by_job: _ByJob = {}
+        for pending in batch:
+            if pending.deadline > now:
+                by_job.setdefault(pending.spec.job_id, []).append(pending)
+        # A repeat is looked up before it is validated: the limits may have changed since it was accepted.
+        for job_id in list(by_job):
+            spec = by_job[job_id][0].spec
+            if self.catalog is None or impossible(spec, self._teams, self.catalog) or self._is_too_long(spec):
+                await self._look_up_or_reject(job_id, by_job.pop(job_id))
+        for _ in range(constants.ADMIT_TRIES):
+            if not by_job or not await self._commit(by_job, now):
+                return
+
+    async def _commit(self, by_job: _ByJob, since: float) -> bool:
+        """One transaction for all jobs of a batch. What is resolved leaves it; True if the rest may be tried again."""
+        records = {job_id: new_record(group[0].spec, self._time_of_day()) for job_id, group in by_job.items()}
+        sent_at = trio.current_time()
+        try:
+            result = await self._write(records)
+        except RefusedError:
+            await self._admit_singly(by_job)
+            return False
+        except UnavailableError as error:
+            if error.throttled and trio.current_time() < since + constants.ADMIT_DEADLINE_S / 2:
+                await trio.sleep(constants.RETRY_S)
+                return True
+            return False
+        except AmbiguousError:
+            # It may have been written: what stands there now is an accepted job, whoever wrote it.
+            for job_id, group in by_job.items():
+                await self._resolve_known(job_id, group)
+            return False
+        if not result.ok:
+            for job_id in [key.rsplit("/", 1)[-1] for key in result.failed]:
+                if job_id in by_job:
+                    await self._resolve_known(job_id, by_job.pop(job_id))
+            return True
+        for job_id, group in by_job.items():
+            self._watch_cache.apply_change(job_key(job_id), records[job_id], result.rev, True)
+            for pending in group:
+                pending.resolve(Answer(201, JobAnswer(job_id, JobPhase.PENDING)), sent_at)
+        return False
+
+    async def _write(self, records: dict[str, dict[str, Any]]) -> TransactionResult:
+        """On condition that none of the jobs is known, live or ended."""
+        compares: list[Compare] = []
+        writes: list[Put | Delete] = []
+        for job_id, record in records.items():
+            compares += [Compare(job_key(job_id), 0), Compare(final_key(job_id), 0)]
+            writes.append(Put(job_key(job_id), record))
+        return await self._store.commit(compares, writes)
+
+    async def _admit_singly(self, by_job: _ByJob) -> None:
+        """One that is too long must not hold up the rest of its batch: each goes by itself, and those that the limit,
+        as it is known now, leaves no room for are told so."""
+        if len(by_job) > 1:
+            for group in by_job.values():
+                await self._admit(group)
+            return
+        for job_id in [job_id for job_id, group in by_job.items() if self._is_too_long(group[0].spec)]:
+            await self._look_up_or_reject(job_id, by_job.pop(job_id))
+
+    def _is_too_long(self, spec: JobSpec) -> bool:
+        return json_size(new_record(spec, self._time_of_day())) > self._store.value_bytes
+
+    async def _resolve_known(self, job_id: str, group: list[_PendingSubmission]) -> None:
+        """Answer with the state of the job, if the store has it."""
+        requested_at = trio.current_time()
+        try:
+            state = await self._status.read(job_id)
+        except StoreError:
+            return
+        if state is not None:
+            for pending in group:
+                pending.resolve(Answer(200, state), requested_at)
+
+    async def _look_up_or_reject(self, job_id: str, group: list[_PendingSubmission]) -> None:
+        """Answer with the state of the job if it was accepted earlier, otherwise why it is not accepted."""
+        requested_at = trio.current_time()
+        try:
+            state = await self._status.read(job_id)
+        except StoreError:
+            return
+        for pending in group:
+            answer = Answer(200, state) if state is not None else self._rejection(pending.spec)
+            if answer is not None:
+                pending.resolve(answer, requested_at)
+
+    def _rejection(self, spec: JobSpec) -> Answer | None:
+        """Why a job is not accepted. None if it may be: the catalog may have come during the look-up, and then the user
+        is told to come back rather than refused for good."""
+        if self._is_too_long(spec):
+            return Answer(400, ErrorAnswer("body: longer than the state service can keep"))
+        reason = impossible(spec, self._teams, self.catalog) if self.catalog is not None else None
+        return Answer(422, ErrorAnswer(reason)) if reason is not None else None
--- /dev/null
+++ b/sorrelsill/jobs/team_jobs.py
@@ -0,0 +1,31 @@
+"""The list of a team's live jobs."""
+
+from __future__ import annotations
+
+import trio
+
+from sorrelsill import constants
+from sorrelsill.jobs.errors import BusyError
+from sorrelsill.jobs.job_status import live_state
+from sorrelsill.jobs.user_answers import Answer, JobAnswer, TeamJobsAnswer, check_age
+from sorrelsill.store import WatchCache
+
+
+async def list_team_jobs(watch_cache: WatchCache, team: str, after: str) -> Answer:
+    """A page of a team's live jobs, and only its own, in order of their ids. Raises BusyError."""
+    requested_at = trio.current_time()
+    if not await watch_cache.read_barrier():
+        raise BusyError("the state service does not answer")
+    check_age(requested_at)
+    owned = [
+        (job_id, record)
+        for job_id, record, _ in watch_cache.jobs()
+        if record["s"].get("owner") == team and job_id > after
+    ]
+    owned.sort(key=lambda item: item[0])
+    page: list[JobAnswer] = []
+    for job_id, record in owned[: constants.TEAM_PAGE]:
+        state = live_state(job_id, record)
+        state.workload = record["s"].get("workload")
+        page.append(state)
+    return Answer(200, TeamJobsAnswer(page, len(owned) > len(page)))
--- a/sorrelsill/model/__init__.py
+++ b/sorrelsill/model/__init__.py
@@ -1,5 +1,6 @@
 """Data types that all packages share. Nothing here depends on any other package of the service."""
 
+from sorrelsill.model.job_phase import JobPhase
 from sorrelsill.model.job_spec import JobKind, JobSpec, Priority
 from sorrelsill.model.machine_type import Catalog, MachineType
 from sorrelsill.model.registry_entry import RegistryEntry
@@ -10,6 +11,7 @@
     "NOTHING",
     "Catalog",
     "JobKind",
+    "JobPhase",
     "JobSpec",
     "MachineType",
     "Priority",
