--- a/sorrelsill/http/client.py
+++ b/sorrelsill/http/client.py
@@ -11,12 +11,18 @@
 from sorrelsill.http import heads
 from sorrelsill.settings import split_addr
 
+_RECEIVE_BYTES = 65536
 
-class NotSentError(Exception):
+
+class HttpError(Exception):
+    """A request brought no answer."""
+
+
+class NotSentError(HttpError):
     """No connection: the request was certainly not carried out."""
 
 
-class NoAnswerError(Exception):
+class NoAnswerError(HttpError):
     """Sent, but no proper answer: the request may have been carried out, or may yet be."""
 
 
@@ -41,13 +47,13 @@
     return trio.SocketStream(sock)
 
 
-class _Conn:
-    __slots__ = ("kept", "stream", "used")
+class _PooledConnection:
+    __slots__ = ("last_used_at", "reusable", "stream")
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream = stream
-        self.kept = False  # the last exchange was whole and regular
-        self.used = trio.current_time()
+        self.reusable = False  # the last exchange was whole and regular
+        self.last_used_at = trio.current_time()
 
 
 class Client:
@@ -56,7 +62,7 @@
     def __init__(self, addr: str, connect: Connect = connect_tcp) -> None:
         self.addr = addr
         self._connect = connect
-        self._idle: list[_Conn] = []
+        self._idle_connections: list[_PooledConnection] = []
 
     async def request(
         self,
@@ -66,12 +72,12 @@
         timeout: float = constants.STORE_TIMEOUT_S,
         may_send: MaySend = always,
     ) -> tuple[int, bytes]:
-        """Status and body, or NotSent or NoAnswer."""
-        conn: _Conn | None = None
+        """Status and body, within `timeout` seconds. Raises NotSentError or NoAnswerError."""
+        conn: _PooledConnection | None = None
         sent = False
         with trio.move_on_after(timeout):
             try:
-                conn = self._take() or await self._open()
+                conn = self._pop_idle() or await self._open()
                 data = heads.write_request(method, target, self.addr, len(body)) + body
                 # Guards against a process that stood still while it connected and now acts on what it decided before.
                 if not may_send():
@@ -79,7 +85,7 @@
                 sent = True
                 await conn.stream.send_all(data)
                 status, answer = await self._answer(conn, method)
-                self._keep(conn)
+                self._return_to_pool(conn)
                 conn = None
                 return status, answer
             except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, h11.ProtocolError) as error:
@@ -91,25 +97,25 @@
 
     def close(self) -> None:
         """Drop the kept connections; one in use closes by itself when it is through."""
-        while self._idle:
-            _close_now(self._idle.pop().stream)
+        while self._idle_connections:
+            _close_now(self._idle_connections.pop().stream)
 
-    async def _answer(self, conn: _Conn, method: str) -> tuple[int, bytes]:
+    async def _answer(self, conn: _PooledConnection, method: str) -> tuple[int, bytes]:
         buffer = bytearray()
-        while (end := buffer.find(heads.END)) < 0 and len(buffer) <= constants.HEAD_PLAIN:
-            if not await _more(conn, buffer):
+        while (end := buffer.find(heads.HEAD_END)) < 0 and len(buffer) <= constants.HEAD_PLAIN:
+            if not await _receive(conn, buffer):
                 break
-        end += len(heads.END)
-        head = heads.read_reply(bytes(buffer[:end])) if len(heads.END) <= end <= constants.HEAD_PLAIN else None
+        end += len(heads.HEAD_END)
+        head = heads.read_reply(bytes(buffer[:end])) if len(heads.HEAD_END) <= end <= constants.HEAD_PLAIN else None
         if head is None:
-            return await self._by_h11(conn, method, buffer)
+            return await self._read_with_h11(conn, method, buffer)
         while len(buffer) < end + head.length:
-            if not await _more(conn, buffer):
+            if not await _receive(conn, buffer):
                 raise OSError("connection closed before the answer")
-        conn.kept = len(buffer) == end + head.length
+        conn.reusable = len(buffer) == end + head.length
         return head.status, bytes(buffer[end : end + head.length])
 
-    async def _by_h11(self, conn: _Conn, method: str, buffer: bytearray) -> tuple[int, bytes]:
+    async def _read_with_h11(self, conn: _PooledConnection, method: str, buffer: bytearray) -> tuple[int, bytes]:
         """An answer whose head is not plain."""
         parser = h11.Connection(h11.CLIENT)
         parser.send(h11.Request(method=method, target="/", headers=[("Host", self.addr)]))
@@ -121,42 +127,42 @@
         while True:
             event = parser.next_event()
             if event is h11.NEED_DATA:
-                parser.receive_data(bytes(await conn.stream.receive_some(65536)))
+                parser.receive_data(bytes(await conn.stream.receive_some(_RECEIVE_BYTES)))
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 chunks.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                conn.kept = parser.their_state is h11.DONE and parser.our_state is h11.DONE
+                conn.reusable = parser.their_state is h11.DONE and parser.our_state is h11.DONE
                 return status, b"".join(chunks)
             elif not isinstance(event, h11.InformationalResponse):
                 raise OSError("connection closed before the answer")
 
-    def _take(self) -> _Conn | None:
+    def _pop_idle(self) -> _PooledConnection | None:
         now = trio.current_time()
-        while self._idle:
-            conn = self._idle.pop()
-            if now - conn.used < constants.POOL_IDLE_S:
+        while self._idle_connections:
+            conn = self._idle_connections.pop()
+            if now - conn.last_used_at < constants.POOL_IDLE_S:
                 return conn
             _close_now(conn.stream)
         return None
 
-    async def _open(self) -> _Conn:
+    async def _open(self) -> _PooledConnection:
         with trio.move_on_after(constants.CONNECT_S):
-            return _Conn(await self._connect(self.addr))
+            return _PooledConnection(await self._connect(self.addr))
         raise OSError("connecting took too long")
 
-    def _keep(self, conn: _Conn) -> None:
-        if conn.kept and len(self._idle) < constants.POOL_MAX:
-            conn.kept = False
-            conn.used = trio.current_time()
-            self._idle.append(conn)
+    def _return_to_pool(self, conn: _PooledConnection) -> None:
+        if conn.reusable and len(self._idle_connections) < constants.POOL_MAX:
+            conn.reusable = False
+            conn.last_used_at = trio.current_time()
+            self._idle_connections.append(conn)
         else:
             _close_now(conn.stream)
 
 
-async def _more(conn: _Conn, buffer: bytearray) -> bool:
-    data = await conn.stream.receive_some(65536)
+async def _receive(conn: _PooledConnection, buffer: bytearray) -> bool:
+    data = await conn.stream.receive_some(_RECEIVE_BYTES)
     buffer += data
     return bool(data)
 
--- a/sorrelsill/http/heads.py
+++ b/sorrelsill/http/heads.py
@@ -14,10 +14,12 @@
 
 from sorrelsill import constants
 
-END = b"\r\n\r\n"
+HEAD_END = b"\r\n\r\n"
 _ANY_HOST = "0.0.0.0:0"  # stands for the host in templates
 _PLAIN_HOST = re.compile(r"[0-9.:]+")
-_ODD = frozenset({b"connection", b"transfer-encoding", b"expect", b"upgrade"})  # these change how a connection goes on
+_CONNECTION_HEADERS = frozenset(
+    {b"connection", b"transfer-encoding", b"expect", b"upgrade"}
+)  # these change how a connection goes on
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,11 +40,11 @@
     length: int
 
 
-def _length(headers: h11._headers.Headers) -> int | None:
+def _body_length(headers: h11._headers.Headers) -> int | None:
     """The body's length, 0 if none is named; None if the head is not plain."""
     length = 0
     for name, value in headers:
-        if name in _ODD:
+        if name in _CONNECTION_HEADERS:
             return None
         if name == b"content-length":
             length = int(value)
@@ -60,7 +62,7 @@
         return None
     if not isinstance(event, h11.Request) or event.http_version != b"1.1":
         return None
-    length = _length(event.headers)
+    length = _body_length(event.headers)
     if length is None or length > constants.MAX_BODY or event.method not in (b"GET", b"POST"):
         return None
     path, _, query = event.target.decode("ascii", "replace").partition("?")
@@ -82,7 +84,7 @@
         return None
     if not any(name == b"content-length" for name, _ in event.headers):
         return None
-    length = _length(event.headers)
+    length = _body_length(event.headers)
     return ReplyHead(event.status_code, length) if length is not None else None
 
 
@@ -90,7 +92,7 @@
 def write_reply(status: int, kind: str, headers: tuple[tuple[str, str], ...], length: int) -> bytes:
     """The head of an answer to a plain request."""
     conn = h11.Connection(h11.SERVER)
-    conn.receive_data(b"GET / HTTP/1.1\r\nHost: x" + END)
+    conn.receive_data(b"GET / HTTP/1.1\r\nHost: x" + HEAD_END)
     conn.next_event()
     conn.next_event()
     lines = [("Content-Type", kind), ("Content-Length", str(length)), *headers]
@@ -109,7 +111,7 @@
     """The head up to the digits of the length."""
     conn = h11.Connection(h11.CLIENT)
     head = [("Host", host), *([("Content-Type", "application/msgpack")] if body else []), ("Content-Length", "0")]
-    return (conn.send(h11.Request(method=method, target=target, headers=head)) or b"")[: -len(b"0" + END)]
+    return (conn.send(h11.Request(method=method, target=target, headers=head)) or b"")[: -len(b"0" + HEAD_END)]
 
 
 def write_request(method: str, target: str, host: str, length: int) -> bytes:
@@ -120,4 +122,4 @@
     else:
         before, after = _request_template(method, target, length > 0)
         head = before + host.encode("ascii") + after
-    return head + str(length).encode("ascii") + END
+    return head + str(length).encode("ascii") + HEAD_END
--- a/sorrelsill/http/server.py
+++ b/sorrelsill/http/server.py
@@ -14,6 +14,8 @@
 
 log = logging.getLogger(__name__)
 
+_RECEIVE_BYTES = 65536
+
 
 @dataclass(slots=True)
 class Request:
@@ -43,10 +45,10 @@
     pass
 
 
-class _Link:
+class _Connection:
     """One connection."""
 
-    __slots__ = ("busy", "buffer", "idle_s", "owner", "scope", "stream", "used")
+    __slots__ = ("buffer", "busy", "idle_s", "last_used_at", "owner", "scope", "stream")
 
     def __init__(self, stream: trio.abc.Stream, idle_s: float) -> None:
         self.stream = stream
@@ -55,7 +57,7 @@
         self.idle_s = idle_s
         self.owner = ""
         self.busy = False  # a request is being answered
-        self.used = trio.current_time()
+        self.last_used_at = trio.current_time()
 
 
 class Server:
@@ -69,13 +71,13 @@
         self._max = max_connections
         self._name = name
         self._owner_idle_s = owner_idle_s
-        self._links: set[_Link] = set()
-        self._owned: dict[str, _Link] = {}
+        self._connections: set[_Connection] = set()
+        self._by_owner: dict[str, _Connection] = {}
 
     @property
     def open(self) -> int:
         """How many connections are open."""
-        return len(self._links)
+        return len(self._connections)
 
     async def serve_stream(self, stream: trio.abc.Stream) -> None:
         """One connection, start to end. No exception leaves it, or the whole process would go down."""
@@ -85,108 +87,108 @@
                 scope.shield = False
                 await trio.aclose_forcefully(stream)
             return
-        link = _Link(stream, constants.IDLE_S)
-        self._links.add(link)
+        connection = _Connection(stream, constants.IDLE_S)
+        self._connections.add(connection)
         try:
-            await self._serve(link)
+            await self._serve(connection)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError, h11.LocalProtocolError):
             pass
         except Exception:
             log.exception("%s: connection failed", self._name)
         finally:
-            self._forget(link)
+            self._forget(connection)
             await trio.aclose_forcefully(stream)
 
     def _make_room(self) -> bool:
         """End the connection that nobody has used for longest, but no worker's: a refused or ended one costs a worker
         a second or more of its lease, a user only a new connection."""
-        idle = [k for k in self._links if not k.busy and not k.owner]
+        idle = [k for k in self._connections if not k.busy and not k.owner]
         if not idle:
             return False
-        oldest = min(idle, key=lambda k: k.used)
+        oldest = min(idle, key=lambda k: k.last_used_at)
         self._forget(oldest)
         oldest.scope.cancel()
         return True
 
-    def _forget(self, link: _Link) -> None:
-        self._links.discard(link)
-        if link.owner and self._owned.get(link.owner) is link:
-            del self._owned[link.owner]
+    def _forget(self, connection: _Connection) -> None:
+        self._connections.discard(connection)
+        if connection.owner and self._by_owner.get(connection.owner) is connection:
+            del self._by_owner[connection.owner]
 
-    def _own(self, link: _Link, owner: str) -> None:
+    def _assign_owner(self, connection: _Connection, owner: str) -> None:
         """Found by reasoning: with half the machines cut and back, their dead connections and the new ones together
         would have passed the quota of sockets."""
-        if link.owner == owner:
+        if connection.owner == owner:
             return
-        former = self._owned.get(owner)
-        link.owner = owner
-        link.idle_s = self._owner_idle_s
-        self._owned[owner] = link
+        former = self._by_owner.get(owner)
+        connection.owner = owner
+        connection.idle_s = self._owner_idle_s
+        self._by_owner[owner] = connection
         if former is not None and not former.busy:
             self._forget(former)
             former.scope.cancel()
 
-    async def _serve(self, link: _Link) -> None:
-        with link.scope as scope:
-            while (request := await self._plain(link, scope)) is not None:
-                reply = await self._answer(request, link, scope)
+    async def _serve(self, connection: _Connection) -> None:
+        with connection.scope as scope:
+            while (request := await self._read_plain_request(connection, scope)) is not None:
+                reply = await self._answer(request, connection, scope)
                 head = heads.write_reply(reply.status, reply.kind, tuple(reply.headers), len(reply.body))
-                await link.stream.send_all(head + reply.body)
-                link.busy = False
-            if link.buffer:
-                await self._by_h11(link, scope)
+                await connection.stream.send_all(head + reply.body)
+                connection.busy = False
+            if connection.buffer:
+                await self._serve_with_h11(connection, scope)
 
-    async def _answer(self, request: Request, link: _Link, scope: trio.CancelScope) -> Reply:
+    async def _answer(self, request: Request, connection: _Connection, scope: trio.CancelScope) -> Reply:
         scope.deadline = float("inf")
-        link.busy = True
+        connection.busy = True
         try:
             reply = await self._handler(request)
         except Exception:
             # Guards against one odd request taking the process down; the cause goes to the log.
             log.exception("%s: %s %s failed", self._name, request.method, request.path)
             reply = Reply(500)
-        link.used = trio.current_time()
+        connection.last_used_at = trio.current_time()
         if reply.owner:
-            self._own(link, reply.owner)
-        scope.deadline = link.used + constants.REQUEST_S
+            self._assign_owner(connection, reply.owner)
+        scope.deadline = connection.last_used_at + constants.REQUEST_S
         return reply
 
-    async def _plain(self, link: _Link, scope: trio.CancelScope) -> Request | None:
+    async def _read_plain_request(self, connection: _Connection, scope: trio.CancelScope) -> Request | None:
         """The next request if its head is plain; None at the end, or with what came left in the buffer for h11."""
-        scope.deadline = trio.current_time() + link.idle_s
-        buffer = link.buffer
+        scope.deadline = trio.current_time() + connection.idle_s
+        buffer = connection.buffer
         searched = 0
-        while (end := buffer.find(heads.END, searched)) < 0:
+        while (end := buffer.find(heads.HEAD_END, searched)) < 0:
             if len(buffer) > constants.HEAD_PLAIN:
                 return None
-            searched = max(0, len(buffer) - len(heads.END) + 1)
+            searched = max(0, len(buffer) - len(heads.HEAD_END) + 1)
             if buffer:
                 scope.deadline = min(scope.deadline, trio.current_time() + constants.REQUEST_S)
-            if not await self._more(link):
+            if not await self._receive(connection):
                 return None
-        end += len(heads.END)
+        end += len(heads.HEAD_END)
         head = heads.read_request(bytes(buffer[:end])) if end <= constants.HEAD_PLAIN else None
         if head is None:
             return None
         if len(buffer) < end + head.length:
             scope.deadline = trio.current_time() + constants.REQUEST_S
             while len(buffer) < end + head.length:
-                if not await self._more(link):
+                if not await self._receive(connection):
                     return None
         body = bytes(buffer[end : end + head.length])
         del buffer[: end + head.length]
         return Request(head.method, head.path, head.query, body)
 
-    async def _more(self, link: _Link) -> bool:
-        data = await link.stream.receive_some(65536)
-        link.buffer += data
+    async def _receive(self, connection: _Connection) -> bool:
+        data = await connection.stream.receive_some(_RECEIVE_BYTES)
+        connection.buffer += data
         return bool(data)
 
-    async def _by_h11(self, link: _Link, scope: trio.CancelScope) -> None:
+    async def _serve_with_h11(self, connection: _Connection, scope: trio.CancelScope) -> None:
         """The rest of a connection whose heads are not plain."""
         conn = h11.Connection(h11.SERVER, max_incomplete_event_size=constants.MAX_BODY // 4)
-        conn.receive_data(bytes(link.buffer))
-        stream = link.stream
+        conn.receive_data(bytes(connection.buffer))
+        stream = connection.stream
         while True:
             scope.deadline = trio.current_time() + constants.IDLE_S
             try:
@@ -199,9 +201,9 @@
                 return
             if request is None:
                 return
-            reply = await self._answer(request, link, scope)
+            reply = await self._answer(request, connection, scope)
             await stream.send_all(_encode(conn, reply))
-            link.busy = False
+            connection.busy = False
             if conn.our_state is not h11.DONE or conn.their_state is not h11.DONE:
                 return
             conn.start_next_cycle()
@@ -215,7 +217,7 @@
             if event is h11.NEED_DATA:
                 if conn.they_are_waiting_for_100_continue:
                     await stream.send_all(_bytes(conn.send(h11.InformationalResponse(status_code=100, headers=[]))))
-                data = await stream.receive_some(65536)
+                data = await stream.receive_some(_RECEIVE_BYTES)
                 conn.receive_data(bytes(data))
                 if not data and head is None and conn.trailing_data[0] == b"":
                     return None
--- a/sorrelsill/jobs/messages.py
+++ b/sorrelsill/jobs/messages.py
@@ -1,4 +1,4 @@
-"""The user's job as it comes over the wire."""
+"""The job specification as users submit it: checks every field, and maps the wire's names."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     "best_effort": Priority.BEST_EFFORT,
 }
 
-_UID = re.compile(r"run-[A-Za-z0-9_.-]{1,120}\Z")
+_JOB_ID = re.compile(r"run-[A-Za-z0-9_.-]{1,120}\Z")
 _NAME_MAX = 200
 
 
 def valid_job_id(job_id: object) -> bool:
     """Whether this is a name that a job may have."""
-    return isinstance(job_id, str) and _UID.match(job_id) is not None
+    return isinstance(job_id, str) and _JOB_ID.match(job_id) is not None
 
 
 def _number(raw: dict[str, Any], name: str, least: float = 0.0, above: bool = False) -> float:
@@ -50,7 +50,35 @@
     return value
 
 
-def _flavours(raw: dict[str, Any]) -> frozenset[str] | None:
+def _kind(raw: dict[str, Any]) -> JobKind:
+    value = raw.get("shape")
+    if not isinstance(value, str) or value not in _KINDS:
+        raise InvalidJobError("shape: must be sweep, standing or group")
+    return _KINDS[value]
+
+
+def _priority(raw: dict[str, Any]) -> Priority:
+    value = raw.get("rank")
+    if not isinstance(value, str) or value not in _PRIORITIES:
+        raise InvalidJobError("rank: must be prod, high, standard or best_effort")
+    return _PRIORITIES[value]
+
+
+def _task_count(raw: dict[str, Any]) -> int:
+    value = raw.get("shards")
+    if isinstance(value, bool) or not isinstance(value, int) or not 1 <= value <= constants.MAX_SHARDS:
+        raise InvalidJobError(f"shards: must be a whole number from 1 to {constants.MAX_SHARDS}")
+    return value
+
+
+def _zone(raw: dict[str, Any]) -> str | None:
+    value = raw.get("region")
+    if value is not None and (not isinstance(value, str) or not value):
+        raise InvalidJobError("region: must be null or a name")
+    return value
+
+
+def _machine_types(raw: dict[str, Any]) -> frozenset[str] | None:
     value = raw.get("flavours")
     if value is None:
         return None
@@ -61,7 +89,7 @@
     return frozenset(value)
 
 
-_KEPT = (
+_KNOWN_FIELDS = (
     "uid",
     "workload",
     "owner",
@@ -86,35 +114,24 @@
 
 
 def parse_spec(raw: object) -> JobSpec:
-    """Check every field; unknown ones are ignored and not kept."""
+    """Check every field; unknown ones are ignored and not kept. Raises InvalidJobError."""
     if not isinstance(raw, dict):
         raise InvalidJobError("body: must be a map")
     if not valid_job_id(raw.get("uid")):
         raise InvalidJobError("uid: must look like run-000412")
-    kind = raw.get("shape")
-    if not isinstance(kind, str) or kind not in _KINDS:
-        raise InvalidJobError("shape: must be sweep, standing or group")
-    priority = raw.get("rank")
-    if not isinstance(priority, str) or priority not in _PRIORITIES:
-        raise InvalidJobError("rank: must be prod, high, standard or best_effort")
-    task_count = raw.get("shards")
-    if isinstance(task_count, bool) or not isinstance(task_count, int) or not 1 <= task_count <= constants.MAX_SHARDS:
-        raise InvalidJobError(f"shards: must be a whole number from 1 to {constants.MAX_SHARDS}")
-    zone = raw.get("region")
-    if zone is not None and (not isinstance(zone, str) or not zone):
-        raise InvalidJobError("region: must be null or a name")
-    due = None if raw.get("dueS") is None else _number(raw, "dueS")
+    kind, priority, task_count, zone = _kind(raw), _priority(raw), _task_count(raw), _zone(raw)
+    deadline_s = None if raw.get("dueS") is None else _number(raw, "dueS")
     return JobSpec(
         job_id=raw["uid"],
         job_class=_text(raw, "workload"),
         team=_text(raw, "owner"),
-        kind=_KINDS[kind],
-        priority=_PRIORITIES[priority],
+        kind=kind,
+        priority=priority,
         task_count=task_count,
         cpus=_number(raw, "vcpus"),
         gpus=_number(raw, "gpus"),
         memory_gb=_number(raw, "memoryGb"),
-        machine_types=_flavours(raw),
+        machine_types=_machine_types(raw),
         zone=zone,
         one_zone=_flag(raw, "oneZone"),
         spread_zones=_flag(raw, "scatter"),
@@ -124,6 +141,6 @@
         expected_run_s=_number(raw, "expectedRunS"),
         checkpoint_interval_s=_number(raw, "snapshotEveryS"),
         checkpoint_cost_s=_number(raw, "snapshotCostS"),
-        deadline_s=due,
-        raw={name: raw[name] for name in _KEPT if raw.get(name) is not None},
+        deadline_s=deadline_s,
+        raw={name: raw[name] for name in _KNOWN_FIELDS if raw.get(name) is not None},
     )
--- a/sorrelsill/token_bucket.py
+++ b/sorrelsill/token_bucket.py
@@ -13,12 +13,12 @@
         self.rate = rate
         self.burst = burst
         self._level = burst
-        self._at: float | None = None
+        self._refilled_at: float | None = None
 
     def _refill(self, now: float) -> None:
-        if self._at is not None:
-            self._level = min(self.burst, self._level + (now - self._at) * self.rate)
-        self._at = now
+        if self._refilled_at is not None:
+            self._level = min(self.burst, self._level + (now - self._refilled_at) * self.rate)
+        self._refilled_at = now
 
     def take(self, amount: float = 1.0) -> None:
         """Take without waiting."""
