--- a/sorrelsill/jobs/cancel_requests.py
+++ b/sorrelsill/jobs/cancel_requests.py
@@ -11,7 +11,7 @@
 from sorrelsill.events import log_event
 from sorrelsill.jobs.errors import BusyError, InvalidJobError
 from sorrelsill.jobs.messages import valid_job_id
-from sorrelsill.jobs.records import count_of, final_record, parse_record
+from sorrelsill.jobs.records import FinalRecord, done_count, final_phase, final_record, parse_record
 from sorrelsill.jobs.user_answers import Answer, JobAnswer, no_such_job
 from sorrelsill.model import JobPhase
 from sorrelsill.store import (
@@ -51,7 +51,7 @@
         while True:
             final = await self._final_record(job_id)
             if final is not None:
-                return Answer(200, JobAnswer(job_id, final["p"]))
+                return Answer(200, JobAnswer(job_id, final_phase(final)))
             live = await self._store.get(job_key(job_id))
             if live is None:
                 if await self._store.get(final_key(job_id)) is None:
@@ -59,7 +59,7 @@
                 continue
             record = await self._move_to_final_key(job_id, live)
             if record is not None:
-                return Answer(200, JobAnswer(job_id, record["p"]))
+                return Answer(200, JobAnswer(job_id, final_phase(record)))
 
     async def _final_record(self, job_id: str) -> Any | None:
         final = self._watch_cache.final(job_id)
@@ -86,13 +86,13 @@
 
     def _final_record_of(self, job_id: str, live: Any) -> dict[str, Any]:
         """The final record of a job that its user cancels now."""
-        count = count_of(live, "n")
+        count = done_count(live)
         try:
             spec, done, notes = parse_record(live, [])
         except (InvalidJobError, ValueError, TypeError) as error:
             # Guards against a damaged record that could never be cancelled: whoever leads can't read it either.
             log_event(log, logging.ERROR, "damaged_record_cancelled", job=job_id, error=error)
-            return {"p": JobPhase.CANCELLED.value, "n": count, "o": None}
+            return FinalRecord(JobPhase.CANCELLED, count, None).to_stored()
         limit = self._store.reduced_value_bytes
         if done.size == count and not spec.is_service:
             # Every task is done and recorded; only the move to the final key is missing.
--- a/sorrelsill/jobs/job_status.py
+++ b/sorrelsill/jobs/job_status.py
@@ -9,7 +9,7 @@
 from sorrelsill import constants
 from sorrelsill.jobs.errors import BusyError
 from sorrelsill.jobs.messages import valid_job_id
-from sorrelsill.jobs.records import count_of
+from sorrelsill.jobs.records import done_count, final_done_count, final_phase, is_final, notes_of, running_count
 from sorrelsill.jobs.user_answers import Answer, JobAnswer, check_age, no_such_job
 from sorrelsill.model import JobPhase
 from sorrelsill.store import KeyValueStore, StoreError, VersionedValue, WatchCache, final_key, job_key
@@ -17,13 +17,13 @@
 
 def live_state(job_id: str, record: Any) -> JobAnswer:
     """The state that a live record tells of."""
-    done, running = count_of(record, "n"), count_of(record, "r")
+    done, running = done_count(record), running_count(record)
     return JobAnswer(job_id, JobPhase.RUNNING if running else JobPhase.PENDING, done, running)
 
 
 def final_state(job_id: str, record: Any) -> JobAnswer:
     """The state that a final record tells of."""
-    return JobAnswer(job_id, record["p"], record.get("n", 0), 0)
+    return JobAnswer(job_id, final_phase(record), final_done_count(record), 0)
 
 
 class JobStatus:
@@ -49,7 +49,7 @@
             entry = await self._store.get(key)
             if entry is None:
                 continue
-            if isinstance(entry.value, dict) and "p" in entry.value:
+            if is_final(entry.value):
                 self._watch_cache.remember_final(job_id, entry.value)
                 return final_state(job_id, entry.value)
             return live_state(job_id, entry.value)
@@ -107,5 +107,5 @@
         if status == 200 and isinstance(answer, JobAnswer):
             live = self._watch_cache.job(job_id)
             record = self._watch_cache.final(job_id) or (live.value if live is not None else {})
-            answer.why = [str(note) for note in record.get("w") or []]
+            answer.why = notes_of(record)
         return Answer(status, answer)
--- a/sorrelsill/jobs/machine_registry.py
+++ b/sorrelsill/jobs/machine_registry.py
@@ -31,26 +31,32 @@
     fits. A part that was written when longer values were allowed is shrunk by writes that fit: first its entries are
     copied to further keys, then those that stand elsewhere are left out of it."""
     for key, value in parts.items():
-        slim = {n: e for n, e in value.items() if n not in gone}
-        if json_size(slim) > limit:
-            elsewhere = {n for k, v in parts.items() if k != key and json_size(v) <= limit for n in v}
-            left = {n: e for n, e in slim.items() if n not in elsewhere}
-            if json_size(left) <= limit:
-                return RegistryWrite(key, left)
-            return _fill(base, {k: v for k, v in parts.items() if k != key}, left, limit, parts)
-        here = {n: e for n, e in add.items() if n in slim and slim[n] != e}
-        same = [n for n in add if n in slim and slim[n] == add[n]]
-        if here or len(slim) != len(value) or same:
-            trial = {**slim, **here}
+        kept = {name: entry for name, entry in value.items() if name not in gone}
+        if json_size(kept) > limit:
+            return _shrink(base, parts, key, kept, limit)
+        changed = {name: entry for name, entry in add.items() if name in kept and kept[name] != entry}
+        unchanged = [name for name in add if name in kept and kept[name] == add[name]]
+        if changed or len(kept) != len(value) or unchanged:
+            trial = {**kept, **changed}
             if json_size(trial) <= limit:
-                return RegistryWrite(key, trial, [*here, *same])
+                return RegistryWrite(key, trial, [*changed, *unchanged])
     return _fill(base, parts, add, limit, parts) if add else None
 
 
+def _shrink(base: str, parts: dict[str, Entries], key: str, kept: Entries, limit: int) -> RegistryWrite | None:
+    """A step toward a shorter value of `key`: leave out what stands elsewhere, or copy what doesn't."""
+    others = {other: value for other, value in parts.items() if other != key}
+    elsewhere = {name for value in others.values() if json_size(value) <= limit for name in value}
+    only_here = {name: entry for name, entry in kept.items() if name not in elsewhere}
+    if json_size(only_here) <= limit:
+        return RegistryWrite(key, only_here)
+    return _fill(base, others, only_here, limit, parts)
+
+
 def _fill(
     base: str, into: dict[str, Entries], entries: Entries, limit: int, parts: dict[str, Entries]
 ) -> RegistryWrite | None:
-    """Put as many of the entries as fit into the first part with room, or into a new one."""
+    """Put as many of the entries as fit into the first key of `into` with room, or into a new one."""
     new = base if base not in parts else f"{base}.{len(parts)}"
     for key, value in [*into.items(), (new, {})]:
         grown = dict(value)
--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -1,8 +1,10 @@
-"""Job records as they stand in the state service: `s/j/` while live, `s/f/` once over."""
+"""Job records as they stand in the key-value store: `s/j/` while live, `s/f/` once ended. Only this module knows the
+names of their fields."""
 
 from __future__ import annotations
 
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -13,9 +15,45 @@
 from sorrelsill.settings import Team
 
 
+@dataclass(frozen=True, slots=True)
+class LiveRecord:
+    """A live job. The version before this one writes its record anew from these fields, so there are no others."""
+
+    spec: dict[str, Any]  # the known fields of the submission
+    done: str  # finished tasks as text, unless they are kept in chunks
+    done_count: int
+    running: int  # tasks that run
+    accepted: float  # time of day; it only orders jobs and their deadlines, no rule rests on it
+
+    def to_stored(self) -> dict[str, Any]:
+        """Under the names of the store."""
+        return {"s": self.spec, "d": self.done, "n": self.done_count, "r": self.running, "t": self.accepted}
+
+
+@dataclass(frozen=True, slots=True)
+class FinalRecord:
+    """What is kept of an ended job for ever."""
+
+    phase: JobPhase
+    done_count: int
+    team: str | None  # None if the live record was damaged
+
+    def to_stored(self) -> dict[str, Any]:
+        """Under the names of the store."""
+        return {"p": self.phase.value, "n": self.done_count, "o": self.team}
+
+
+class ParsedRecord(NamedTuple):
+    """What a live record tells of its job."""
+
+    spec: JobSpec
+    done: TaskSet
+    notes: list[str]
+
+
 def new_record(spec: JobSpec, accepted: float) -> dict[str, Any]:
-    """`accepted` is the time of day; it only orders jobs and their deadlines, no rule rests on it."""
-    return {"s": spec.raw, "d": "", "n": 0, "r": 0, "t": round(accepted, 3)}
+    """The first record of a job that is accepted at this time of day."""
+    return LiveRecord(spec.raw, "", 0, 0, round(accepted, 3)).to_stored()
 
 
 def json_size(value: Any) -> int:
@@ -43,7 +81,7 @@
 ) -> dict[str, Any]:
     """The live record. Very large jobs keep their finished tasks in chunks beside it (not `inline`)."""
     text = done.encode(0, spec.task_count) if inline else ""
-    value: dict[str, Any] = {"s": spec.raw, "d": text, "n": done.count, "r": running, "t": accepted}
+    value = LiveRecord(spec.raw, text, done.count, running, accepted).to_stored()
     if why:
         value["w"] = why
     return value
@@ -56,19 +94,56 @@
 
 
 def final_record(phase: JobPhase, spec: JobSpec, done: int, why: list[str], limit: int) -> dict[str, Any]:
-    """What is kept for ever."""
-    return with_notes({"p": phase.value, "n": done, "o": spec.team}, why, limit)
+    """What is kept for ever, with the newest notes that leave it within `limit` bytes."""
+    return with_notes(FinalRecord(phase, done, spec.team).to_stored(), why, limit)
+
+
+def done_count(record: Any) -> int:
+    """How many tasks are finished, by a live record that may be damaged."""
+    return _count(record, "n")
 
 
-def count_of(record: Any, name: str) -> int:
-    """A count of a live record (`n` finished, `r` running); a damaged one must not keep its job's users without an
-    answer."""
+def running_count(record: Any) -> int:
+    """How many tasks run, by a live record that may be damaged."""
+    return _count(record, "r")
+
+
+def _count(record: Any, name: str) -> int:
+    """A damaged count must not keep its job's users without an answer."""
     found = record.get(name) if isinstance(record, dict) else None
     return found if isinstance(found, int) else 0
 
 
-def parse_record(value: Any, chunks: list[tuple[int, Any]]) -> tuple[JobSpec, TaskSet, list[str]]:
-    """A live record back to its parts; InvalidJobError, ValueError or TypeError if it is damaged."""
+def notes_of(record: dict[str, Any]) -> list[str]:
+    """The notes of a live or final record: why tasks stopped or wait."""
+    return [str(note) for note in record.get("w") or []]
+
+
+def is_final(record: Any) -> bool:
+    """Whether this is the record of an ended job."""
+    return isinstance(record, dict) and "p" in record
+
+
+def final_phase(record: dict[str, Any]) -> str:
+    """How the job ended, as its final record says."""
+    phase: str = record["p"]
+    return phase
+
+
+def final_done_count(record: dict[str, Any]) -> int:
+    """How many tasks were finished at the end, as the final record says."""
+    count: int = record.get("n", 0)
+    return count
+
+
+def submitted_field(record: dict[str, Any], name: str) -> Any:
+    """A field of the submission, under its name on the wire."""
+    return record["s"].get(name)
+
+
+def parse_record(value: Any, chunks: list[tuple[int, Any]]) -> ParsedRecord:
+    """A live record, with its chunks, back to what it was made of. Raises InvalidJobError, ValueError or TypeError
+    if it is damaged."""
     if not isinstance(value, dict):
         raise InvalidJobError("record: must be a map")
     spec = parse_spec(value.get("s"))
@@ -76,7 +151,7 @@
     done.merge(str(value.get("d") or ""), 0)
     for start, text in chunks:
         done.merge(str(text), start)
-    return spec, done, [str(w) for w in value.get("w") or []]
+    return ParsedRecord(spec, done, notes_of(value))
 
 
 def impossible(spec: JobSpec, teams: dict[str, Team], catalog: Catalog) -> str | None:
--- a/sorrelsill/jobs/team_jobs.py
+++ b/sorrelsill/jobs/team_jobs.py
@@ -7,6 +7,7 @@
 from sorrelsill import constants
 from sorrelsill.jobs.errors import BusyError
 from sorrelsill.jobs.job_status import live_state
+from sorrelsill.jobs.records import submitted_field
 from sorrelsill.jobs.user_answers import Answer, JobAnswer, TeamJobsAnswer, check_age
 from sorrelsill.store import WatchCache
 
@@ -20,12 +21,12 @@
     owned = [
         (job_id, record)
         for job_id, record, _ in watch_cache.jobs()
-        if record["s"].get("owner") == team and job_id > after
+        if submitted_field(record, "owner") == team and job_id > after
     ]
     owned.sort(key=lambda item: item[0])
     page: list[JobAnswer] = []
     for job_id, record in owned[: constants.TEAM_PAGE]:
         state = live_state(job_id, record)
-        state.workload = record["s"].get("workload")
+        state.workload = submitted_field(record, "workload")
         page.append(state)
     return Answer(200, TeamJobsAnswer(page, len(owned) > len(page)))
