--- a/sorrelsill/jobs/cancellations.py
+++ b/sorrelsill/jobs/cancellations.py
@@ -6,7 +6,7 @@
     a lease is renewed only while every cancellation that any controller learnt of before
     `now - (cancel_s - lease_s - margin)` is certain to be known here,
 
-and what is known is halted in the same answer. A cancellation that is told to its user was learnt of before that, and
+and what is known is stopped in the same answer. A cancellation that is told to its user was learnt of before that, and
 one that is not known here yet is younger than this: its tasks still go in time by the lease renewed last.
 
 Certain is, up to a moment each:
--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -79,7 +79,7 @@
 def record_value(
     spec: JobSpec, done: TaskSet, running: int, why: list[str], accepted: float, inline: bool = True
 ) -> dict[str, Any]:
-    """The live record. Very large jobs keep their finished tasks in chunks beside it (not `inline`)."""
+    """The live record. Very large jobs keep their finished tasks in progress chunks beside it (not `inline`)."""
     text = done.encode(0, spec.task_count) if inline else ""
     value = LiveRecord(spec.raw, text, done.count, running, accepted).to_stored()
     if why:
@@ -88,7 +88,7 @@
 
 
 def chunk_value(done: TaskSet, number: int, size: int = constants.CHUNK_SHARDS) -> str:
-    """The finished tasks of one part of a large job, as stored."""
+    """The finished tasks of one progress chunk of a large job, as stored."""
     start = number * size
     return done.encode(start, min(done.size, start + size))
 
--- a/sorrelsill/store/client.py
+++ b/sorrelsill/store/client.py
@@ -160,7 +160,7 @@
         self.refused = 0
 
     def set_leading(self, leading: bool) -> None:
-        """The leader writes most, so it gets the larger part of the store's write rate."""
+        """The leader writes most, so it gets the larger share of the store's write rate."""
         self._leading = leading
         share = (
             constants.LEADER_WRITE_SHARE if leading else (1 - constants.LEADER_WRITE_SHARE) / max(1, self._nodes - 1)
