--- a/sorrelsill/store/client.py
+++ b/sorrelsill/store/client.py
@@ -261,34 +261,35 @@
             status, answer = await self._call("POST", "/multi", body, urgent=urgent)
         except UnavailableError as error:
             if error.throttled:
-                self.writes.drain()
-                if writes and self._reduced_write_rate < self._write_rate:
-                    log_event(log, logging.INFO, "store_write_rate_reduced", writes_per_s=self._reduced_write_rate)
-                    self._write_rate = self._reduced_write_rate
-                    self.set_leading(self._leading)
+                self._write_throttled(bool(writes))
             raise
         if status == 200:
             return TransactionResult(True, _int_field(answer, "storeRev"))
         if status == 409:
-            return TransactionResult(
-                False, _int_field(answer, "storeRev"), [str(k) for k in answer.get("failed") or []]
-            )
-        # 400: malformed, too large or, for a put with a lease, that lease has ended. Either way nothing was done.
-        text = f"the store answers {status}: {answer.get('error')}"
-        if status == 400 and not any(isinstance(w, Put) and w.lease is not None for w in writes):
-            self.refused += 1
-            limits_reduced = self.reduced_value_bytes < self.value_bytes
-            if limits_reduced:
-                log_event(
-                    log,
-                    logging.INFO,
-                    "store_value_limit_reduced",
-                    value_bytes=self.reduced_value_bytes,
-                    error=answer.get("error"),
-                )
-                self.value_bytes = self.reduced_value_bytes
-            raise RefusedError(text, limits_reduced)
-        raise UnavailableError(text)
+            failed = [str(key) for key in answer.get("failed") or []]
+            return TransactionResult(False, _int_field(answer, "storeRev"), failed)
+        raise self._refusal(status, answer.get("error"), writes)
+
+    def _write_throttled(self, with_writes: bool) -> None:
+        """Others use the rate too, or it was lowered."""
+        self.writes.drain()
+        if with_writes and self._reduced_write_rate < self._write_rate:
+            log_event(log, logging.INFO, "store_write_rate_reduced", writes_per_s=self._reduced_write_rate)
+            self._write_rate = self._reduced_write_rate
+            self.set_leading(self._leading)
+
+    def _refusal(self, status: int, error: Any, writes: list[Put | Delete]) -> UnavailableError:
+        """400: malformed, too large or, for a put with a lease, that lease has ended. Either way nothing was done."""
+        text = f"the store answers {status}: {error}"
+        if status != 400 or any(isinstance(write, Put) and write.lease is not None for write in writes):
+            return UnavailableError(text)
+        self.refused += 1
+        limits_reduced = self.reduced_value_bytes < self.value_bytes
+        if limits_reduced:
+            value_bytes = self.reduced_value_bytes
+            log_event(log, logging.INFO, "store_value_limit_reduced", value_bytes=value_bytes, error=error)
+            self.value_bytes = value_bytes
+        return RefusedError(text, limits_reduced)
 
     async def grant(self, ttl_s: float, timeout: float) -> int:
         """A new lease; returns its number."""
