--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -94,7 +94,7 @@
 
     def _may_renew(self, now: float) -> bool:
         """The one rule for every answer that renews a worker's lease (`jobs/cancellations.py`)."""
-        self._cancellations.followed(self._watch_cache.followed_since, self._watch_cache.fresh_at)
+        self._cancellations.observe_watch_cache(self._watch_cache.followed_since, self._watch_cache.fresh_at)
         return self._cancellations.may_renew(now)
 
     def _stop_commands(self, heartbeat: WorkerHeartbeat, now: float) -> list[Command]:
@@ -105,7 +105,7 @@
         commands: list[Command] = []
         for attempt in heartbeat.tasks:
             job_id = attempt.task_id.rpartition("/")[0]
-            over = self._cancellations.known(job_id) or is_cancelled(self._watch_cache.final(job_id))
+            over = self._cancellations.is_cancelled(job_id) or is_cancelled(self._watch_cache.final(job_id))
             if attempt.phase != "exited" and (over or unknown and self._watch_cache.job(job_id) is None):
                 commands.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
         return commands
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -90,7 +90,7 @@
         promised = request.promise and failing and not self._elector.acquiring
         if promised:
             self._promise()
-        known = self._cancellations.tell(request.cancellations, trio.current_time())
+        known = self._cancellations.answer_peer(request.cancellations, trio.current_time())
         return PromiseAnswer(promised, failing, known).to_body()
 
     async def has_other_candidates(self, former: str) -> bool:
@@ -112,7 +112,7 @@
 
     async def _call(self, client: Client, promise: bool, timeout_s: float) -> PromiseAnswer | None:
         """Ask a peer, for a promise or only for what it knows; None if there is no proper answer."""
-        request = PromiseRequest(promise, self._cancellations.ask(trio.current_time()))
+        request = PromiseRequest(promise, self._cancellations.peer_request(trio.current_time()))
         try:
             status, body = await client.request("POST", "/promise", request.to_body(), timeout_s)
         except (NotSentError, NoAnswerError) as error:
@@ -138,7 +138,7 @@
         if answer is None:
             return
         # Before its promise counts: what is renewed on it rests on what the peer knows.
-        learnt = self._cancellations.take(peer, answer.known, sent_at, trio.current_time())
+        learnt = self._cancellations.merge_peer_answer(peer, answer.known, sent_at, trio.current_time())
         if learnt:
             log_event(log, logging.INFO, "cancellations_learnt", peer=self._labels[peer], jobs=len(learnt))
             self._on_cancelled(learnt)
