--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -68,3 +68,31 @@
 
 def test_every_part_has_a_layer() -> None:
     assert {part_of(module_of(path)) for path in product_files()} - {""} == set(LEVEL)
+
+
+def circles(imports: dict[str, set[str]]) -> list[set[str]]:
+    """Sets of modules that reach one another through their imports."""
+
+    def reachable(start: str) -> set[str]:
+        found: set[str] = set()
+        pending = [start]
+        while pending:
+            following = imports.get(pending.pop(), set()) - found
+            found |= following
+            pending.extend(following)
+        return found
+
+    reached = {module: reachable(module) for module in imports}
+    joined = {module: {other for other in reached[module] if module in reached.get(other, set())} for module in imports}
+    return sorted({frozenset(members) for members in joined.values() if members}, key=sorted)  # type: ignore[return-value]
+
+
+def test_circles_are_found() -> None:
+    assert circles({"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": {"a"}}) == [{"b", "c"}]
+    assert circles({"a": {"b"}, "b": set()}) == []
+
+
+def test_no_two_modules_import_one_another() -> None:
+    modules = {module_of(path) for path in product_files()}
+    imports = {module_of(path): set(imported_modules(path, modules)) & modules for path in product_files()}
+    assert circles(imports) == []
