--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -83,8 +83,8 @@
         return found
 
     reached = {module: reachable(module) for module in imports}
-    joined = {module: {other for other in reached[module] if module in reached.get(other, set())} for module in imports}
-    return sorted({frozenset(members) for members in joined.values() if members}, key=sorted)  # type: ignore[return-value]
+    found = {frozenset(other for other in reached[name] if name in reached.get(other, set())) for name in imports}
+    return [set(members) for members in sorted(found, key=sorted) if members]
 
 
 def test_circles_are_found() -> None:
