--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -166,9 +166,12 @@
                 },
             ),
             on_catalog=self._on_catalog,
-            on_drain=lambda: self._wake_scheduler.set(),
+            on_drain=self._request_scheduling_cycle,
         )
 
+    def _request_scheduling_cycle(self) -> None:
+        self._wake_scheduler.set()  # asked at the call, since the event is replaced with each cycle
+
     def _on_promised(self, until: float) -> None:
         if self.cluster is not None:
             self.cluster.renewed_by_others = max(self.cluster.renewed_by_others, until)
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -10,6 +10,7 @@
 import trio
 
 from sorrelsill import constants
+from sorrelsill.events import log_event
 from sorrelsill.jobs import Cancellations, InvalidJobError, parse_record
 from sorrelsill.store import WatchCache
 from sorrelsill.workers import ClusterState
@@ -76,7 +77,7 @@
         try:
             spec, done, _ = parse_record(value, self._watch_cache.chunks(job_id))
         except (InvalidJobError, ValueError, TypeError) as error:
-            log.error("record of %s, which is over: %s", job_id, error)
+            log_event(log, logging.ERROR, "record_damaged", job=job_id, ended=True, error=error)
             return False
         cluster.add_ended_job(spec, done)
         return True
@@ -87,7 +88,7 @@
             accepted = float(value.get("t") or 0.0)
         except (InvalidJobError, ValueError, TypeError) as error:
             # Guards against one damaged record stopping all the others.
-            log.error("record of %s: %s", job_id, error)
+            log_event(log, logging.ERROR, "record_damaged", job=job_id, ended=False, error=error)
             return False
         now = trio.current_time()
         age_s = max(0.0, self._time_of_day() - accepted)
--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/parts.py
@@ -106,24 +106,10 @@
         admission=Admission(store, watch_cache, platform.teams, environment.time_of_day),
         watchdog=watchdog,
         elector=elector,
-        degraded_mode=DegradedMode(
-            store,
-            elector,
-            settings.members,
-            make_client,
-            cancellations,
-            on_promised=callbacks.on_promised,
-            on_cancelled=callbacks.on_cancelled,
-        ),
+        degraded_mode=_make_degraded_mode(environment, callbacks, store, elector, cancellations),
         scheduler=_make_scheduler(environment),
         cloud=Cloud(make_client(settings.services.cloud), platform.cloud),
-        command_sender=CommandSender(
-            make_client,
-            elector.valid,
-            partial(jobs_are_fresh, watch_cache),
-            CallLimits.derive(platform.quota.sockets),
-            callbacks.on_worker_answer,
-        ),
+        command_sender=_make_command_sender(environment, callbacks, watch_cache, elector),
         membership=_make_membership(environment, callbacks, store, watch_cache),
     )
 
@@ -151,6 +137,36 @@
     return elector
 
 
+def _make_degraded_mode(
+    environment: Environment,
+    callbacks: ControllerCallbacks,
+    store: KeyValueStore,
+    elector: LeaderElector,
+    cancellations: Cancellations,
+) -> DegradedMode:
+    return DegradedMode(
+        store,
+        elector,
+        environment.settings.members,
+        environment.make_client,
+        cancellations,
+        on_promised=callbacks.on_promised,
+        on_cancelled=callbacks.on_cancelled,
+    )
+
+
+def _make_command_sender(
+    environment: Environment, callbacks: ControllerCallbacks, watch_cache: WatchCache, elector: LeaderElector
+) -> CommandSender:
+    return CommandSender(
+        environment.make_client,
+        elector.valid,
+        partial(jobs_are_fresh, watch_cache),
+        CallLimits.derive(environment.settings.platform.quota.sockets),
+        callbacks.on_worker_answer,
+    )
+
+
 def _make_scheduler(environment: Environment) -> Scheduler:
     settings = environment.settings
     return Scheduler(
--- a/sorrelsill/http/test_http.py
+++ b/sorrelsill/http/test_http.py
@@ -183,11 +183,8 @@
             return here
 
         for how, expected in ((refuse, NotSentError), (hang, NotSentError), (connect, NoAnswerError)):
-            try:
+            with pytest.raises((NotSentError, NoAnswerError)) as caught:
                 await Client("10.0.0.1:80", how).request("GET", "/", timeout=1.0)
-            except (NotSentError, NoAnswerError) as error:
-                assert type(error) is expected
-            else:
-                raise AssertionError("an answer out of nowhere")
+            assert caught.type is expected
 
     _play(tell, silent)
--- a/sorrelsill/model/test_task_set.py
+++ b/sorrelsill/model/test_task_set.py
@@ -23,5 +23,5 @@
 
 
 def test_a_damaged_text_is_refused() -> None:
-    with pytest.raises(ValueError):
+    with pytest.raises(ValueError, match="task 4 of 4"):
         TaskSet(4).merge("2-7", 0)
--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -219,7 +219,7 @@
         simulation.net.hold_request = lambda src, dst, request: src == old and request.path == "/follow"
         simulation.store.refused.clear()
         simulation.store.end_outage()
-        await simulation.until(lambda: node.elector.valid(), 10)
+        await simulation.until(node.elector.valid, 10)
         assert node.elector.term == term
         await trio.sleep(2 * CANCEL_S)
         simulation.net.hold_request = lambda src, dst, request: False
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -3,12 +3,14 @@
 
 from collections.abc import Callable
 
+import msgspec
 import trio
 import trio.testing
 
 from sorrelsill import constants
 from sorrelsill.http import Client, MaySend, NoAnswerError, always
 from sorrelsill.model import TaskSet
+from sorrelsill.store import WatchCache, chunk_key, job_key, registry_key
 from sorrelsill.workers import CallLimits, CommandSender
 from tests.simulation import LOSS_S, OVERDUE_S, VALIDITY_S, LeaderInMemory, array_job, count_calls
 
@@ -151,9 +153,6 @@
 
 def test_a_registry_of_all_machines_fits_the_smallest_value() -> None:
     """Its parts hold machines of the past as well until they are proved empty."""
-    import msgspec
-
-    from sorrelsill.store import registry_key
 
     parts: dict[str, dict[str, object]] = {}
     for number in range(2 * MACHINES):
@@ -164,7 +163,6 @@
 
 
 def test_a_failover_costs_each_job_the_same_however_many_there_are() -> None:
-    from sorrelsill.store import WatchCache, chunk_key, job_key
 
     def calls(jobs: int) -> float:
         watch_cache = WatchCache.__new__(WatchCache)
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -6,7 +6,11 @@
 import trio
 
 from sorrelsill import constants
-from sorrelsill.settings import Team
+from sorrelsill.jobs import parse_spec
+from sorrelsill.model import Catalog, MachineType, TaskSet
+from sorrelsill.placement import Scheduler
+from sorrelsill.settings import Objective, Team
+from sorrelsill.workers import ClusterState
 from tests.simulation import SimulatedCluster, job, run_scenario
 
 
@@ -343,11 +347,6 @@
 
 def test_capacity_is_kept_ready_for_one_more_gang_where_cost_counts_but_not_for_ever() -> None:
     """Guards against this: arrays filled every gap, and gangs that should start within seconds waited for 20."""
-    from sorrelsill.jobs import parse_spec
-    from sorrelsill.model import Catalog, MachineType, TaskSet
-    from sorrelsill.placement import Scheduler
-    from sorrelsill.settings import Objective
-    from sorrelsill.workers import ClusterState
 
     kind = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 5.0, ("a", "b"))
     cluster = ClusterState(1, 0.0, Catalog({"c8": kind}), 11.0, 3.0)
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -2,6 +2,7 @@
 
 import msgspec
 import trio
+import trio._core._run as trio_run
 
 from sorrelsill.http import Request
 from sorrelsill.settings import Team
@@ -229,8 +230,6 @@
         await simulation.submit(job("run-a", shards=8))
         await simulation.until_phase("run-a", "done")
 
-    import trio._core._run as trio_run
-
     trio_run._r.seed(0)
     first = run_scenario(scenario, seed=5).starts
     trio_run._r.seed(0)
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -8,6 +8,7 @@
 import pytest
 import trio
 
+from sorrelsill import constants
 from sorrelsill.http import Request
 from sorrelsill.jobs import chunk_value, new_record, parse_record, parse_spec, record_value
 from sorrelsill.jobs.machine_registry import next_registry_write
@@ -297,7 +298,6 @@
 
 def test_promises_are_understood_both_ways_and_last_as_long() -> None:
     old = production.module("constants")
-    from sorrelsill import constants as new
 
     shared = (
         "PROMISE_S",
@@ -313,4 +313,4 @@
     )
     former_names = {"REGISTRY_PARTS": "ROSTER_PARTS", "ATTEMPT_COUNTER_BITS": "TRY_BITS", "CHUNK_TASKS": "CHUNK_SHARDS"}
     for name in shared:
-        assert getattr(old, former_names.get(name, name)) == getattr(new, name), name
+        assert getattr(old, former_names.get(name, name)) == getattr(constants, name), name
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,5 @@
-"""The packages import only downwards, so that each can be read, and tested, without those above it."""
+"""The shape of the product: packages import only downwards, so that each can be read without those above it, and functions
+are short."""
 
 from __future__ import annotations
 
@@ -8,6 +9,7 @@
 
 import pytest
 
+LONGEST_FUNCTION = 40  # lines
 PACKAGE = Path(__file__).resolve().parents[1] / "sorrelsill"
 
 # From the bottom to the top. What stands on one line may not import its neighbours.
@@ -55,7 +57,7 @@
     return module.split(".")[1] if "." in module else ""
 
 
-@pytest.mark.parametrize("path", product_files(), ids=lambda path: module_of(path))
+@pytest.mark.parametrize("path", product_files(), ids=module_of)
 def test_a_module_imports_only_its_own_package_and_lower_ones(path: Path) -> None:
     part = part_of(module_of(path))
     if not part:
@@ -96,3 +98,14 @@
     modules = {module_of(path) for path in product_files()}
     imports = {module_of(path): set(imported_modules(path, modules)) & modules for path in product_files()}
     assert circles(imports) == []
+
+
+def test_no_function_is_long() -> None:
+    functions = (
+        (path, node)
+        for path in product_files()
+        for node in ast.walk(ast.parse(path.read_text()))
+        if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
+    )
+    lengths = {f"{module_of(path)}.{node.name}": (node.end_lineno or 0) - node.lineno + 1 for path, node in functions}
+    assert {name: lines for name, lines in lengths.items() if lines > LONGEST_FUNCTION} == {}
