--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,5 +1,4 @@
-"""The shape of the product: packages import only downwards, so that each can be read without those above it, and functions
-are short."""
+"""The shape of the product: packages import only downwards, so that each can be read by itself; functions are short."""
 
 from __future__ import annotations
 
