--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -12,7 +12,7 @@
 import trio
 
 from sorrelsill import constants
-from sorrelsill.controller.heartbeat_routes import HeartbeatRoutes, is_cancelled
+from sorrelsill.controller.heartbeat_routes import HeartbeatRoutes
 from sorrelsill.controller.leader_term import LeaderTerm
 from sorrelsill.controller.operator_state import controller_state, team_states
 from sorrelsill.controller.parts import ControllerCallbacks, Environment, build_parts
@@ -21,9 +21,9 @@
 from sorrelsill.events import log_event
 from sorrelsill.fleet import FleetManager, FleetSettings, parse_catalog
 from sorrelsill.http import Client, Reply, Request
-from sorrelsill.jobs import RecordWriter, json_size
+from sorrelsill.jobs import RecordWriter, ended_as, json_size
 from sorrelsill.membership import MembershipSettings
-from sorrelsill.model import Catalog
+from sorrelsill.model import Catalog, JobPhase
 from sorrelsill.settings import OperatorOverrides, Settings
 from sorrelsill.store import CATALOG, JOB_PREFIX, LEADER, AmbiguousError, Compare, Put, UnavailableError
 from sorrelsill.workers import ClusterState, enforce_gang_completeness
@@ -179,7 +179,7 @@
     def _on_final(self, job_id: str, value: Any) -> None:
         if self.cluster is not None:
             self.cluster.end_job(job_id)  # its record may be followed later than its final state
-        if is_cancelled(value):
+        if ended_as(value, JobPhase.CANCELLED):
             self.cancellations.add(job_id, trio.current_time())
 
     def _on_cancelled(self, job_ids: list[str]) -> None:
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -11,7 +11,16 @@
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.jobs import Cancellations, InvalidJobError, parse_record
+from sorrelsill.jobs import (
+    Cancellations,
+    InvalidJobError,
+    accepted_at,
+    ended_as,
+    has_inline_tasks,
+    parse_record,
+    running_count,
+)
+from sorrelsill.model import JobPhase
 from sorrelsill.store import WatchCache
 from sorrelsill.workers import ClusterState
 
@@ -71,8 +80,7 @@
 
     def _add_ended(self, cluster: ClusterState, job_id: str, value: Any) -> bool:
         """A job that is over, with its last live record. False if that is damaged."""
-        final = self._watch_cache.final(job_id)
-        if isinstance(final, dict) and final.get("p") == "done":
+        if ended_as(self._watch_cache.final(job_id), JobPhase.DONE):
             return True  # nothing of it can run
         try:
             spec, done, _ = parse_record(value, self._watch_cache.chunks(job_id))
@@ -85,7 +93,7 @@
     def _add(self, cluster: ClusterState, job_id: str, value: Any, rev: int) -> bool:
         try:
             spec, done, why = parse_record(value, self._watch_cache.chunks(job_id))
-            accepted = float(value.get("t") or 0.0)
+            accepted = accepted_at(value)
         except (InvalidJobError, ValueError, TypeError) as error:
             # Guards against one damaged record stopping all the others.
             log_event(log, logging.ERROR, "record_damaged", job=job_id, ended=False, error=error)
@@ -94,10 +102,9 @@
         age_s = max(0.0, self._time_of_day() - accepted)
         job = cluster.add_job(spec, done, rev, rev <= cluster.term, now - age_s, why, accepted)
         # What the record says already need not be written again: after a failover that would be one write a job.
-        running = value.get("r")
-        job.recorded_running = running if isinstance(running, int) else 0
+        job.recorded_running = running_count(value)
         job.chunked |= bool(self._watch_cache.chunk_keys(job_id))
-        if job.chunked and value.get("d"):
+        if job.chunked and has_inline_tasks(value):
             # Written by the version before this one, which knows of no parts beside the record of a smaller job: what
             # it adds stands only there, and has to go into the parts before the record leaves it out.
             job.unrecorded_parts.update(range(-(-spec.task_count // constants.PART_TASKS)))
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -4,13 +4,14 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 import trio
 
 from sorrelsill.controller.parts import ControllerParts, jobs_are_fresh
 from sorrelsill.http import Reply, Request
+from sorrelsill.jobs import ended_as
+from sorrelsill.model import JobPhase
 from sorrelsill.workers import (
     ClusterState,
     Command,
@@ -27,11 +28,6 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def is_cancelled(final: Any) -> bool:
-    """Whether a final record says that its job was cancelled."""
-    return isinstance(final, dict) and final.get("p") == "cancelled"
-
-
 class HeartbeatRoutes:
     """The workers' side of a controller."""
 
@@ -105,7 +101,8 @@
         commands: list[Command] = []
         for attempt in heartbeat.tasks:
             job_id = attempt.task_id.rpartition("/")[0]
-            over = self._cancellations.is_cancelled(job_id) or is_cancelled(self._watch_cache.final(job_id))
+            final = self._watch_cache.final(job_id)
+            over = self._cancellations.is_cancelled(job_id) or ended_as(final, JobPhase.CANCELLED)
             if attempt.phase != "exited" and (over or unknown and self._watch_cache.job(job_id) is None):
                 commands.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
         return commands
--- a/sorrelsill/jobs/__init__.py
+++ b/sorrelsill/jobs/__init__.py
@@ -6,13 +6,17 @@
 from sorrelsill.jobs.messages import parse_spec, valid_job_id
 from sorrelsill.jobs.record_writer import RecordWriter
 from sorrelsill.jobs.records import (
+    accepted_at,
     chunk_value,
+    ended_as,
     final_record,
+    has_inline_tasks,
     impossible,
     json_size,
     new_record,
     parse_record,
     record_value,
+    running_count,
 )
 from sorrelsill.jobs.user_answers import Answer, ErrorAnswer, JobAnswer, TeamJobsAnswer
 
@@ -27,13 +31,17 @@
     "JobError",
     "RecordWriter",
     "TeamJobsAnswer",
+    "accepted_at",
     "chunk_value",
+    "ended_as",
     "final_record",
+    "has_inline_tasks",
     "impossible",
     "json_size",
     "new_record",
     "parse_record",
     "parse_spec",
     "record_value",
+    "running_count",
     "valid_job_id",
 ]
--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -108,6 +108,16 @@
     return _count(record, "r")
 
 
+def accepted_at(record: dict[str, Any]) -> float:
+    """The time of day at which a live record's job was accepted. Raises ValueError or TypeError if that is damaged."""
+    return float(record.get("t") or 0.0)
+
+
+def has_inline_tasks(record: dict[str, Any]) -> bool:
+    """Whether a live record itself names finished tasks, besides those in progress chunks."""
+    return bool(record.get("d"))
+
+
 def _count(record: Any, name: str) -> int:
     """A damaged count must not keep its job's users without an answer."""
     found = record.get(name) if isinstance(record, dict) else None
@@ -124,6 +134,11 @@
     return isinstance(record, dict) and "p" in record
 
 
+def ended_as(record: Any, phase: JobPhase) -> bool:
+    """Whether this is the record of a job that ended in this phase. One that is missing or damaged says no."""
+    return isinstance(record, dict) and record.get("p") == phase.value
+
+
 def final_phase(record: dict[str, Any]) -> str:
     """How the job ended, as its final record says."""
     phase: str = record["p"]
