--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -309,7 +309,7 @@
             try:
                 await step()
             except Exception:
-                log.exception("%s: round failed", name)
+                log.exception("round_failed loop=%s", name)
             await trio.sleep(tick_s)
 
     async def _schedule(self) -> None:
@@ -342,8 +342,10 @@
             await self._save_catalog(self._raw_catalog)
 
     async def _save_catalog(self, raw: Any) -> None:
-        if json_size(raw) > self.store.value_bytes:
-            log.error("the catalog is too long to be kept; a new leader has to wait for the cloud")
+        size = json_size(raw)
+        if size > self.store.value_bytes:
+            # Not kept: a new leader has to wait for the cloud.
+            log_event(log, logging.ERROR, "catalog_too_long", bytes=size, value_bytes=self.store.value_bytes)
             self._stored_catalog = raw
             return
         try:
--- a/sorrelsill/membership/presence.py
+++ b/sorrelsill/membership/presence.py
@@ -9,6 +9,7 @@
 import trio
 
 from sorrelsill import constants
+from sorrelsill.events import log_event
 from sorrelsill.membership.detector import Presence
 from sorrelsill.membership.keys import presence_key
 from sorrelsill.store import AmbiguousError, KeyValueStore, Put, UnavailableError, WatchCache
@@ -39,7 +40,7 @@
             try:
                 await self._step()
             except (UnavailableError, AmbiguousError) as error:
-                log.debug("presence: %s", error)
+                log_event(log, logging.DEBUG, "presence_not_renewed", reason=str(error))
             await trio.sleep(self._lease_s * constants.PRESENCE_RENEW_OF_LEASE)
 
     async def release(self) -> None:
@@ -50,7 +51,7 @@
         try:
             await self._store.revoke(self._lease, self._lease_s * constants.PRESENCE_RENEW_OF_LEASE)
         except (UnavailableError, AmbiguousError) as error:
-            log.debug("the presence lease ends by itself: %s", error)
+            log_event(log, logging.DEBUG, "lease_not_revoked", lease=self._lease, reason=str(error))
 
     async def _step(self) -> None:
         if self._released:
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -9,6 +9,7 @@
 
 from sorrelsill import constants
 from sorrelsill.controller_state import PeerState
+from sorrelsill.events import log_event
 from sorrelsill.http import Client, NoAnswerError, NotSentError, Reply, Request
 from sorrelsill.membership.arrivals import AwakeClock
 from sorrelsill.membership.detector import Detector
@@ -34,6 +35,7 @@
 _HEARTBEAT = _PREFIX + "heartbeat"
 _PROBE = _PREFIX + "probe"
 _NOT_FOUND = 404
+_LONGEST_REASON = 200  # characters in the log: a refused message may hold anything
 
 
 class Membership:
@@ -96,9 +98,15 @@
         handover = self._tracker.started(at)
         if handover is None:
             return
-        steps = ", ".join(f"{name} after {when - handover.begun_at:.2f} s" for name, when in handover.steps())
-        kind = "planned" if handover.planned else "unplanned"
-        log.info("%s handover of the leadership from %s: %s", kind, handover.former, steps)
+        log_event(
+            log,
+            logging.INFO,
+            "handover",
+            term=handover.term,
+            former=handover.former,
+            planned=handover.planned,
+            **{f"{name.replace(' ', '_')}_after_s": at - handover.begun_at for name, at in handover.steps()},
+        )
         self._traces.record(handover, trio.current_time())
 
     def handovers(self) -> list[Handover]:
@@ -150,7 +158,7 @@
         now = trio.current_time()
         if now - self._refusal_logged_at >= constants.REFUSAL_LOG_INTERVAL_S:
             self._refusal_logged_at = now
-            log.warning("membership message refused: %.200s", reason)
+            log_event(log, logging.WARNING, "membership_refused", reason=reason[:_LONGEST_REASON])
         return Reply(400, b"{}", kind="application/json")
 
     @staticmethod
@@ -176,7 +184,8 @@
         taken = self._detector.heard(message, now, self._clock.awake(now), through)
         if taken and before in (Status.SUSPECTED, Status.CONFIRMED):
             self._count("membership_cleared")
-            log.info("%s is alive: %s", message.sender, self.view.peers[message.sender].evidence)
+            evidence = self.view.peers[message.sender].evidence
+            log_event(log, logging.INFO, "membership_cleared", peer=message.sender, evidence=evidence)
         return taken
 
     async def _exchange(self, label: str) -> PeerHeartbeat | None:
@@ -189,7 +198,7 @@
                 self._detector.former_version(label, trio.current_time())
             answer = parse(raw, PeerHeartbeat) if status == 200 else None
         except (NotSentError, NoAnswerError, MalformedMessageError) as error:
-            log.debug("heartbeat to %s: %s", label, error)
+            log_event(log, logging.DEBUG, "heartbeat_not_answered", peer=label, reason=str(error))
             return None
         if answer is None or answer.sender != label or answer.cluster != self._cluster:
             return None
@@ -205,7 +214,7 @@
             )
             answer = parse(raw, ProbeAnswer) if status == 200 else ProbeAnswer()
         except (NotSentError, NoAnswerError, MalformedMessageError) as error:
-            log.debug("probe of %s through %s: %s", target, helper, error)
+            log_event(log, logging.DEBUG, "probe_not_answered", peer=target, through=helper, reason=str(error))
             return False
         heard = answer.heard
         if heard is None or heard.sender != target or heard.cluster != self._cluster:
@@ -248,8 +257,9 @@
             self._record_judgement(peer)
 
     def _record_judgement(self, peer: Peer) -> None:
-        self._count(f"membership_{peer.status.value}")
-        log.info("%s is %s: %s", peer.label, peer.status.value, peer.evidence)
+        event = f"membership_{peer.status.value}"
+        self._count(event)
+        log_event(log, logging.INFO, event, peer=peer.label, evidence=peer.evidence)
 
     async def _probe_round(self, label: str) -> None:
         """Directly first, then through all others that are alive, side by side."""
--- a/sorrelsill/membership/tracing.py
+++ b/sorrelsill/membership/tracing.py
@@ -14,6 +14,7 @@
 from opentelemetry.trace import set_span_in_context
 
 from sorrelsill import constants
+from sorrelsill.events import log_event
 from sorrelsill.membership.handover import Handover
 
 log = logging.getLogger(__name__)
@@ -29,7 +30,8 @@
         for span in spans:
             lasted_s = ((span.end_time or 0) - (span.start_time or 0)) / _NANOSECONDS
             trace_id = f"{span.context.trace_id:032x}" if span.context is not None else "?"
-            log.info("trace %s: %s took %.2f s %s", trace_id, span.name, lasted_s, dict(span.attributes or {}))
+            attributes = dict(span.attributes or {})
+            log_event(log, logging.INFO, "trace", trace=trace_id, span=span.name, took_s=lasted_s, **attributes)
         return SpanExportResult.SUCCESS
 
 
