--- a/sorrelsill/membership/factory.py
+++ b/sorrelsill/membership/factory.py
@@ -20,11 +20,11 @@
     store: KeyValueStore,
     watch_cache: WatchCache,
     make_client: Callable[[str], Client],
-    count: Callable[[str], None],
+    count_event: Callable[[str], None],
 ) -> Membership:
-    """The feature, for a controller; `count` is told of its events."""
+    """The feature, for a controller; `count_event` is told of its events."""
     from sorrelsill.membership.presence import PresenceKeeper  # noqa: PLC0415 - heavy, and start-up time is charged
     from sorrelsill.membership.service import Membership  # noqa: PLC0415
 
     presence = PresenceKeeper(store, watch_cache, settings.label, membership.presence_lease_s)
-    return Membership(settings.label, settings.members, membership, make_client, presence, count)
+    return Membership(settings.label, settings.members, membership, make_client, presence, count_event)
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -48,14 +48,14 @@
         settings: MembershipSettings,
         make_client: Callable[[str], Client],
         presence: PresenceKeeper,
-        count: Callable[[str], None],
+        count_event: Callable[[str], None],
     ) -> None:
         self._label = label
         self._cluster = ",".join(sorted([label, *(member.label for member in members)]))
         self._settings = settings
         self._clients = {member.label: make_client(member.addr) for member in members}
         self._presence = presence
-        self._count = count  # of events, for the metrics
+        self._count_event = count_event
         self._clock = AwakeClock(trio.current_time(), settings.heartbeat_s)
         self._detector = Detector(sorted(self._clients), settings)
         self._sequence = 0
@@ -154,7 +154,7 @@
 
     def _refuse(self, reason: str) -> Reply:
         """Bad input is counted, and named in the log at a bounded rate."""
-        self._count("membership_refused")
+        self._count_event("membership_refused")
         now = trio.current_time()
         if now - self._refusal_logged_at >= constants.REFUSAL_LOG_INTERVAL_S:
             self._refusal_logged_at = now
@@ -178,12 +178,12 @@
         suspected = message.suspects.get(self._label)
         if suspected is not None and suspected >= Incarnation(self._presence.process, self._refutations):
             self._refutations += 1
-            self._count("membership_refuted")
+            self._count_event("membership_refuted")
         now = trio.current_time()
         before = self.view.peers[message.sender].status
         taken = self._detector.heard(message, now, self._clock.awake(now), through)
         if taken and before in (Status.SUSPECTED, Status.CONFIRMED):
-            self._count("membership_cleared")
+            self._count_event("membership_cleared")
             evidence = self.view.peers[message.sender].evidence
             log_event(log, logging.INFO, "membership_cleared", peer=message.sender, evidence=evidence)
         return taken
@@ -258,7 +258,7 @@
 
     def _record_judgement(self, peer: Peer) -> None:
         event = f"membership_{peer.status.value}"
-        self._count(event)
+        self._count_event(event)
         log_event(log, logging.INFO, event, peer=peer.label, evidence=peer.evidence)
 
     async def _probe_round(self, label: str) -> None:
