--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -12,6 +12,7 @@
 import trio
 
 from sorrelsill import constants
+from sorrelsill.controller.encoding import encode
 from sorrelsill.controller.heartbeat_routes import HeartbeatRoutes
 from sorrelsill.controller.leader_term import LeaderTerm
 from sorrelsill.controller.operator_state import controller_state, team_states
@@ -30,8 +31,6 @@
 
 log = logging.getLogger(__name__)
 
-_encode = msgspec.msgpack.Encoder().encode
-
 
 class Controller:
     """One process of the service."""
@@ -244,7 +243,7 @@
         if path == "/ready":
             return Reply(200 if self.ready() else 503)
         if path == "/state":
-            return Reply(200, _encode(self.state()))
+            return Reply(200, encode(self.state()))
         from sorrelsill.metrics import render  # noqa: PLC0415 - the library is heavy, start-up is charged
 
         return Reply(200, render(self.state()), kind="text/plain; version=0.0.4")
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -5,9 +5,9 @@
 import logging
 from collections.abc import Callable
 
-import msgspec
 import trio
 
+from sorrelsill.controller.encoding import encode
 from sorrelsill.controller.parts import ControllerParts, jobs_are_fresh
 from sorrelsill.http import Reply, Request
 from sorrelsill.jobs import ended_as
@@ -25,8 +25,6 @@
 
 log = logging.getLogger(__name__)
 
-_encode = msgspec.msgpack.Encoder().encode
-
 
 class HeartbeatRoutes:
     """The workers' side of a controller."""
@@ -54,7 +52,7 @@
         try:
             heartbeat = parse_heartbeat(request.body)
         except InvalidHeartbeatError as error:
-            return Reply(400, _encode({"error": str(error)}))
+            return Reply(400, encode({"error": str(error)}))
         self._count_event("reports")
         log.debug("heartbeat: %s", heartbeat)
         cluster = self._get_cluster()
@@ -72,21 +70,21 @@
                 answer = cluster.on_heartbeat(heartbeat, now, acting, jobs_are_fresh(self._watch_cache))
             except FencedError as error:
                 self._elector.fenced(error.fencing_token)
-                return Reply(421, _encode({}))
+                return Reply(421, encode({}))
             if answer is None:
                 return Reply(503)
             commands = answer
             self._on_heartbeat()
         if cluster is None or not acting:
             # Nobody leads and nobody can: the worker's own fencing token; its lease goes on and nothing else does.
-            return Reply(200, _encode(HeartbeatResponse(heartbeat.fencing_token, self._stop_commands(heartbeat, now))))
+            return Reply(200, encode(HeartbeatResponse(heartbeat.fencing_token, self._stop_commands(heartbeat, now))))
         # Only a heartbeat that is newer than all before makes the connection the machine's own: not a late copy.
-        return Reply(200, _encode(HeartbeatResponse(cluster.term, commands)), owner=heartbeat.machine)
+        return Reply(200, encode(HeartbeatResponse(cluster.term, commands)), owner=heartbeat.machine)
 
     def _redirect(self) -> Reply:
         # Guards against a process that was paused: its watch cache may name a leader that has ended since.
         label = self._elector.leader_label() if jobs_are_fresh(self._watch_cache) else None
-        return Reply(421, _encode({"upstream": label} if label in self._peer_labels else {}))
+        return Reply(421, encode({"upstream": label} if label in self._peer_labels else {}))
 
     def _may_renew(self, now: float) -> bool:
         """The one rule for every answer that renews a worker's lease (`jobs/cancellations.py`)."""
--- a/sorrelsill/controller/user_routes.py
+++ b/sorrelsill/controller/user_routes.py
@@ -11,6 +11,7 @@
 import trio
 
 from sorrelsill import constants
+from sorrelsill.controller.encoding import encode
 from sorrelsill.events import log_event
 from sorrelsill.http import Reply, Request
 from sorrelsill.jobs import Admission, Answer, BusyError, ErrorAnswer
@@ -18,7 +19,6 @@
 
 log = logging.getLogger(__name__)
 
-_encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder().decode
 _JOB = re.compile(r"/v2/runs/([^/]+)(/cancel|/why)?\Z")
 _TEAM = re.compile(r"/v2/teams/([^/]+)/runs\Z")
@@ -62,7 +62,7 @@
             # Never held back: the user is told at once when to come back.
             self._count_event("busy")
             log_event(log, logging.DEBUG, "answer", path=request.path, status=503, reason=str(busy))
-            return Reply(503, _encode({"error": str(busy)}), [("Retry-After", str(constants.RETRY_AFTER_S))])
+            return Reply(503, encode({"error": str(busy)}), [("Retry-After", str(constants.RETRY_AFTER_S))])
         self._count_event(f"answer_{status}")
         if log.isEnabledFor(logging.DEBUG):
             log_event(
@@ -76,7 +76,7 @@
                 view_revision=self._watch_cache.rev,
                 view_age_s=trio.current_time() - self._watch_cache.fresh_at,
             )
-        return Reply(status, _encode(answer))
+        return Reply(status, encode(answer))
 
     async def _submit(self, request: Request) -> Answer:
         try:
