--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -1,4 +1,4 @@
-"""A controller: what it does when its term changes or its watch cache does, its routes, and the leader's loops."""
+"""A controller: what it does when its term or a followed key changes, its routes, and the leader's loops."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         self.leader_term: LeaderTerm | None = None
         self.catalog: Catalog | None = None
         self._raw_catalog: Any = None  # as the cloud gave it
-        self._stored_catalog: Any = None  # as the state service has it
+        self._stored_catalog: Any = None  # as the key-value store has it
         self.counts: dict[str, int] = {}
         self._wake_scheduler = trio.Event()
         self._draining = False  # stops as planned
@@ -94,7 +94,8 @@
     # --- leadership changes, and what the watch cache tells ---
 
     def _on_term_changed(self, term: int | None) -> None:
-        """Rebuild from the records; the machines' part comes with their heartbeats, before anything is placed."""
+        """A term began or ended. A leader rebuilds its cluster state from the records; what runs on the machines is
+        learnt from their heartbeats before anything is placed."""
         if term is None:
             self.leader_term = None
             if self.membership is not None:
@@ -267,7 +268,7 @@
         return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.any_peer_failing()
 
     def state(self) -> ControllerState:
-        """For operators: what this controller believes."""
+        """For operators: the state of this controller as it sees it."""
         return controller_state(self._parts, self.leader_term, self.counts)
 
     # --- loops ---
@@ -331,7 +332,7 @@
             self.membership.started(cluster.first_bound_at)
         self.command_sender.start_due(cluster, self._nursery)
         self.command_sender.probe_unconfirmed(cluster, self._nursery)
-        # A round's work is charged: leave as much time to answering as it took.
+        # Processor time is limited: leave as much of it to requests as the round took.
         await trio.sleep(max(0.0, trio.current_time() - now))
 
     async def _record(self) -> None:
--- a/sorrelsill/membership/arrivals.py
+++ b/sorrelsill/membership/arrivals.py
@@ -1,7 +1,7 @@
-"""How regularly a controller's heartbeats come, and from when on its silence is suspicious. Pure: time is given.
+"""The intervals between a controller's heartbeats, and after how long a silence it is suspected. Pure: time is given.
 
-The threshold follows the spread of past gaps, so a slow or lossy way raises it by itself. All times are the observer's
-time awake: what it slept through is no silence of anybody."""
+The threshold follows mean and deviation of past intervals, so a slow or lossy network raises it by itself. All times
+leave out what this process did not run for: a pause of the observer is no silence of others."""
 
 from __future__ import annotations
 
@@ -35,23 +35,23 @@
 
 
 class Arrivals:
-    """The gaps between signs of life of one controller."""
+    """The intervals between the heartbeats of one controller."""
 
     def __init__(self, expected_s: float, sigmas: float, least_s: float) -> None:
-        self._expected_s = expected_s  # the gap as long as none was seen
+        self._expected_s = expected_s  # the interval assumed as long as few were seen
         self._sigmas = sigmas
         self._least_s = least_s
         self._gaps: deque[float] = deque(maxlen=constants.GAPS_KEPT)
-        self.last: float | None = None  # time awake of the last one
+        self.last: float | None = None  # time awake at the last heartbeat
 
     def arrived(self, awake: float) -> None:
-        """A sign of life came."""
+        """A heartbeat came."""
         if self.last is not None:
             self._gaps.append(max(0.0, awake - self.last))
         self.last = awake
 
     def restart(self) -> None:
-        """A new process: the gap between the two says nothing about its heartbeats."""
+        """A new process runs: the interval from the former one's last heartbeat is not counted."""
         self.last = None
 
     def silence(self, awake: float) -> float:
@@ -59,7 +59,7 @@
         return awake - self.last if self.last is not None else 0.0
 
     def threshold_s(self) -> float:
-        """Silence beyond this is suspicious."""
+        """A controller that is silent for longer than this is suspected."""
         if len(self._gaps) < constants.GAPS_ENOUGH:
             mean, spread = self._expected_s, self._expected_s / 2
         else:
--- a/sorrelsill/membership/detector.py
+++ b/sorrelsill/membership/detector.py
@@ -6,8 +6,8 @@
 
 Silence beyond what past heartbeats explain makes a controller suspected. It is confirmed to be gone only if, besides,
 it was suspected for some time, a whole round of probes since then found nothing, directly and through every other
-controller that answers, and its lease in the state service has ended in a watch cache that is fresh. So an outage
-of the state service, a cut between two controllers, or a refused connection confirms nobody."""
+controller that answers, and its lease in the key-value store has ended in a watch cache that is fresh. So an outage
+of the key-value store, a cut between two controllers, or a refused connection confirms nobody."""
 
 from __future__ import annotations
 
--- a/sorrelsill/membership/handover.py
+++ b/sorrelsill/membership/handover.py
@@ -1,5 +1,5 @@
-"""What a change of leader took, as its successor sees it: from the former leader's last sign of life, or its word that
-it stops, to the successor's first start. Pure: times are given."""
+"""How long a failover took, as the new leader sees it: from the former leader's last heartbeat, or the one that said it
+stops, to the first task that the new leader starts. Pure: times are given."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Handover(msgspec.Struct, frozen=True):
-    """One change of leader; times of the steady clock, None for a step that did not come about."""
+    """One failover; times of the monotonic clock, None for a step that did not happen."""
 
     former: str
     successor: str
     term: int
     planned: bool  # the former leader said that it stops
-    begun_at: float  # its last sign of life, or its word
+    begun_at: float  # its last heartbeat, or the one that said so
     suspected_at: float | None
     confirmed_at: float | None
     key_taken_at: float
@@ -23,11 +23,11 @@
 
     @property
     def lasted_s(self) -> float:
-        """To the first start."""
+        """From the beginning to the first start."""
         return self.first_start_at - self.begun_at
 
     def steps(self) -> list[tuple[str, float]]:
-        """What came about, in the order of time."""
+        """The steps that happened, with their times, in order."""
         named = [
             ("suspected", self.suspected_at),
             ("confirmed", self.confirmed_at),
@@ -38,7 +38,7 @@
 
 
 class _Open(msgspec.Struct, frozen=True):
-    """A term that has begun and has not started anything yet."""
+    """A term that has begun and in which no task was started yet."""
 
     term: int
     former: Peer
@@ -46,7 +46,7 @@
 
 
 class HandoverTracker:
-    """Follows the terms of this controller."""
+    """Follows the terms of this controller, and completes a handover at the first start in each."""
 
     def __init__(self, label: str) -> None:
         self._label = label
--- a/sorrelsill/membership/keys.py
+++ b/sorrelsill/membership/keys.py
@@ -1,6 +1,6 @@
-"""The keys of failure detection in the state service."""
+"""The keys of failure detection in the key-value store."""
 
-PRESENCE_PREFIX = "s/n/"  # keys by which controllers show in the state service that they run
+PRESENCE_PREFIX = "s/n/"  # keys by which controllers show in the key-value store that they run
 
 
 def presence_key(label: str) -> str:
--- a/sorrelsill/membership/messages.py
+++ b/sorrelsill/membership/messages.py
@@ -18,7 +18,7 @@
     """Orders what is heard of a controller: of two processes under one label the later one has the larger number, and a
     process raises its refutations when it learns that it is suspected."""
 
-    process: int = 0  # revision at which the process registered in the state service; 0 before that
+    process: int = 0  # revision at which the process registered in the key-value store; 0 before that
     refutations: int = 0
 
 
--- a/sorrelsill/membership/presence.py
+++ b/sorrelsill/membership/presence.py
@@ -1,6 +1,7 @@
-"""This controller's own key in the state service: attached to a lease, so that its end proves a silence to all.
+"""This controller's presence key in the key-value store. It hangs on a lease that the process renews. Once that has
+ended, every controller sees in its watch cache that the process is gone.
 
-Its revision is the number of the process. The key entitles nobody to anything."""
+The revision of the key is the number of the process. Holding the key gives no right to lead or to act."""
 
 from __future__ import annotations
 
@@ -18,7 +19,7 @@
 
 
 class PresenceKeeper:
-    """Holds the key for as long as the process runs."""
+    """Keeps the presence key and its lease for as long as the process runs."""
 
     def __init__(self, store: KeyValueStore, watch_cache: WatchCache, label: str, lease_s: float) -> None:
         self._store = store
@@ -35,7 +36,7 @@
         return Presence(presence_key(label) in self._watch_cache.keys, fresh and self._store.failing_for() == 0)
 
     async def run(self) -> None:
-        """Register, renew, and register anew when the lease or the key is gone."""
+        """Write the key, renew its lease, and write it anew when the lease or the key is gone."""
         while True:
             try:
                 await self._step()
@@ -44,7 +45,7 @@
             await trio.sleep(self._lease_s * constants.PRESENCE_RENEW_OF_LEASE)
 
     async def release(self) -> None:
-        """End the lease: the process stops as planned."""
+        """Revoke the lease, as the process stops as planned."""
         self._released = True
         if self._lease is None:
             return
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -1,4 +1,4 @@
-"""Heartbeats and probes between controllers, and the loop that judges them."""
+"""Failure detection between controllers: heartbeats, probes, and the loop that sets each controller's status."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Membership:
-    """What this controller knows of the others. It decides nothing; it only tells."""
+    """This controller's view of the others. It informs the election and operators, and decides nothing itself."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
         return list(self._traces.recent)
 
     async def leave(self) -> None:
-        """Tell all others that this controller stops, and give its presence back."""
+        """Tell all others that this controller stops, and revoke the lease of its presence key."""
         self._leaving = True
         async with trio.open_nursery() as nursery:
             for label in self._clients:
@@ -153,7 +153,7 @@
         return cluster == self._cluster and sender in self._clients
 
     def _refuse(self, reason: str) -> Reply:
-        """Bad input is counted, and named in the log at a bounded rate."""
+        """Answer 400. Each refusal is counted; the log gets one in `REFUSAL_LOG_INTERVAL_S` at the most."""
         self._count_event("membership_refused")
         now = trio.current_time()
         if now - self._refusal_logged_at >= constants.REFUSAL_LOG_INTERVAL_S:
@@ -174,7 +174,8 @@
         return PeerHeartbeat(self._cluster, self._label, incarnation, self._sequence, suspects, self._leaving)
 
     def _take(self, message: PeerHeartbeat, through: str | None = None) -> bool:
-        """A sign of life of another controller. We refute what it suspects of this process."""
+        """Take in a heartbeat, directly or by a probe `through` another controller. If its sender suspects us,
+        the next heartbeat refutes that."""
         suspected = message.suspects.get(self._label)
         if suspected is not None and suspected >= Incarnation(self._presence.process, self._refutations):
             self._refutations += 1
@@ -189,7 +190,7 @@
         return taken
 
     async def _exchange(self, label: str) -> PeerHeartbeat | None:
-        """Our heartbeat for the other's; None if it did not answer with one."""
+        """Send our heartbeat and take in the one it is answered with; None if there is none."""
         try:
             status, raw = await self._clients[label].request(
                 "POST", _HEARTBEAT, encode(self._own_heartbeat()), self._settings.probe_timeout_s
@@ -206,7 +207,7 @@
         return answer
 
     async def _probe_through(self, helper: str, target: str) -> bool:
-        """Whether the target answers another controller."""
+        """Probe the target through another controller; True if the target answered it."""
         probe = ProbeRequest(self._cluster, self._label, target)
         try:
             status, raw = await self._clients[helper].request(
@@ -224,7 +225,7 @@
     # --- loops ---
 
     async def run(self) -> None:
-        """Send heartbeats, probe, judge."""
+        """Send heartbeats, probe silent controllers and update their statuses until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._presence.run)
             for label in self._clients:
@@ -262,7 +263,7 @@
         log_event(log, logging.INFO, event, peer=peer.label, evidence=peer.evidence)
 
     async def _probe_round(self, label: str) -> None:
-        """Directly first, then through all others that are alive, side by side."""
+        """Probe a silent controller: directly first, then through all others that are alive, concurrently."""
         begun_at = trio.current_time()
         try:
             if await self._exchange(label) is not None:
--- a/sorrelsill/membership/settings.py
+++ b/sorrelsill/membership/settings.py
@@ -16,11 +16,11 @@
     probe_every_s: float = 1.0  # between two rounds of probes of a suspected controller
     probe_timeout_s: float = 0.8  # for the answer to a probe, direct or through another controller
     confirm_s: float = 4.0  # a controller is suspected for this long at the least before it is confirmed
-    presence_lease_s: float = 10.0  # the lease in the state service that a confirmed controller must have lost
+    presence_lease_s: float = 10.0  # the lease in the key-value store that a confirmed controller must have lost
 
 
 _SHORTEST_S = 0.05  # s; below this a timing would only cost messages
-_LONGEST_S = 600.0  # s; the longest lease that the state service grants
+_LONGEST_S = 600.0  # s; the longest lease that the key-value store grants
 _HEARTBEATS_BEFORE_SUSPICION = 2.0  # heartbeats that may be missed
 _RENEWALS_OF_LEASE = 3.0  # renewals of the presence lease before it runs out
 
--- a/sorrelsill/membership/tracing.py
+++ b/sorrelsill/membership/tracing.py
@@ -1,4 +1,4 @@
-"""Handovers as traces, in OpenTelemetry's form: exported to the log as each ends, without a thread or a disk."""
+"""Handovers as OpenTelemetry traces: exported to the log as each ends, without a thread or a file."""
 
 from __future__ import annotations
 
@@ -51,11 +51,11 @@
     def record(self, handover: Handover, now: float) -> None:
         """The whole handover as a span, and under it one from step to step."""
         self.recent.append(handover)
-        # Only the differences of the steady clock are exact; the time of day places the trace for its readers.
+        # Durations are those of the monotonic clock; the time of day only dates the trace.
         offset_s = self._time_of_day() - now
 
-        def at(steady_s: float) -> int:
-            return int((steady_s + offset_s) * _NANOSECONDS)
+        def at(monotonic_s: float) -> int:
+            return int((monotonic_s + offset_s) * _NANOSECONDS)
 
         attributes: dict[str, Any] = {
             "former": handover.former,
--- a/sorrelsill/membership/view.py
+++ b/sorrelsill/membership/view.py
@@ -1,4 +1,4 @@
-"""What one controller believes of the others: immutable snapshots with a version.
+"""What one controller knows of the others: immutable snapshots with a version.
 
 A decision that waits for an answer holds the snapshot it was made on; a later version tells it what changed meanwhile.
 Views of different controllers may differ. Nothing that is entitled to act rests on them."""
@@ -14,41 +14,41 @@
 
 
 class Status(enum.Enum):
-    """How a controller is judged."""
+    """The status of a controller, as failure detection sets it."""
 
     UNKNOWN = "unknown"  # nothing was heard of it yet
     ALIVE = "alive"
     SUSPECTED = "suspected"
     LEFT = "left"  # it said that it stops
-    CONFIRMED = "confirmed"  # gone: silent, no probe answered, and its lease in the state service has ended
+    CONFIRMED = "confirmed"  # gone: silent, no probe answered, and its lease in the key-value store has ended
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """What is believed of one other controller."""
+    """What is known of one other controller."""
 
     label: str
     status: Status = Status.UNKNOWN
-    since: float = float("-inf")  # when it came to be judged like this
+    since: float = float("-inf")  # when it got this status
     incarnation: Incarnation = Incarnation()
     sequence: int = -1  # of the last heartbeat of this incarnation's process
-    heard_at: float = float("-inf")  # when its last sign of life came
+    heard_at: float = float("-inf")  # when its last heartbeat came
     suspected_at: float | None = None  # since it is silent, if it is suspected or confirmed
     evidence: str = "nothing was heard of it yet"
 
 
 class MembershipView(msgspec.Struct, frozen=True):
-    """One snapshot."""
+    """One snapshot of all other controllers."""
 
     version: int
     peers: Map[str, Peer]
 
     @classmethod
     def of(cls, labels: list[str]) -> MembershipView:
-        """The first one: nothing is known of anybody."""
+        """The first snapshot: nothing was heard yet."""
         return cls(0, Map({label: Peer(label) for label in labels}))
 
     def with_peer(self, peer: Peer) -> MembershipView:
-        """The next one, or this one if the peer is judged and numbered as before."""
+        """The next snapshot, or this one if nothing about the peer has changed."""
         if self.peers[peer.label] == peer:
             return self
         return MembershipView(self.version + 1, self.peers.set(peer.label, peer))
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -1,7 +1,7 @@
 """The platform's settings file (TOML) and the operators' own (HCL), checked, and the timings derived
 from them. Unknown fields are ignored; a bad one is refused with a line that names file, field and reason.
 
-A controller's `label` is its name: the settings file, the wire and the state service know it by that word."""
+A controller's `label` is its name: the settings file, the wire and the key-value store know it by that word."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Services(msgspec.Struct, frozen=True):
-    """Addresses of the cloud and of the state service."""
+    """Addresses of the cloud and of the key-value store."""
 
     cloud: str
     state: str
@@ -74,7 +74,7 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """What the state service will allow from some moment on, without notice; 0 where nothing changes."""
+    """What the key-value store will allow from some moment on, without notice; 0 where nothing changes."""
 
     write_rps: float = 0.0
     value_kb: float = 0.0
@@ -82,7 +82,7 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True):
-    """Rates and sizes that the state service allows."""
+    """Rates and sizes that the key-value store allows."""
 
     rps: float
     write_rps: float
