--- a/sorrelsill/cli.py
+++ b/sorrelsill/cli.py
@@ -17,32 +17,35 @@
 from sorrelsill.membership import load_membership
 from sorrelsill.settings import SettingsError, Timings, load, load_operator, split_addr
 
-F = TypeVar("F", bound=Callable[..., Any])
+CommandFunction = TypeVar("CommandFunction", bound=Callable[..., Any])
 
 
-def _ask(addr: str, method: str, target: str, body: Any = None) -> Any:
-    """One request to a controller; anything but 200 or 201 ends the command with its reason."""
+def _request(address: str, method: str, target: str, body: Any = None) -> Any:
+    """Send one request to a controller and return its decoded answer. No answer, or a status other than 200 and 201,
+    ends the command with the reason."""
     try:
-        split_addr(addr)
+        split_addr(address)
     except ValueError as error:
         raise click.UsageError(f"--controller: {error}") from None
-    data = msgspec.msgpack.encode(body) if body is not None else b""
+    encoded = msgspec.msgpack.encode(body) if body is not None else b""
     try:
-        status, raw = trio.run(Client(addr).request, method, target, data, constants.CLI_TIMEOUT_S)
+        status_code, raw = trio.run(Client(address).request, method, target, encoded, constants.CLI_TIMEOUT_S)
         answer = msgspec.msgpack.decode(raw) if raw else {}
     except (NotSentError, NoAnswerError, msgspec.DecodeError) as error:
         raise click.ClickException(str(error)) from None
-    if status not in (200, 201):
+    if status_code not in (200, 201):
         reason = answer.get("error") if isinstance(answer, dict) else None
-        raise click.ClickException(f"{status}{f': {reason}' if reason else ''}")
+        raise click.ClickException(f"{status_code}{f': {reason}' if reason else ''}")
     return answer
 
 
-def _print(answer: Any) -> None:
+def _print_json(answer: Any) -> None:
+    """Print an answer as indented JSON."""
     click.echo(orjson.dumps(answer, option=orjson.OPT_INDENT_2).decode())
 
 
-def _controller(command: F) -> F:
+def _controller_option(command: CommandFunction) -> CommandFunction:
+    """The option `--controller`, which every command that talks to a controller has."""
     return click.option(
         "--controller", "-c", required=True, envvar="SORRELSILL_CONTROLLER", help="address of any controller, IP:PORT"
     )(command)
@@ -60,9 +63,9 @@
 @click.option("--membership", default=None, help="turns failure detection on (HCL, see deploy/membership.hcl)")
 def serve(config: str, operator: str | None, membership: str | None) -> None:
     """Run a controller until it is killed."""
-    from sorrelsill.serve import serve as run  # noqa: PLC0415 - only this verb needs the whole service
+    from sorrelsill.serve import serve as run_service  # noqa: PLC0415 - only this command needs the whole service
 
-    sys.exit(run(config, operator, membership))
+    sys.exit(run_service(config, operator, membership))
 
 
 @main.command()
@@ -81,11 +84,11 @@
     shown = {"label": settings.label, **msgspec.to_builtins(timings)}
     if detection is not None:
         shown["membership"] = msgspec.to_builtins(detection)
-    _print(shown)
+    _print_json(shown)
 
 
 @main.command()
-@_controller
+@_controller_option
 @click.argument("file", type=click.File("rb"))
 def submit(controller: str, file: Any) -> None:
     """Submit a job described in a JSON FILE (- for standard input)."""
@@ -93,53 +96,54 @@
         body = orjson.loads(file.read())
     except orjson.JSONDecodeError as error:
         raise click.ClickException(f"not JSON: {error}") from None
-    _print(_ask(controller, "POST", "/v2/runs", body))
+    _print_json(_request(controller, "POST", "/v2/runs", body))
 
 
 @main.command()
-@_controller
+@_controller_option
 @click.argument("uid")
 def show(controller: str, uid: str) -> None:
     """A job's state, and why its tasks stopped or wait."""
-    _print(_ask(controller, "GET", f"/v2/runs/{quote(uid, safe='')}/why"))
+    _print_json(_request(controller, "GET", f"/v2/runs/{quote(uid, safe='')}/why"))
 
 
 @main.command("list")
-@_controller
+@_controller_option
 @click.argument("team")
-def list_runs(controller: str, team: str) -> None:
+def list_jobs(controller: str, team: str) -> None:
     """A team's live jobs, and only its own."""
-    after = ""
+    after = ""  # the last job of the page before; a long list comes in pages
     while True:
-        answer = _ask(controller, "GET", f"/v2/teams/{quote(team, safe='')}/runs?after={quote(after, safe='')}")
-        for run in answer["runs"]:
-            after = run["uid"]
-            click.echo(f"{run['uid']}\t{run['workload']}\t{run['phase']}\tdone {run['done']}\trunning {run['running']}")
+        answer = _request(controller, "GET", f"/v2/teams/{quote(team, safe='')}/runs?after={quote(after, safe='')}")
+        for job in answer["runs"]:
+            after = job["uid"]
+            click.echo(f"{job['uid']}\t{job['workload']}\t{job['phase']}\tdone {job['done']}\trunning {job['running']}")
         if not answer["hasNext"]:
             return
 
 
 @main.command()
-@_controller
+@_controller_option
 @click.argument("uid")
 def cancel(controller: str, uid: str) -> None:
     """Cancel a job."""
-    _print(_ask(controller, "POST", f"/v2/runs/{quote(uid, safe='')}/cancel"))
+    _print_json(_request(controller, "POST", f"/v2/runs/{quote(uid, safe='')}/cancel"))
 
 
 @main.command()
-@_controller
+@_controller_option
 def status(controller: str) -> None:
     """What a controller believes: who leads, machines, jobs, waiting tasks, teams' use, the other controllers."""
-    state = _ask(controller, "GET", "/state")
+    state = _request(controller, "GET", "/state")
     peers = state.pop("peers", None) or {}
     teams = state.pop("teams", None) or {}
-    _print(state)
-    for name, use in sorted(teams.items()):
-        limit = use["limit_cpus"] or "no limit"
+    _print_json(state)
+    for name, usage in sorted(teams.items()):
+        limit_cpus, limit_gpus = usage["limit_cpus"] or "no limit", usage["limit_gpus"] or "no limit"
         click.echo(
-            f"{name}\t{use['bound_cpus']} CPUs bound, {use['unaccounted_cpus']} unaccounted, {limit} at the most;"
-            f" {use['bound_gpus']} GPUs bound, {use['unaccounted_gpus']} unaccounted, {use['limit_gpus'] or 'no limit'}"
+            f"{name}\t{usage['bound_cpus']} CPUs bound, {usage['unaccounted_cpus']} unaccounted,"
+            f" {limit_cpus} at the most; {usage['bound_gpus']} GPUs bound,"
+            f" {usage['unaccounted_gpus']} unaccounted, {limit_gpus}"
         )
     for label, peer in sorted(peers.items()):
         since = f" for {peer['for_s']} s" if peer["for_s"] is not None else ""
