--- a/sorrelsill/membership/test_tracing.py
+++ b/sorrelsill/membership/test_tracing.py
@@ -1,5 +1,8 @@
 """Handovers as OpenTelemetry traces."""
 
+import logging
+
+import pytest
 from opentelemetry.sdk.trace.export.in_memory_span_exporter import InMemorySpanExporter
 
 from sorrelsill import constants
@@ -31,3 +34,13 @@
         traces.record(handover(term), 110.0)
     assert len(traces.recent) == constants.HANDOVERS_KEPT
     assert traces.recent[-1].term == 3 * constants.HANDOVERS_KEPT - 1
+
+
+def test_each_span_is_one_event_in_the_log(caplog: pytest.LogCaptureFixture) -> None:
+    with caplog.at_level(logging.INFO):
+        HandoverTraces("n0").record(handover(), 110.0)
+    lines = [message.split() for message in caplog.messages]
+    assert [line[0] for line in lines] == ["trace"] * 4
+    assert len({line[1] for line in lines}) == 1 and lines[0][1].startswith("trace=")
+    root = next(line for line in lines if "span=handover" in line)
+    assert root[3:] == ["took_s=4.5", "former=n1", "successor=n0", "term=7", "planned=False"]
