--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -1,4 +1,4 @@
-"""A controller: what it does when its term changes or its watch cache does, its routes, and the leader's loops."""
+"""A controller: what it does when its term or a followed key changes, its routes, and the leader's loops."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 import trio
 
 from sorrelsill import constants
-from sorrelsill.controller.heartbeat_routes import HeartbeatRoutes, is_cancelled
+from sorrelsill.controller.encoding import encode
+from sorrelsill.controller.heartbeat_routes import HeartbeatRoutes
 from sorrelsill.controller.leader_term import LeaderTerm
 from sorrelsill.controller.operator_state import controller_state, team_states
 from sorrelsill.controller.parts import ControllerCallbacks, Environment, build_parts
@@ -21,17 +22,15 @@
 from sorrelsill.events import log_event
 from sorrelsill.fleet import FleetManager, FleetSettings, parse_catalog
 from sorrelsill.http import Client, Reply, Request
-from sorrelsill.jobs import RecordWriter, json_size
+from sorrelsill.jobs import RecordWriter, ended_as, json_size
 from sorrelsill.membership import MembershipSettings
-from sorrelsill.model import Catalog
+from sorrelsill.model import Catalog, JobPhase
 from sorrelsill.settings import OperatorOverrides, Settings
 from sorrelsill.store import CATALOG, JOB_PREFIX, LEADER, AmbiguousError, Compare, Put, UnavailableError
 from sorrelsill.workers import ClusterState, enforce_gang_completeness
 
 log = logging.getLogger(__name__)
 
-_encode = msgspec.msgpack.Encoder().encode
-
 
 class Controller:
     """One process of the service."""
@@ -49,7 +48,7 @@
         self.leader_term: LeaderTerm | None = None
         self.catalog: Catalog | None = None
         self._raw_catalog: Any = None  # as the cloud gave it
-        self._stored_catalog: Any = None  # as the state service has it
+        self._stored_catalog: Any = None  # as the key-value store has it
         self.counts: dict[str, int] = {}
         self._wake_scheduler = trio.Event()
         self._draining = False  # stops as planned
@@ -95,7 +94,8 @@
     # --- leadership changes, and what the watch cache tells ---
 
     def _on_term_changed(self, term: int | None) -> None:
-        """Rebuild from the records; the machines' part comes with their heartbeats, before anything is placed."""
+        """A term began or ended. A leader rebuilds its cluster state from the records; what runs on the machines is
+        learnt from their heartbeats before anything is placed."""
         if term is None:
             self.leader_term = None
             if self.membership is not None:
@@ -179,7 +179,7 @@
     def _on_final(self, job_id: str, value: Any) -> None:
         if self.cluster is not None:
             self.cluster.end_job(job_id)  # its record may be followed later than its final state
-        if is_cancelled(value):
+        if ended_as(value, JobPhase.CANCELLED):
             self.cancellations.add(job_id, trio.current_time())
 
     def _on_cancelled(self, job_ids: list[str]) -> None:
@@ -244,7 +244,7 @@
         if path == "/ready":
             return Reply(200 if self.ready() else 503)
         if path == "/state":
-            return Reply(200, _encode(self.state()))
+            return Reply(200, encode(self.state()))
         from sorrelsill.metrics import render  # noqa: PLC0415 - the library is heavy, start-up is charged
 
         return Reply(200, render(self.state()), kind="text/plain; version=0.0.4")
@@ -268,7 +268,7 @@
         return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.any_peer_failing()
 
     def state(self) -> ControllerState:
-        """For operators: what this controller believes."""
+        """For operators: the state of this controller as it sees it."""
         return controller_state(self._parts, self.leader_term, self.counts)
 
     # --- loops ---
@@ -309,7 +309,7 @@
             try:
                 await step()
             except Exception:
-                log.exception("%s: round failed", name)
+                log.exception("round_failed loop=%s", name)
             await trio.sleep(tick_s)
 
     async def _schedule(self) -> None:
@@ -332,7 +332,7 @@
             self.membership.started(cluster.first_bound_at)
         self.command_sender.start_due(cluster, self._nursery)
         self.command_sender.probe_unconfirmed(cluster, self._nursery)
-        # A round's work is charged: leave as much time to answering as it took.
+        # Processor time is limited: leave as much of it to requests as the round took.
         await trio.sleep(max(0.0, trio.current_time() - now))
 
     async def _record(self) -> None:
@@ -342,8 +342,10 @@
             await self._save_catalog(self._raw_catalog)
 
     async def _save_catalog(self, raw: Any) -> None:
-        if json_size(raw) > self.store.value_bytes:
-            log.error("the catalog is too long to be kept; a new leader has to wait for the cloud")
+        size = json_size(raw)
+        if size > self.store.value_bytes:
+            # Not kept: a new leader has to wait for the cloud.
+            log_event(log, logging.ERROR, "catalog_too_long", bytes=size, value_bytes=self.store.value_bytes)
             self._stored_catalog = raw
             return
         try:
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -4,13 +4,14 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
 
-import msgspec
 import trio
 
+from sorrelsill.controller.encoding import encode
 from sorrelsill.controller.parts import ControllerParts, jobs_are_fresh
 from sorrelsill.http import Reply, Request
+from sorrelsill.jobs import ended_as
+from sorrelsill.model import JobPhase
 from sorrelsill.workers import (
     ClusterState,
     Command,
@@ -24,13 +25,6 @@
 
 log = logging.getLogger(__name__)
 
-_encode = msgspec.msgpack.Encoder().encode
-
-
-def is_cancelled(final: Any) -> bool:
-    """Whether a final record says that its job was cancelled."""
-    return isinstance(final, dict) and final.get("p") == "cancelled"
-
 
 class HeartbeatRoutes:
     """The workers' side of a controller."""
@@ -58,7 +52,7 @@
         try:
             heartbeat = parse_heartbeat(request.body)
         except InvalidHeartbeatError as error:
-            return Reply(400, _encode({"error": str(error)}))
+            return Reply(400, encode({"error": str(error)}))
         self._count_event("reports")
         log.debug("heartbeat: %s", heartbeat)
         cluster = self._get_cluster()
@@ -76,21 +70,21 @@
                 answer = cluster.on_heartbeat(heartbeat, now, acting, jobs_are_fresh(self._watch_cache))
             except FencedError as error:
                 self._elector.fenced(error.fencing_token)
-                return Reply(421, _encode({}))
+                return Reply(421, encode({}))
             if answer is None:
                 return Reply(503)
             commands = answer
             self._on_heartbeat()
         if cluster is None or not acting:
             # Nobody leads and nobody can: the worker's own fencing token; its lease goes on and nothing else does.
-            return Reply(200, _encode(HeartbeatResponse(heartbeat.fencing_token, self._stop_commands(heartbeat, now))))
+            return Reply(200, encode(HeartbeatResponse(heartbeat.fencing_token, self._stop_commands(heartbeat, now))))
         # Only a heartbeat that is newer than all before makes the connection the machine's own: not a late copy.
-        return Reply(200, _encode(HeartbeatResponse(cluster.term, commands)), owner=heartbeat.machine)
+        return Reply(200, encode(HeartbeatResponse(cluster.term, commands)), owner=heartbeat.machine)
 
     def _redirect(self) -> Reply:
         # Guards against a process that was paused: its watch cache may name a leader that has ended since.
         label = self._elector.leader_label() if jobs_are_fresh(self._watch_cache) else None
-        return Reply(421, _encode({"upstream": label} if label in self._peer_labels else {}))
+        return Reply(421, encode({"upstream": label} if label in self._peer_labels else {}))
 
     def _may_renew(self, now: float) -> bool:
         """The one rule for every answer that renews a worker's lease (`jobs/cancellations.py`)."""
@@ -105,7 +99,8 @@
         commands: list[Command] = []
         for attempt in heartbeat.tasks:
             job_id = attempt.task_id.rpartition("/")[0]
-            over = self._cancellations.is_cancelled(job_id) or is_cancelled(self._watch_cache.final(job_id))
+            final = self._watch_cache.final(job_id)
+            over = self._cancellations.is_cancelled(job_id) or ended_as(final, JobPhase.CANCELLED)
             if attempt.phase != "exited" and (over or unknown and self._watch_cache.job(job_id) is None):
                 commands.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
         return commands
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -1,4 +1,4 @@
-"""Heartbeats and probes between controllers, and the loop that judges them."""
+"""Failure detection between controllers: heartbeats, probes, and the loop that sets each controller's status."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 from sorrelsill import constants
 from sorrelsill.controller_state import PeerState
+from sorrelsill.events import log_event
 from sorrelsill.http import Client, NoAnswerError, NotSentError, Reply, Request
 from sorrelsill.membership.arrivals import AwakeClock
 from sorrelsill.membership.detector import Detector
@@ -34,10 +35,11 @@
 _HEARTBEAT = _PREFIX + "heartbeat"
 _PROBE = _PREFIX + "probe"
 _NOT_FOUND = 404
+_LONGEST_REASON = 200  # characters in the log: a refused message may hold anything
 
 
 class Membership:
-    """What this controller knows of the others. It decides nothing; it only tells."""
+    """This controller's view of the others. It informs the election and operators, and decides nothing itself."""
 
     def __init__(
         self,
@@ -46,14 +48,14 @@
         settings: MembershipSettings,
         make_client: Callable[[str], Client],
         presence: PresenceKeeper,
-        count: Callable[[str], None],
+        count_event: Callable[[str], None],
     ) -> None:
         self._label = label
         self._cluster = ",".join(sorted([label, *(member.label for member in members)]))
         self._settings = settings
         self._clients = {member.label: make_client(member.addr) for member in members}
         self._presence = presence
-        self._count = count  # of events, for the metrics
+        self._count_event = count_event
         self._clock = AwakeClock(trio.current_time(), settings.heartbeat_s)
         self._detector = Detector(sorted(self._clients), settings)
         self._sequence = 0
@@ -96,9 +98,15 @@
         handover = self._tracker.started(at)
         if handover is None:
             return
-        steps = ", ".join(f"{name} after {when - handover.begun_at:.2f} s" for name, when in handover.steps())
-        kind = "planned" if handover.planned else "unplanned"
-        log.info("%s handover of the leadership from %s: %s", kind, handover.former, steps)
+        log_event(
+            log,
+            logging.INFO,
+            "handover",
+            term=handover.term,
+            former=handover.former,
+            planned=handover.planned,
+            **{f"{name.replace(' ', '_')}_after_s": at - handover.begun_at for name, at in handover.steps()},
+        )
         self._traces.record(handover, trio.current_time())
 
     def handovers(self) -> list[Handover]:
@@ -106,7 +114,7 @@
         return list(self._traces.recent)
 
     async def leave(self) -> None:
-        """Tell all others that this controller stops, and give its presence back."""
+        """Tell all others that this controller stops, and revoke the lease of its presence key."""
         self._leaving = True
         async with trio.open_nursery() as nursery:
             for label in self._clients:
@@ -145,12 +153,12 @@
         return cluster == self._cluster and sender in self._clients
 
     def _refuse(self, reason: str) -> Reply:
-        """Bad input is counted, and named in the log at a bounded rate."""
-        self._count("membership_refused")
+        """Answer 400. Each refusal is counted; the log gets one in `REFUSAL_LOG_INTERVAL_S` at the most."""
+        self._count_event("membership_refused")
         now = trio.current_time()
         if now - self._refusal_logged_at >= constants.REFUSAL_LOG_INTERVAL_S:
             self._refusal_logged_at = now
-            log.warning("membership message refused: %.200s", reason)
+            log_event(log, logging.WARNING, "membership_refused", reason=reason[:_LONGEST_REASON])
         return Reply(400, b"{}", kind="application/json")
 
     @staticmethod
@@ -166,21 +174,23 @@
         return PeerHeartbeat(self._cluster, self._label, incarnation, self._sequence, suspects, self._leaving)
 
     def _take(self, message: PeerHeartbeat, through: str | None = None) -> bool:
-        """A sign of life of another controller. We refute what it suspects of this process."""
+        """Take in a heartbeat, directly or by a probe `through` another controller. If its sender suspects us,
+        the next heartbeat refutes that."""
         suspected = message.suspects.get(self._label)
         if suspected is not None and suspected >= Incarnation(self._presence.process, self._refutations):
             self._refutations += 1
-            self._count("membership_refuted")
+            self._count_event("membership_refuted")
         now = trio.current_time()
         before = self.view.peers[message.sender].status
         taken = self._detector.heard(message, now, self._clock.awake(now), through)
         if taken and before in (Status.SUSPECTED, Status.CONFIRMED):
-            self._count("membership_cleared")
-            log.info("%s is alive: %s", message.sender, self.view.peers[message.sender].evidence)
+            self._count_event("membership_cleared")
+            evidence = self.view.peers[message.sender].evidence
+            log_event(log, logging.INFO, "membership_cleared", peer=message.sender, evidence=evidence)
         return taken
 
     async def _exchange(self, label: str) -> PeerHeartbeat | None:
-        """Our heartbeat for the other's; None if it did not answer with one."""
+        """Send our heartbeat and take in the one it is answered with; None if there is none."""
         try:
             status, raw = await self._clients[label].request(
                 "POST", _HEARTBEAT, encode(self._own_heartbeat()), self._settings.probe_timeout_s
@@ -189,7 +199,7 @@
                 self._detector.former_version(label, trio.current_time())
             answer = parse(raw, PeerHeartbeat) if status == 200 else None
         except (NotSentError, NoAnswerError, MalformedMessageError) as error:
-            log.debug("heartbeat to %s: %s", label, error)
+            log_event(log, logging.DEBUG, "heartbeat_not_answered", peer=label, reason=str(error))
             return None
         if answer is None or answer.sender != label or answer.cluster != self._cluster:
             return None
@@ -197,7 +207,7 @@
         return answer
 
     async def _probe_through(self, helper: str, target: str) -> bool:
-        """Whether the target answers another controller."""
+        """Probe the target through another controller; True if the target answered it."""
         probe = ProbeRequest(self._cluster, self._label, target)
         try:
             status, raw = await self._clients[helper].request(
@@ -205,7 +215,7 @@
             )
             answer = parse(raw, ProbeAnswer) if status == 200 else ProbeAnswer()
         except (NotSentError, NoAnswerError, MalformedMessageError) as error:
-            log.debug("probe of %s through %s: %s", target, helper, error)
+            log_event(log, logging.DEBUG, "probe_not_answered", peer=target, through=helper, reason=str(error))
             return False
         heard = answer.heard
         if heard is None or heard.sender != target or heard.cluster != self._cluster:
@@ -215,7 +225,7 @@
     # --- loops ---
 
     async def run(self) -> None:
-        """Send heartbeats, probe, judge."""
+        """Send heartbeats, probe silent controllers and update their statuses until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._presence.run)
             for label in self._clients:
@@ -248,11 +258,12 @@
             self._record_judgement(peer)
 
     def _record_judgement(self, peer: Peer) -> None:
-        self._count(f"membership_{peer.status.value}")
-        log.info("%s is %s: %s", peer.label, peer.status.value, peer.evidence)
+        event = f"membership_{peer.status.value}"
+        self._count_event(event)
+        log_event(log, logging.INFO, event, peer=peer.label, evidence=peer.evidence)
 
     async def _probe_round(self, label: str) -> None:
-        """Directly first, then through all others that are alive, side by side."""
+        """Probe a silent controller: directly first, then through all others that are alive, concurrently."""
         begun_at = trio.current_time()
         try:
             if await self._exchange(label) is not None:
--- a/sorrelsill/membership/tracing.py
+++ b/sorrelsill/membership/tracing.py
@@ -1,4 +1,4 @@
-"""Handovers as traces, in OpenTelemetry's form: exported to the log as each ends, without a thread or a disk."""
+"""Handovers as OpenTelemetry traces: exported to the log as each ends, without a thread or a file."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 from opentelemetry.trace import set_span_in_context
 
 from sorrelsill import constants
+from sorrelsill.events import log_event
 from sorrelsill.membership.handover import Handover
 
 log = logging.getLogger(__name__)
@@ -29,7 +30,8 @@
         for span in spans:
             lasted_s = ((span.end_time or 0) - (span.start_time or 0)) / _NANOSECONDS
             trace_id = f"{span.context.trace_id:032x}" if span.context is not None else "?"
-            log.info("trace %s: %s took %.2f s %s", trace_id, span.name, lasted_s, dict(span.attributes or {}))
+            attributes = dict(span.attributes or {})
+            log_event(log, logging.INFO, "trace", trace=trace_id, span=span.name, took_s=lasted_s, **attributes)
         return SpanExportResult.SUCCESS
 
 
@@ -49,11 +51,11 @@
     def record(self, handover: Handover, now: float) -> None:
         """The whole handover as a span, and under it one from step to step."""
         self.recent.append(handover)
-        # Only the differences of the steady clock are exact; the time of day places the trace for its readers.
+        # Durations are those of the monotonic clock; the time of day only dates the trace.
         offset_s = self._time_of_day() - now
 
-        def at(steady_s: float) -> int:
-            return int((steady_s + offset_s) * _NANOSECONDS)
+        def at(monotonic_s: float) -> int:
+            return int((monotonic_s + offset_s) * _NANOSECONDS)
 
         attributes: dict[str, Any] = {
             "former": handover.former,
