--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -18,6 +18,7 @@
     HeartbeatResponse,
     InvalidHeartbeatError,
     StopCommand,
+    TaskPhase,
     WorkerHeartbeat,
     parse_heartbeat,
 )
@@ -106,6 +107,6 @@
         for attempt in heartbeat.tasks:
             job_id = attempt.task_id.rpartition("/")[0]
             over = self._cancellations.is_cancelled(job_id) or is_cancelled(self._watch_cache.final(job_id))
-            if attempt.phase != "exited" and (over or unknown and self._watch_cache.job(job_id) is None):
+            if attempt.phase != TaskPhase.EXITED and (over or unknown and self._watch_cache.job(job_id) is None):
                 commands.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
         return commands
--- a/sorrelsill/fleet/utilisation_log.py
+++ b/sorrelsill/fleet/utilisation_log.py
@@ -8,6 +8,7 @@
 from sorrelsill import constants
 from sorrelsill.events import log_event
 from sorrelsill.fleet.fleet_state import FleetState
+from sorrelsill.workers import TaskPhase
 
 log = logging.getLogger(__name__)
 
@@ -66,7 +67,7 @@
             use.machines += 1
             use.cpus += machine.capacity_cpus
             for attempt in machine.attempts.values():
-                if attempt.spec is not None and attempt.phase == "running":
+                if attempt.spec is not None and attempt.phase == TaskPhase.RUNNING:
                     use.running_cpus += attempt.spec.cpus
                 elif attempt.spec is not None:
                     use.starting_cpus += attempt.spec.cpus
--- a/sorrelsill/jobs/due_records.py
+++ b/sorrelsill/jobs/due_records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from sorrelsill import constants
-from sorrelsill.workers import ClusterState, Job
+from sorrelsill.workers import ClusterState, Job, TaskPhase
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     for job in (cluster.jobs[job_id] for job_id in pending):
         if all_tasks_done(job):
             due.ended.append(job)
-        elif bool(job.recorded_running) != any(a.phase == "running" for a in job.bound.values()):
+        elif bool(job.recorded_running) != any(a.phase == TaskPhase.RUNNING for a in job.bound.values()):
             due.started_or_stopped.append(job)
         elif now - job.recorded_at >= interval_s:
             due.progressed.append(job)
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -15,8 +15,10 @@
 from sorrelsill.workers.machine_sets import MachineSet, MachineUnion
 from sorrelsill.workers.messages import (
     Command,
+    ExitCause,
     HeartbeatResponse,
     StopCommand,
+    TaskPhase,
     WorkerHeartbeat,
     parse_heartbeat,
 )
@@ -41,8 +43,10 @@
     "TeamUse",
     "gang_loss",
     "Command",
+    "ExitCause",
     "HeartbeatResponse",
     "StopCommand",
+    "TaskPhase",
     "parse_heartbeat",
     "enforce_gang_completeness",
 ]
