--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -328,8 +328,8 @@
         cluster.wake_scheduler = False
         if not self.scheduler.run_cycle(cluster, now, trio.current_time, constants.CYCLE_BUDGET_S) or lost:
             self._wake_scheduler.set()
-        if self.membership is not None and cluster.first_bound_at is not None:
-            self.membership.started(cluster.first_bound_at)
+        if self.membership is not None and cluster.counters.first_bound_at is not None:
+            self.membership.started(cluster.counters.first_bound_at)
         self.command_sender.start_due(cluster, self._nursery)
         self.command_sender.probe_unconfirmed(cluster, self._nursery)
         # A round's work is charged: leave as much time to answering as it took.
--- a/sorrelsill/controller/operator_state.py
+++ b/sorrelsill/controller/operator_state.py
@@ -32,7 +32,7 @@
         groups_waiting=sum(1 for gang in cluster.gangs.values() if not gang.running()) if cluster else None,
         refused=parts.store.refused,
         set_aside=leader_term.record_writer.quarantined if leader_term is not None else 0,
-        starts_refused=cluster.starts_refused if cluster else None,
+        starts_refused=cluster.counters.starts_refused if cluster else None,
         teams=team_states(cluster, parts.settings.platform.teams) if cluster else None,
         counts=event_counts,
         peers=membership.state() if membership is not None else None,
--- a/sorrelsill/placement/team_quotas.py
+++ b/sorrelsill/placement/team_quotas.py
@@ -38,7 +38,7 @@
             not team.gpus_max or gpus <= team.gpus_max + constants.AMOUNT_TOLERANCE
         )
         if not allowed:
-            cluster.starts_refused += 1
+            cluster.counters.start_refused()
         if log.isEnabledFor(logging.DEBUG):
             _log_quota_check(cluster, spec, tasks, team, use, allowed)
         return allowed
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -1,7 +1,8 @@
 """Workers: heartbeats, incarnations, commands, expired leases, and the leader's view of what may be running where.
 
 From the bottom to the top: the wire's types (`messages`, `errors`); machines, attempts and jobs with their indices;
-the term's records (`cluster_records`), which keep them consistent; what is done on events (`heartbeats`,
+the term's tables (`job_table`, `machine_table`, `allocations`, `term_counters`) and the records over them
+(`cluster_records`), which keep them consistent; what is done on events (`heartbeats`,
 `reported_tasks`, `task_exits`, `adoption`, `loss`, `stopping`, `gangs`, `commands`); `cluster_state`, which puts these
 behind one type; and `command_sender`, the only module with I/O."""
 
--- /dev/null
+++ b/sorrelsill/workers/allocations.py
@@ -0,0 +1,39 @@
+"""Resources allocated to bound attempts: on each machine, and for each team."""
+
+from __future__ import annotations
+
+from sorrelsill.model import JobSpec
+from sorrelsill.workers.machine import Machine
+from sorrelsill.workers.machine_index import MachineIndex
+from sorrelsill.workers.team_usage import BoundUsage
+
+
+class Allocations:
+    """Every change of what is in use on a machine goes through here, so that machine, team and index agree."""
+
+    def __init__(self, index: MachineIndex) -> None:
+        self.by_team = BoundUsage()
+        self._index = index
+
+    def allocate(self, machine: Machine, spec: JobSpec) -> None:
+        """One more task of the job holds room on the machine."""
+        machine.bound_count += 1
+        machine.cpus += spec.cpus
+        machine.gpus += spec.gpus
+        machine.memory_gb += spec.memory_gb
+        self.by_team.take(spec)
+        self._index.room_changed(machine)
+
+    def release(self, machine: Machine, spec: JobSpec) -> None:
+        """One task less."""
+        machine.bound_count -= 1
+        machine.cpus = max(0.0, machine.cpus - spec.cpus)
+        machine.gpus = max(0.0, machine.gpus - spec.gpus)
+        machine.memory_gb = max(0.0, machine.memory_gb - spec.memory_gb)
+        self.by_team.give_back(spec)
+        self._index.room_changed(machine)
+
+    def clear(self, machine: Machine) -> None:
+        """Nothing is left on the machine: what rounding has left goes as well."""
+        machine.cpus = machine.gpus = machine.memory_gb = 0.0
+        self._index.room_changed(machine)
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -13,26 +13,27 @@
 import logging
 from collections.abc import Iterable
 
-from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.model import Catalog, JobSpec, MachineType, Resources, TaskSet
+from sorrelsill.model import Catalog, Resources
+from sorrelsill.workers.allocations import Allocations
 from sorrelsill.workers.attempt_events import log_attempt
 from sorrelsill.workers.attempt_index import AttemptIndex
 from sorrelsill.workers.failover import FailoverReconciliation
 from sorrelsill.workers.job import Job
-from sorrelsill.workers.largest_gangs import LargestGangs
+from sorrelsill.workers.job_table import JobTable
 from sorrelsill.workers.lease_monitor import LeaseMonitor
 from sorrelsill.workers.machine import Attempt, Machine
-from sorrelsill.workers.machine_index import MachineIndex
+from sorrelsill.workers.machine_table import MachineTable
 from sorrelsill.workers.pending_writes import PendingWrites
-from sorrelsill.workers.team_usage import BoundUsage, TeamUse
+from sorrelsill.workers.team_usage import TeamUse
+from sorrelsill.workers.term_counters import TermCounters
 from sorrelsill.workers.tombstones import Tombstones
 
 log = logging.getLogger(__name__)
 
 
 class ClusterRecords:
-    """One term's jobs, machines and attempts, and the changes that keep them consistent with one another."""
+    """One term's jobs, machines and attempts: the changes that concern more than one of them."""
 
     def __init__(
         self,
@@ -51,24 +52,23 @@
         self.peer_s = peer_s  # within this a gang's tasks notice that one is gone, and have to be stopped to checkpoint
         self.failover = FailoverReconciliation()
         self.leases = LeaseMonitor(now, loss_s, validity_s, overdue_s, self.failover)
-        self.jobs: dict[str, Job] = {}
-        self.gangs: dict[str, Job] = {}  # the live jobs whose tasks run together
-        self.largest_gang = LargestGangs()
-        self.machines: dict[str, Machine] = {}
-        self.machines_with_pending_commands: dict[str, Machine] = {}  # may have commands that were not sent yet
-        self.machines_with_reclaim_notice: dict[str, Machine] = {}
-        self.index = MachineIndex()
+        self.counters = TermCounters(term)
+        self._job_table = JobTable()
+        self.jobs = self._job_table.jobs
+        self.gangs = self._job_table.gangs
+        self.largest_gang = self._job_table.largest_gang
+        self._machine_table = MachineTable(catalog, self.leases)
+        self.machines = self._machine_table.machines
+        self.machines_with_pending_commands = self._machine_table.with_pending_commands
+        self.machines_with_reclaim_notice = self._machine_table.with_reclaim_notice
+        self.index = self._machine_table.index
         self.attempts = AttemptIndex()
-        self.bound_usage = BoundUsage()
+        self._allocations = Allocations(self.index)
+        self.bound_usage = self._allocations.by_team
         self.tombstones = Tombstones()
         self.pending_writes = PendingWrites()
         self.heard_at: float | None = None  # receipt of the last heartbeat of any worker in this term
         self.wake_scheduler = True
-        self.starts_refused = 0  # for a team's limit, in this term
-        self.first_bound_at: float | None = None  # when the first task of this term was bound
-        self._changed_jobs: dict[str, None] = {}  # jobs that came, changed or ended since the scheduler last asked
-        self._attempts_made = 0
-        self._jobs_added = 0
 
     @property
     def renewed_by_others(self) -> float:
@@ -91,43 +91,21 @@
 
     # --- jobs ---
 
-    def add_job(
-        self,
-        spec: JobSpec,
-        done: TaskSet,
-        rev: int,
-        from_earlier_term: bool,
-        submitted: float,
-        notes: list[str],
-        accepted: float = 0.0,
-    ) -> Job:
+    def enter_job(self, job: Job) -> None:
         """Enter a live job."""
-        job = Job(spec, done, rev, from_earlier_term, submitted, notes)
-        job.accepted = accepted
-        self._jobs_added += 1
-        job.order = self._jobs_added
-        self.jobs[spec.job_id] = job
-        if spec.is_gang:
-            self.gangs[spec.job_id] = job
-            if done.count:
-                # Its tasks complete together; the version before this one recorded them one by one.
-                for index in range(spec.task_count):
-                    done.add(index)
-            self.largest_gang.add(spec)
-        self.job_changed(spec.job_id)
-        if done.count == spec.task_count and not spec.is_service:
+        spec = job.spec
+        job.order = self.counters.next_job_order()
+        self._job_table.add(job)
+        if job.done.count == spec.task_count and not spec.is_service:
             self.pending_writes.record_due(spec.job_id)
         self.wake_scheduler = True
-        return job
 
     def end_job(self, job_id: str) -> None:
         """The job is over, as committed: none of its tasks may start, all have to go."""
-        job = self.jobs.pop(job_id, None)
-        self.gangs.pop(job_id, None)
+        job = self._job_table.remove(job_id)
         self.pending_writes.record_not_due(job_id)
         if job is None:
             return
-        self.job_changed(job_id)
         if not self.failover.reconciled(job):
             ended = self.failover.add_ended_job(job.spec, job.done.copy())
             for index in job.bound:
@@ -142,20 +120,17 @@
 
     def job_changed(self, job_id: str) -> None:
         """Called wherever a job comes or ends, or what is done or bound of it changes."""
-        self._changed_jobs[job_id] = None
+        self._job_table.mark_changed(job_id)
 
     def take_changed_jobs(self) -> list[str]:
         """The jobs that have changed since this was last called; only the scheduler calls it."""
-        changed = list(self._changed_jobs)
-        self._changed_jobs.clear()
-        return changed
+        return self._job_table.take_changed()
 
     # --- binding ---
 
     def next_attempt_number(self) -> int:
         """Grows within the term and across terms, so no attempt number is ever used twice for a task."""
-        self._attempts_made += 1
-        return (self.term << constants.ATTEMPT_COUNTER_BITS) + self._attempts_made
+        return self.counters.next_attempt_number()
 
     def bind(self, job: Job, index: int, machine: Machine, now: float, attempt_number: int | None = None) -> Attempt:
         """Bind a task to a machine; a gang's tasks are given the attempt number by which they find each other."""
@@ -163,8 +138,7 @@
         attempt.verified = True
         self._attach(attempt, job)
         self.machines_with_pending_commands[machine.name] = machine
-        if self.first_bound_at is None:
-            self.first_bound_at = now
+        self.counters.task_bound(now)
         job.last_activity_at = now
         self.job_changed(job.spec.job_id)
         if job.spec.image not in machine.images:
@@ -190,14 +164,8 @@
 
     def take_room(self, attempt: Attempt) -> None:
         """Count an attempt whose size is known, on its machine and for its team."""
-        machine, spec = attempt.machine, attempt.spec
-        assert spec is not None
-        machine.bound_count += 1
-        machine.cpus += spec.cpus
-        machine.gpus += spec.gpus
-        machine.memory_gb += spec.memory_gb
-        self.bound_usage.take(spec)
-        self.index.room_changed(machine)
+        assert attempt.spec is not None
+        self._allocations.allocate(attempt.machine, attempt.spec)
 
     def unbind(self, attempt: Attempt, now: float, requeue: bool = True) -> None:
         """The attempt is proved gone: give back what it held."""
@@ -207,7 +175,7 @@
         attempt.spec = None
         if self.failover.unconfirmed:
             self.failover.recount()  # it may have been a stale copy, and the true one not observed
-        self._give_back_room(machine, spec)
+        self._allocations.release(machine, spec)
         ended = self.failover.ended.get(spec.job_id)
         if ended is not None and not attempt.verified:
             ended.mark_unobserved(attempt.index)
@@ -219,14 +187,6 @@
             machine.fetching.clear()
         self.wake_scheduler = True
 
-    def _give_back_room(self, machine: Machine, spec: JobSpec) -> None:
-        machine.bound_count -= 1
-        machine.cpus = max(0.0, machine.cpus - spec.cpus)
-        machine.gpus = max(0.0, machine.gpus - spec.gpus)
-        machine.memory_gb = max(0.0, machine.memory_gb - spec.memory_gb)
-        self.bound_usage.give_back(spec)
-        self.index.room_changed(machine)
-
     def _unbind_from_job(self, job: Job, attempt: Attempt, now: float, requeue: bool) -> None:
         zone = attempt.machine.zone
         del job.bound[attempt.index]
@@ -249,46 +209,26 @@
                 job.note(f"task {attempt.index}: {reason} ({machine.name})")
             self.attempts.leave(attempt)
             self.unbind(attempt, now)
-        machine.cpus = machine.gpus = machine.memory_gb = 0.0
-        self.index.room_changed(machine)
+        self._allocations.clear(machine)
 
     # --- machines ---
 
     def set_catalog(self, catalog: Catalog) -> None:
         """Machine types, and so the capacities of machines, are known anew."""
         self.catalog = catalog
-        for machine in self.machines.values():
-            self._apply_capacity(machine)
+        self._machine_table.set_catalog(catalog)
         self.failover.recount()
         self.wake_scheduler = True
 
-    def _apply_capacity(self, machine: Machine) -> None:
-        machine_type: MachineType | None = self.catalog.machine_types.get(machine.machine_type)
-        if machine_type is not None:
-            machine.capacity_cpus = machine_type.cpus
-            machine.capacity_gpus = machine_type.gpus
-            machine.capacity_memory_gb = machine_type.memory_gb
-            machine.cache_gb = machine_type.cache_gb
-            self.index.room_changed(machine)
-
     def machine(self, name: str, machine_type: str, zone: str, spot: bool, now: float) -> Machine:
         """The machine of that name, made if it was not known."""
         machine = self.machines.get(name)
         if machine is None:
-            machine = self.machines[name] = Machine(name, now, self._usable_changed)
-            self.index.room_changed(machine)
+            machine = self._machine_table.add(name, now)
         if machine_type and not machine.machine_type:
-            machine.machine_type, machine.zone, machine.spot = machine_type, zone, spot
-            self._apply_capacity(machine)
+            self._machine_table.identify(machine, machine_type, zone, spot)
         return machine
 
-    def _usable_changed(self, machine: Machine) -> None:
-        if self.machines.get(machine.name) is machine:
-            self.index.usable_changed(machine)
-            if machine.usable:
-                # It was overdue or new: its next check is nearer than that for a lease that expires.
-                self.leases.watch(machine)
-
     def gone_for_certain(self, name: str, now: float, reason: str) -> None:
         """The machine was returned (answered 200), or is listed as failed. Machine names are never used again, so
         whatever still comes under this one is a stale copy."""
@@ -304,14 +244,12 @@
 
     def drop(self, machine: Machine, now: float) -> None:
         """Forget a machine that is lost and listed no more. Should it be alive, a later incarnation shows it."""
-        del self.machines[machine.name]
-        self.index.forget(machine)
+        self._machine_table.remove(machine)
         self._forget(machine.name)
         self.tombstones.record(machine.name, machine.incarnation, machine.sequence_number, now)
 
     def _forget(self, name: str) -> None:
-        self.machines_with_pending_commands.pop(name, None)
-        self.machines_with_reclaim_notice.pop(name, None)
+        self._machine_table.forget_pending(name)
         self.attempts.machines_with_unknown_tasks.pop(name, None)
         self.pending_writes.registration_not_due(name)
 
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -63,7 +63,9 @@
         accepted: float = 0.0,
     ) -> Job:
         """Enter a live job; tasks of it that are on machines already are adopted."""
-        job = super().add_job(spec, done, rev, from_earlier_term, submitted, notes, accepted)
+        job = Job(spec, done, rev, from_earlier_term, submitted, notes)
+        job.accepted = accepted
+        self.enter_job(job)
         adoption.adopt_tasks_of(self, job)
         return job
 
--- /dev/null
+++ b/sorrelsill/workers/machine_table.py
@@ -0,0 +1,63 @@
+"""The machines of a term, and the lists of those with something to do."""
+
+from __future__ import annotations
+
+from sorrelsill.model import Catalog, MachineType
+from sorrelsill.workers.lease_monitor import LeaseMonitor
+from sorrelsill.workers.machine import Machine
+from sorrelsill.workers.machine_index import MachineIndex
+
+
+class MachineTable:
+    """The known machines by name; keeps the index and the timers of the leases in step with them."""
+
+    def __init__(self, catalog: Catalog, leases: LeaseMonitor) -> None:
+        self._catalog = catalog
+        self.machines: dict[str, Machine] = {}
+        self.with_pending_commands: dict[str, Machine] = {}  # may have commands that were not sent yet
+        self.with_reclaim_notice: dict[str, Machine] = {}
+        self.index = MachineIndex()
+        self._leases = leases
+
+    def add(self, name: str, now: float) -> Machine:
+        """Enter a machine of which nothing is known but its name."""
+        machine = self.machines[name] = Machine(name, now, self._usable_changed)
+        self.index.room_changed(machine)
+        return machine
+
+    def identify(self, machine: Machine, machine_type: str, zone: str, spot: bool) -> None:
+        """The machine's type is known now, and its capacity by it."""
+        machine.machine_type, machine.zone, machine.spot = machine_type, zone, spot
+        self._apply_capacity(machine)
+
+    def remove(self, machine: Machine) -> None:
+        """The machine is known no more."""
+        del self.machines[machine.name]
+        self.index.forget(machine)
+
+    def forget_pending(self, name: str) -> None:
+        """Nothing is to be done any more for a machine of that name."""
+        self.with_pending_commands.pop(name, None)
+        self.with_reclaim_notice.pop(name, None)
+
+    def set_catalog(self, catalog: Catalog) -> None:
+        """Machine types, and so the capacities of machines, are known anew."""
+        self._catalog = catalog
+        for machine in self.machines.values():
+            self._apply_capacity(machine)
+
+    def _apply_capacity(self, machine: Machine) -> None:
+        machine_type: MachineType | None = self._catalog.machine_types.get(machine.machine_type)
+        if machine_type is not None:
+            machine.capacity_cpus = machine_type.cpus
+            machine.capacity_gpus = machine_type.gpus
+            machine.capacity_memory_gb = machine_type.memory_gb
+            machine.cache_gb = machine_type.cache_gb
+            self.index.room_changed(machine)
+
+    def _usable_changed(self, machine: Machine) -> None:
+        if self.machines.get(machine.name) is machine:
+            self.index.usable_changed(machine)
+            if machine.usable:
+                # It was overdue or new: its next check is nearer than that for a lease that expires.
+                self._leases.watch(machine)
