--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -2,9 +2,9 @@
 
 From the bottom to the top: the wire's types (`messages`, `errors`); machines, attempts and jobs with their indices;
 the term's tables (`job_table`, `machine_table`, `allocations`, `term_counters`) and the records over them
-(`cluster_records`), which keep them consistent; what is done on events (`heartbeats`,
-`reported_tasks`, `task_exits`, `adoption`, `loss`, `stopping`, `gangs`, `commands`); `cluster_state`, which puts these
-behind one type; and `command_sender`, the only module with I/O."""
+(`cluster_records`), which keep them consistent; what is done on events (`heartbeats`, `reported_tasks`, `task_exits`,
+`adoption`, `loss`, `stopping`, `gangs`, `commands`); `cluster_state`, which puts these behind one type; and the modules
+with I/O: `command_sender` and `machine_probes`, over `worker_connections`."""
 
 from sorrelsill.workers.cluster_state import ClusterState
 from sorrelsill.workers.command_sender import CallLimits, CommandSender
