--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -44,7 +44,7 @@
 QUARANTINE_JOBS: Final = 2  # distinct jobs, each of which succeeded elsewhere, failing on a machine before it is
 #                                  quarantined
 SUSPECT_MACHINES: Final = 2  # machines; a job that failed on so many without a success is probably at fault itself
-ACCUSED_MAX: Final = 3  # machines; a job whose failures would count against more of them is no reliable witness
+BLAMED_MACHINES_MAX: Final = 3  # machines; a job whose failures would count against more of them is no reliable witness
 TRIAL_TASKS: Final = 1  # tasks; of a job that is probably at fault, tried at a time
 REPLICA_PROOF_S: Final = 20.0  # s; a replica that has run for this long shows that its service can run
 MACHINE_AVOID_S: Final = 120.0  # s; a machine that refused or failed a job's task is avoided for that job
--- a/sorrelsill/fleet/reconciliation.py
+++ b/sorrelsill/fleet/reconciliation.py
@@ -22,8 +22,8 @@
         if name not in found and now - instance.since > delay_s:
             del state.booting[name]
     for name, machine in list(state.cluster.machines.items()):
-        if name not in found and machine.lease_expired and now - machine.seen_at > delay_s:
-            state.cluster.drop(machine, now)
+        if name not in found and machine.lease_expired and now - machine.last_seen_at > delay_s:
+            state.cluster.forget_machine(machine, now)
 
 
 def _take(state: FleetState, listed: ListedMachine, now: float) -> None:
@@ -31,7 +31,7 @@
     name = listed.name
     known = name in state.cluster.machines
     if listed.phase == ListedPhase.FAILED:
-        state.cluster.gone_for_certain(name, now, "machine failed")
+        state.cluster.remove_machine(name, now, "machine failed")
         state.booting.pop(name, None)
         state.returns[name] = "failed"
         return
--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -65,7 +65,7 @@
     def _choose_idle(self, machine: Machine, headroom: RetainedHeadroom, now: float) -> None:
         state = self._state
         if machine.lease_expired:
-            if now - machine.seen_at > state.cluster.loss_s + constants.UNRESPONSIVE_RETURN_S:
+            if now - machine.last_seen_at > state.cluster.loss_s + constants.UNRESPONSIVE_RETURN_S:
                 state.returns[machine.name] = "silent"
             return
         if not _is_returnable(machine):
@@ -127,7 +127,7 @@
         state.returns.pop(name, None)
         state.booting.pop(name, None)
         state.returned[name] = now
-        state.cluster.gone_for_certain(name, now, "machine returned")
+        state.cluster.remove_machine(name, now, "machine returned")
 
 
 def _is_returnable(machine: Machine) -> bool:
--- a/sorrelsill/fleet/test_rebalancing.py
+++ b/sorrelsill/fleet/test_rebalancing.py
@@ -84,7 +84,7 @@
         elif rng.random() < 0.9:
             machine.heartbeat_overdue = not machine.heartbeat_overdue
         elif len(cluster.machines) > 5:
-            cluster.gone_for_certain(machine.name, 3.0, "returned")
+            cluster.remove_machine(machine.name, 3.0, "returned")
         spec = rng.choice([small, small, large])
         walked: dict[str, int] = {}
         for each in cluster.machines.values():
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -175,7 +175,7 @@
 
     def _handle_unschedulable(self, cycle: SchedulingCycle, job: Job, limited: bool) -> None:
         """Record the tasks that fit nowhere as demand for the fleet, and preempt for them where that is allowed."""
-        if job.failures.suspect(len(job.bound)):
+        if job.failures.is_suspect(len(job.bound)):
             return  # it fails on every machine: nothing is rented or preempted for it
         count = max(0, job.waiting - self._reservations.tasks_awaiting_room(job.spec.job_id, cycle.now))
         self.unschedulable[job.spec.job_id] = UnschedulableDemand(job, count, limited)
--- a/sorrelsill/placement/test_scheduler.py
+++ b/sorrelsill/placement/test_scheduler.py
@@ -89,7 +89,7 @@
     )
     cluster.end_job("run-a")
     assert cluster.bound_usage.of("red").cpus == 8.0 and all(a.stop_requested for a in machine.attempts.values())
-    cluster.gone_for_certain(machine.name, 2.0, "returned")
+    cluster.remove_machine(machine.name, 2.0, "returned")
     assert (
         cluster.bound_usage.of("red").cpus == 0.0
         and "run-a" not in cluster.attempts.by_job
@@ -109,7 +109,7 @@
     assert index.ready.names() == {full} and not index.free.names()
     index.hold_image(cluster.machines[full], work.spec)
     assert index.holders("img").names() == {full}
-    cluster.gone_for_certain(full, 3.0, "returned")
+    cluster.remove_machine(full, 3.0, "returned")
     assert not index.ready and not index.free and not index.holders("img") and index.idle.names() == {other}
     cluster.machines[other].draining = False
     assert index.ready.names() == index.free.names() == {other}
--- a/sorrelsill/workers/call_pauses.py
+++ b/sorrelsill/workers/call_pauses.py
@@ -36,10 +36,10 @@
         """The machine answers: its next failure counts as the first."""
         self._by_machine.pop(name, None)
 
-    def is_paused(self, name: str, now: float, seen_at: float) -> bool:
-        """Whether the machine is still left alone; not once a heartbeat of it has come since (`seen_at`)."""
+    def is_paused(self, name: str, now: float, last_seen_at: float) -> bool:
+        """Whether the machine is still left alone; not once a heartbeat of it has come since (`last_seen_at`)."""
         pause = self._by_machine.get(name)
-        return pause is not None and now < pause.ends_at and seen_at <= pause.failed_at
+        return pause is not None and now < pause.ends_at and last_seen_at <= pause.failed_at
 
     def retry_at(self, name: str, now: float) -> float:
         """When the machine may be called again."""
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -67,7 +67,7 @@
         self.bound_usage = self._allocations.by_team
         self.tombstones = Tombstones()
         self.pending_writes = PendingWrites()
-        self.heard_at: float | None = None  # receipt of the last heartbeat of any worker in this term
+        self.last_heartbeat_at: float | None = None  # receipt of the last heartbeat of any worker in this term
         self.wake_scheduler = True
 
     @property
@@ -229,7 +229,7 @@
             self._machine_table.identify(machine, machine_type, zone, spot)
         return machine
 
-    def gone_for_certain(self, name: str, now: float, reason: str) -> None:
+    def remove_machine(self, name: str, now: float, reason: str) -> None:
         """The machine was returned (answered 200), or is listed as failed. Machine names are never used again, so
         whatever still comes under this one is a stale copy."""
         machine = self.machines.pop(name, None)
@@ -242,7 +242,7 @@
         self.pending_writes.deregistration_due(name)
         self.wake_scheduler = True
 
-    def drop(self, machine: Machine, now: float) -> None:
+    def forget_machine(self, machine: Machine, now: float) -> None:
         """Forget a machine that is lost and listed no more. Should it be alive, a later incarnation shows it."""
         self._machine_table.remove(machine)
         self._forget(machine.name)
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -15,12 +15,12 @@
     """One term's view of jobs, machines and attempts."""
 
     def on_heartbeat(
-        self, heartbeat: WorkerHeartbeat, now: float, acting: bool = True, fresh: bool = True
+        self, heartbeat: WorkerHeartbeat, now: float, acting: bool = True, jobs_fresh: bool = True
     ) -> list[Command] | None:
         """Take a heartbeat in; the commands for the answer, or None if it must not be answered with 200.
 
         Raises FencedError if the worker has seen a higher fencing token."""
-        commands = heartbeats.on_heartbeat(self, heartbeat, now, acting, fresh)
+        commands = heartbeats.on_heartbeat(self, heartbeat, now, acting, jobs_fresh)
         self._watch_if_new(heartbeat.machine)
         return commands
 
--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -76,7 +76,9 @@
         for machine in list(cluster.machines_with_pending_commands.values()):
             if len(self._busy) - self._probes.in_flight >= self._limits.commands:
                 return
-            if machine.name in self._busy or self._connections.pauses.is_paused(machine.name, now, machine.seen_at):
+            if machine.name in self._busy or self._connections.pauses.is_paused(
+                machine.name, now, machine.last_seen_at
+            ):
                 continue
             if not _may_be_called(machine) or not has_direct_commands(cluster, machine, True):
                 del cluster.machines_with_pending_commands[machine.name]
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -20,7 +20,7 @@
     started: list[Attempt] = field(default_factory=list)  # until the call is answered these may start at any time
 
 
-def commands(cluster: ClusterRecords, machine: Machine, fresh: bool, now: float) -> list[Command]:
+def response_commands(cluster: ClusterRecords, machine: Machine, jobs_fresh: bool, now: float) -> list[Command]:
     """The difference between what is wanted on a machine and what its worker has named."""
     due: list[Command] = []
     for attempt in machine.attempts.values():
@@ -43,7 +43,7 @@
             elif attempt.confirmed and (attempt.phase != TaskPhase.CHECKPOINTING or attempt.grace_period_s == 0):
                 due.append(StopCommand(attempt.task_id, attempt.attempt_number, attempt.grace_period_s))
         elif (
-            fresh
+            jobs_fresh
             and not attempt.confirmed
             and attempt.spec is not None
             and machine.token_acknowledged
@@ -53,18 +53,18 @@
     return due
 
 
-def has_direct_commands(cluster: ClusterRecords, machine: Machine, fresh: bool) -> bool:
+def has_direct_commands(cluster: ClusterRecords, machine: Machine, jobs_fresh: bool) -> bool:
     """Whether a machine is due commands that were not sent yet."""
-    return any(_is_due_directly(cluster, a, fresh) for a in machine.attempts.values())
+    return any(_is_due_directly(cluster, a, jobs_fresh) for a in machine.attempts.values())
 
 
-def _is_due_directly(cluster: ClusterRecords, attempt: Attempt, fresh: bool) -> bool:
+def _is_due_directly(cluster: ClusterRecords, attempt: Attempt, jobs_fresh: bool) -> bool:
     if attempt.exited:
         return False
     if attempt.stop_requested:
         return attempt.confirmed and not attempt.stop_sent and attempt.phase != TaskPhase.CHECKPOINTING
     return (
-        fresh
+        jobs_fresh
         and not attempt.confirmed
         and not attempt.start_sent
         and attempt.spec is not None
@@ -72,11 +72,11 @@
     )
 
 
-def take_direct_commands(cluster: ClusterRecords, machine: Machine, fresh: bool) -> DirectBatch:
+def take_direct_commands(cluster: ClusterRecords, machine: Machine, jobs_fresh: bool) -> DirectBatch:
     """Commands not sent yet, for one direct call; they count as sent from now on."""
     batch = DirectBatch()
     for attempt in machine.attempts.values():
-        if not _is_due_directly(cluster, attempt, fresh):
+        if not _is_due_directly(cluster, attempt, jobs_fresh):
             continue
         if attempt.stop_requested:
             attempt.stop_sent = True
--- a/sorrelsill/workers/failures.py
+++ b/sorrelsill/workers/failures.py
@@ -17,7 +17,7 @@
 
     succeeded: bool = False  # a task of it has completed, or a replica has run for long enough
     machines: set[str] = field(default_factory=set)  # on which it failed since its last success
-    accused: set[str] = field(default_factory=set)  # machines that its failures counted against
+    blamed_machines: set[str] = field(default_factory=set)  # machines that its failures counted against
     failures: int = 0  # since its last success
     trials: int = 0  # bursts of failures since its last success; tasks that fail together are one
     next_trial_at: float = float("-inf")
@@ -43,13 +43,13 @@
         self.next_trial_at = float("-inf")
         return blamed
 
-    def suspect(self, others: int) -> bool:
+    def is_suspect(self, others: int) -> bool:
         """Whether the job itself is probably at fault; `others` of its tasks have not failed yet."""
         return len(self.machines) >= constants.SUSPECT_MACHINES and self.failures >= others
 
     def _blame(self, machines: set[str]) -> set[str]:
-        # A job that accuses many machines is no reliable witness: only some of its tasks may be at fault.
-        if len(self.accused | machines) > constants.ACCUSED_MAX:
+        # A job that blames many machines is no reliable witness: only some of its tasks may be at fault.
+        if len(self.blamed_machines | machines) > constants.BLAMED_MACHINES_MAX:
             return set()
-        self.accused |= machines
+        self.blamed_machines |= machines
         return machines
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from sorrelsill.workers.cluster_records import ClusterRecords
-from sorrelsill.workers.commands import commands
+from sorrelsill.workers.commands import response_commands
 from sorrelsill.workers.errors import FencedError
 from sorrelsill.workers.machine import Machine
 from sorrelsill.workers.messages import Command, WorkerHeartbeat
@@ -14,10 +14,10 @@
 
 
 def on_heartbeat(
-    cluster: ClusterRecords, heartbeat: WorkerHeartbeat, now: float, acting: bool = True, fresh: bool = True
+    cluster: ClusterRecords, heartbeat: WorkerHeartbeat, now: float, acting: bool = True, jobs_fresh: bool = True
 ) -> list[Command] | None:
     """Take a heartbeat in; the commands for the answer, or None if it must not be answered with 200.
-    Without `acting` (degraded mode) there are no commands; without a `fresh` view of the jobs, no starts.
+    Without `acting` (degraded mode) there are no commands; unless `jobs_fresh` (a recent view of the jobs), no starts.
 
     Raises FencedError if the worker has seen a higher fencing token."""
     if heartbeat.fencing_token > cluster.term:
@@ -34,19 +34,19 @@
     follows = same_incarnation and heartbeat.sequence_number == machine.sequence_number + 1
     machine.heartbeat_sequence_number = heartbeat.sequence_number
     machine.has_sent_heartbeat = True
-    machine.seen_at = now
+    machine.last_seen_at = now
     if machine.heartbeat_overdue:
         machine.heartbeat_overdue = False
     if overtaken:
         return _answer_overtaken(cluster, machine, now, acting)
     _take_newest(cluster, machine, heartbeat, follows, now)
-    cluster.heard_at = now
+    cluster.last_heartbeat_at = now
     if _hears_no_answers(cluster, machine, now):
         reconcile_tasks(cluster, machine, heartbeat, now, True)
         return None
     machine.lease_renewed_at = now
     reconcile_tasks(cluster, machine, heartbeat, now, True)
-    return commands(cluster, machine, fresh, now) if acting else []
+    return response_commands(cluster, machine, jobs_fresh, now) if acting else []
 
 
 def on_command_response(cluster: ClusterRecords, heartbeat: WorkerHeartbeat, now: float) -> None:
@@ -64,8 +64,8 @@
         # Its lease ran out and yet it hears us: it does not reach us, so work on it would die with each lease.
         machine.heartbeat_overdue = True
     _update_identity(cluster, machine, heartbeat, now)
-    if machine.seen_at == float("-inf"):
-        machine.seen_at = now
+    if machine.last_seen_at == float("-inf"):
+        machine.last_seen_at = now
     if heartbeat.fencing_token == cluster.term:
         _acknowledge_token(cluster, machine, True, now, "direct answer")
         machine.reachable = True
@@ -101,9 +101,9 @@
     on."""
     if not machine.token_acknowledged:
         return None
-    machine.lease_renewed_at = cluster.heard_at = now
+    machine.lease_renewed_at = cluster.last_heartbeat_at = now
     # No starts, but stops: an answer that renews a lease always names what has to go.
-    return commands(cluster, machine, False, now) if acting else []
+    return response_commands(cluster, machine, False, now) if acting else []
 
 
 def _take_newest(
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -87,7 +87,7 @@
     def trials_left(self) -> int:
         """How many more of its tasks may be started now: few, if it seems to fail wherever it is tried."""
         bound = len(self.bound)
-        return constants.TRIAL_TASKS - bound if self.failures.suspect(bound) else self.spec.task_count
+        return constants.TRIAL_TASKS - bound if self.failures.is_suspect(bound) else self.spec.task_count
 
     def running(self) -> int:
         """Tasks that make progress or save it. A task of a gang that waits for the others does not run."""
--- a/sorrelsill/workers/lease_monitor.py
+++ b/sorrelsill/workers/lease_monitor.py
@@ -60,7 +60,7 @@
 
     def heartbeat_is_overdue(self, machine: Machine, now: float) -> bool:
         """Whether the machine has been silent for longer than it may be and still be given work."""
-        return now - machine.seen_at > self._overdue_after_s(machine)
+        return now - machine.last_seen_at > self._overdue_after_s(machine)
 
     def lease_expires_at(self, machine: Machine) -> float:
         """From when on its lease has expired for certain; infinite if there is none to expire."""
@@ -79,7 +79,7 @@
 
     def _next_check_at(self, machine: Machine) -> float:
         """When continued silence would next change what is believed of the machine."""
-        overdue_at = _NEVER if machine.heartbeat_overdue else machine.seen_at + self._overdue_after_s(machine)
+        overdue_at = _NEVER if machine.heartbeat_overdue else machine.last_seen_at + self._overdue_after_s(machine)
         return min(overdue_at, self.lease_expires_at(machine))
 
     def _overdue_after_s(self, machine: Machine) -> float:
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -77,7 +77,7 @@
 def hears_no_worker(cluster: ClusterRecords, now: float, limit: float) -> bool:
     """Whether workers were heard in this term and all of them have been silent since. One machine alone
     proves nothing, and a leader that never heard any is no better replaced."""
-    if cluster.heard_at is None or now - max(cluster.heard_at, cluster.renewed_by_others) <= limit:
+    if cluster.last_heartbeat_at is None or now - max(cluster.last_heartbeat_at, cluster.renewed_by_others) <= limit:
         return False
     machines = cluster.machines.values()
     with_lease = sum(1 for m in machines if not m.lease_expired and m.lease_renewed_at is not None)
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -120,7 +120,7 @@
         self.heartbeat_sequence_number = -1
         self.has_sent_heartbeat = False  # in this term
         # When its last heartbeat came; before its first one in this term, when it was first met.
-        self.seen_at = float("-inf")
+        self.last_seen_at = float("-inf")
         self.reachability_proved_at = float("-inf")  # when it last showed that answers or commands reach it
         # Our fencing token may be known to it from an earlier incarnation: showing it does not prove that it hears us.
         self.token_may_be_inherited = False
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -82,7 +82,7 @@
                 _blame(cluster, job, failures.record_success(replica.machine.name))
                 break
     _blame(cluster, job, failures.record_failure(machine.name, now))
-    if failures.suspect(len(job.bound)):
+    if failures.is_suspect(len(job.bound)):
         # The other machines are not to blame: avoiding them all would leave it waiting beside free room.
         job.avoid = {machine.name: job.avoid[machine.name]}
         wait_s = max(0.0, failures.next_trial_at - now)
--- a/sorrelsill/workers/test_call_pauses.py
+++ b/sorrelsill/workers/test_call_pauses.py
@@ -22,7 +22,7 @@
 def test_a_heartbeat_after_the_failure_ends_the_pause() -> None:
     pauses = CallPauses()
     pauses.call_failed("m1", 5.0)
-    assert pauses.is_paused("m1", 6.0, seen_at=4.0)
-    assert not pauses.is_paused("m1", 6.0, seen_at=5.5)
-    assert not pauses.is_paused("m1", 7.0, seen_at=4.0), "the pause is over"
-    assert not pauses.is_paused("m2", 6.0, seen_at=4.0)
+    assert pauses.is_paused("m1", 6.0, last_seen_at=4.0)
+    assert not pauses.is_paused("m1", 6.0, last_seen_at=5.5)
+    assert not pauses.is_paused("m1", 7.0, last_seen_at=4.0), "the pause is over"
+    assert not pauses.is_paused("m2", 6.0, last_seen_at=4.0)
--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -113,7 +113,7 @@
 def test_a_machine_that_is_gone_is_not_declared_lost_when_its_timer_is_up() -> None:
     """Else it comes back into the indices, and its name is released anew."""
     cluster, _ = cluster_of_one()
-    cluster.gone_for_certain("m1", 3.0, "machine returned")
+    cluster.remove_machine("m1", 3.0, "machine returned")
     cluster.pending_writes.deregistrations.clear()
     assert not cluster.expire_leases(60.0) and not cluster.pending_writes.deregistrations
     assert not cluster.index.idle and not cluster.index.ready
--- a/sorrelsill/workers/test_failures.py
+++ b/sorrelsill/workers/test_failures.py
@@ -13,7 +13,7 @@
         pauses.append(history.next_trial_at - now)
         now = history.next_trial_at
     assert pauses == [2.0, 4.0, 8.0, 16.0, 32.0, 60.0, 60.0, 60.0]
-    assert history.suspect(0)
+    assert history.is_suspect(0)
 
 
 def test_tasks_that_fail_together_are_one_trial() -> None:
@@ -29,7 +29,7 @@
     history.record_failure("bad", 0.0)
     assert history.record_success("good") == {"bad"}
     assert history.record_failure("worse", 5.0) == {"worse"}
-    assert not history.suspect(0)
+    assert not history.is_suspect(0)
 
 
 def test_a_success_on_the_same_machine_clears_it() -> None:
@@ -42,12 +42,12 @@
     """Some of its tasks fail wherever they run, others succeed."""
     history = FailureHistory(succeeded=True)
     accused = [history.record_failure(f"m{number}", float(number)) for number in range(10)]
-    assert sum(len(names) for names in accused) == constants.ACCUSED_MAX
+    assert sum(len(names) for names in accused) == constants.BLAMED_MACHINES_MAX
 
 
 def test_a_job_whose_other_tasks_go_on_is_not_suspect() -> None:
     history = FailureHistory()
     history.record_failure("m1", 0.0)
     history.record_failure("m2", 0.0)
-    assert history.suspect(2)
-    assert not history.suspect(3)
+    assert history.is_suspect(2)
+    assert not history.is_suspect(3)
--- a/tests/scenarios/test_delayed_messages.py
+++ b/tests/scenarios/test_delayed_messages.py
@@ -7,7 +7,7 @@
 from sorrelsill.http import Request
 from sorrelsill.settings import Team
 from sorrelsill.workers import WorkerHeartbeat
-from sorrelsill.workers.commands import commands
+from sorrelsill.workers.commands import response_commands
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 from tests.simulation.recorded_messages import record_messages, send_copy
 from tests.simulation.users import LABELS
@@ -99,7 +99,7 @@
         machine = cluster.machines[name]
         now = trio.current_time()
         attempt = cluster.bind(cluster.jobs["run-0"], 0, machine, now, 1 << 60)
-        commands(cluster, machine, True, now)
+        response_commands(cluster, machine, True, now)
         attempt.stop_requested = True
         cluster.on_command_response(msgspec.convert(worker.heartbeat_message(), WorkerHeartbeat), now)
         assert attempt.key in machine.attempts
--- a/tests/scenarios/test_failing_tasks.py
+++ b/tests/scenarios/test_failing_tasks.py
@@ -30,7 +30,7 @@
         cluster = simulation.nodes[label].cluster
         assert cluster is not None
         assert not any(machine.quarantined for machine in cluster.machines.values())
-        assert all(not cluster.jobs[job_id].failures.accused for job_id in mistaken)
+        assert all(not cluster.jobs[job_id].failures.blamed_machines for job_id in mistaken)
         late = [
             task_id for at, task_id, _ in simulation.starts if at > since and task_id.rpartition("/")[0] in mistaken
         ]
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -172,7 +172,7 @@
         cluster = node.cluster
         assert cluster is not None
         now = trio.current_time()
-        cluster.heard_at, node.elector.last_renewal_sent_at = now - 3.5, now - 3.5
+        cluster.last_heartbeat_at, node.elector.last_renewal_sent_at = now - 3.5, now - 3.5
         await trio.sleep(3)
         assert node.elector.term == term and node.elector.valid()
 
