--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -55,7 +55,6 @@
 
 def adopt(cluster: ClusterRecords, attempt: Attempt, job: Job) -> None:
     """A task of a live job. If it is one too many, it is stopped."""
-    machine = attempt.machine
     _take_room(cluster, attempt, job)
     known = job.bound.get(attempt.index)
     keep = 0 <= attempt.index < job.spec.task_count and attempt.index not in job.done
@@ -67,14 +66,12 @@
             and known.attempt_number >> constants.ATTEMPT_COUNTER_BITS < cluster.term
         )
         if keep:
-            job.zones[known.machine.zone] = job.zones.get(known.machine.zone, 1) - 1
             cluster.request_stop(known, "a later attempt was found")
     attempt.stop_requested = False
     if not keep:
         cluster.request_stop(attempt, "one too many")
         return
-    job.bound[attempt.index] = attempt
-    job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
+    job.bind(attempt)
     cluster.job_changed(attempt.job_id)
     cluster.pending_writes.record_due(attempt.job_id)
 
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -9,7 +9,6 @@
 
 from __future__ import annotations
 
-import heapq
 import logging
 from collections.abc import Iterable
 
@@ -158,8 +157,7 @@
         self.attempts.enter(attempt)
         self.take_room(attempt)
         if attempt.index not in job.bound:
-            job.bound[attempt.index] = attempt
-            job.zones[attempt.machine.zone] = job.zones.get(attempt.machine.zone, 0) + 1
+            job.bind(attempt)
             self.job_changed(attempt.job_id)
 
     def take_room(self, attempt: Attempt) -> None:
@@ -181,22 +179,14 @@
             ended.mark_unobserved(attempt.index)
         job = self.jobs.get(spec.job_id)
         if job is not None and job.bound.get(attempt.index) is attempt:
-            self._unbind_from_job(job, attempt, now, requeue)
+            job.unbind(attempt, now, requeue)
+            self.pending_writes.record_due(spec.job_id)
+            self.job_changed(spec.job_id)
         if machine.bound_count == 0:
             machine.idle_since = now
             machine.fetching.clear()
         self.wake_scheduler = True
 
-    def _unbind_from_job(self, job: Job, attempt: Attempt, now: float, requeue: bool) -> None:
-        zone = attempt.machine.zone
-        del job.bound[attempt.index]
-        job.zones[zone] = job.zones.get(zone, 1) - 1
-        job.last_activity_at = now
-        if requeue and attempt.index not in job.done:
-            heapq.heappush(job.requeued, attempt.index)
-        self.pending_writes.record_due(job.spec.job_id)
-        self.job_changed(job.spec.job_id)
-
     def gang_headroom_cpus(self, classes: Iterable[str]) -> float:
         """CPUs for one more gang of each of these classes, as large as the largest seen."""
         return self.largest_gang.headroom_cpus(classes)
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -70,6 +70,27 @@
         """Tasks neither done nor bound; unlike `waiting` exact for those that are both."""
         return self.spec.task_count - self.done.count - sum(1 for index in self.bound if index not in self.done)
 
+    def bind(self, attempt: Attempt) -> None:
+        """The attempt is the one of its task from now on; if there was another, that loses its place."""
+        former = self.bound.get(attempt.index)
+        if former is not None:
+            self._leave_zone(former)
+        self.bound[attempt.index] = attempt
+        zone = attempt.machine.zone
+        self.zones[zone] = self.zones.get(zone, 0) + 1
+
+    def unbind(self, attempt: Attempt, now: float, requeue: bool) -> None:
+        """The attempt bound for its task is gone; with `requeue` the task is to be started again unless it is done."""
+        del self.bound[attempt.index]
+        self._leave_zone(attempt)
+        self.last_activity_at = now
+        if requeue and attempt.index not in self.done:
+            heapq.heappush(self.requeued, attempt.index)
+
+    def _leave_zone(self, attempt: Attempt) -> None:
+        zone = attempt.machine.zone
+        self.zones[zone] = self.zones.get(zone, 1) - 1
+
     def next_task(self) -> int | None:
         """The lowest task that is neither done nor bound; it stays queued until it is bound."""
         while self.requeued:
