--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -19,6 +19,7 @@
     HeartbeatResponse,
     InvalidHeartbeatError,
     StopCommand,
+    TaskPhase,
     WorkerHeartbeat,
     parse_heartbeat,
 )
@@ -101,6 +102,6 @@
             job_id = attempt.task_id.rpartition("/")[0]
             final = self._watch_cache.final(job_id)
             over = self._cancellations.is_cancelled(job_id) or ended_as(final, JobPhase.CANCELLED)
-            if attempt.phase != "exited" and (over or unknown and self._watch_cache.job(job_id) is None):
+            if attempt.phase != TaskPhase.EXITED and (over or unknown and self._watch_cache.job(job_id) is None):
                 commands.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
         return commands
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -1,9 +1,10 @@
 """Workers: heartbeats, incarnations, commands, expired leases, and the leader's view of what may be running where.
 
 From the bottom to the top: the wire's types (`messages`, `errors`); machines, attempts and jobs with their indices;
-the term's records (`cluster_records`), which keep them consistent; what is done on events (`heartbeats`,
-`reported_tasks`, `task_exits`, `adoption`, `loss`, `stopping`, `gangs`, `commands`); `cluster_state`, which puts these
-behind one type; and `command_sender`, the only module with I/O."""
+the term's tables (`job_table`, `machine_table`, `allocations`, `term_counters`) and the records over them
+(`cluster_records`), which keep them consistent; what is done on events (`heartbeats`, `reported_tasks`, `task_exits`,
+`adoption`, `loss`, `stopping`, `gangs`, `commands`); `cluster_state`, which puts these behind one type; and the modules
+with I/O: `command_sender` and `machine_probes`, over `worker_connections`."""
 
 from sorrelsill.workers.cluster_state import ClusterState
 from sorrelsill.workers.command_sender import CallLimits, CommandSender
@@ -15,8 +16,10 @@
 from sorrelsill.workers.machine_sets import MachineSet, MachineUnion
 from sorrelsill.workers.messages import (
     Command,
+    ExitCause,
     HeartbeatResponse,
     StopCommand,
+    TaskPhase,
     WorkerHeartbeat,
     parse_heartbeat,
 )
@@ -41,8 +44,10 @@
     "TeamUse",
     "gang_loss",
     "Command",
+    "ExitCause",
     "HeartbeatResponse",
     "StopCommand",
+    "TaskPhase",
     "parse_heartbeat",
     "enforce_gang_completeness",
 ]
