--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -12,7 +12,7 @@
 SCALE_OUT_BATCH_MAX: Final = 50  # machines; the cloud's limit per rental request
 SCALE_IN_BATCH_MAX: Final = 100  # names; the cloud's limit per return request
 LIST_PAGE: Final = 500  # machines; the cloud's limit per page
-KV_PAGE: Final = 1000  # keys; the state service's limit per page
+KV_PAGE: Final = 1000  # keys; the key-value store's limit per page
 COMPARES_PER_OP: Final = 4  # conditions allowed for each put or delete of a transaction
 LEAST_OPS: Final = 2  # writes; the end of a job takes this many in one transaction
 TXN_BYTES: Final = 56 * 1024  # bytes; below the 64 KiB of a transaction, as the limit counts JSON form
@@ -76,7 +76,7 @@
 OVERDUE_EXTRA_S: Final = 1.0
 COMMAND_SOCKETS: Final = 0.25  # ratio; of the quota of sockets, for connections kept to workers
 
-# --- state service ----------------------------------------------------------------------------------
+# --- key-value store ----------------------------------------------------------------------------------
 STORE_TIMEOUT_S: Final = 1.5  # s; an answer normally takes 10 ms, now and then a few hundred
 WATCH_HOLD_S: Final = 1.0  # s; length of a watch, which bounds how stale the watch cache can get unnoticed
 WATCH_GRACE_S: Final = 2.0  # s; a watch that is this much overdue is cancelled
--- a/sorrelsill/controller_state.py
+++ b/sorrelsill/controller_state.py
@@ -45,7 +45,7 @@
     unplaced: int | None
     groups: int | None
     groups_waiting: int | None
-    refused: int  # by the state service
+    refused: int  # by the key-value store
     set_aside: int
     starts_refused: int | None
     teams: dict[str, TeamState] | None
--- a/sorrelsill/jobs/cancellations.py
+++ b/sorrelsill/jobs/cancellations.py
@@ -12,8 +12,8 @@
 Certain is, up to a moment each:
 - what was committed before our own watch cache was proved fresh;
 - what a peer learnt of, up to the last answer in which it named all that it learnt since a moment up to which we were
-  certain already. With such answers of all peers the bound moves on, though nobody reaches the state service;
-- what was committed up to the freshness of a peer that has followed the state service without a gap since our
+  certain already. With such answers of all peers the bound moves on, though nobody reaches the key-value store;
+- what was committed up to the freshness of a peer that has followed the key-value store without a gap since our
   own such moment.
 A process knows nothing of what its predecessor learnt. A peer that began after the moment up to which we were certain
 does not move the bound, nor does one that sends no list (the version before this one), a damaged or a cut one.
--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -1,4 +1,4 @@
-"""One controller leads: it holds `s/leader`, a key attached to a lease in the state service.
+"""One controller leads: it holds `s/leader`, a key attached to a lease in the key-value store.
 
 The term is that key's revision; it is the workers' fencing token. The leader renews its lease every
 sixth of the lease and acts only while its last successful renewal was *sent* less than two thirds of the lease
@@ -168,7 +168,7 @@
         await trio.sleep(self._timings.renewal_interval_s)
 
     async def _revoke_or_let_expire(self, lease: int, log_level: int) -> None:
-        """Give a lease back. If the state service does not answer, the lease ends by itself."""
+        """Give a lease back. If the key-value store does not answer, the lease ends by itself."""
         try:
             await self._store.revoke(lease, self._timings.renewal_interval_s)
         except (UnavailableError, AmbiguousError) as error:
--- a/sorrelsill/model/registry_entry.py
+++ b/sorrelsill/model/registry_entry.py
@@ -1,4 +1,4 @@
-"""A machine as the registry in the state service holds it."""
+"""A machine as the registry in the key-value store holds it."""
 
 from __future__ import annotations
 
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -1,4 +1,4 @@
-"""Degraded mode: our extension for when no controller can reach the state service.
+"""Degraded mode: our extension for when no controller can reach the key-value store.
 
 Then nobody can renew the leader's lease, so nobody may lead, and without answers the workers' leases would run out and
 all tasks be killed. So controllers promise each other for a few seconds to neither acquire the key nor act
@@ -35,7 +35,7 @@
 
 
 class DegradedMode:
-    """Promises between controllers that all lack the state service."""
+    """Promises between controllers that all lack the key-value store."""
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
         return PromiseAnswer.from_body(body) if status == _OK else None
 
     async def run(self) -> None:
-        """Ask for promises for as long as the state service is missing."""
+        """Ask for promises for as long as the key-value store is missing."""
         while True:
             if self._failing() and not self._elector.acquiring:
                 self._promise()
--- a/sorrelsill/peers/messages.py
+++ b/sorrelsill/peers/messages.py
@@ -14,7 +14,7 @@
     """Asks a controller for a promise, or only for what it knows of cancellations."""
 
     promise: bool
-    cancellations: dict[str, Any]  # what is asked of cancellations, as `Cancellations.ask` makes it and `tell` reads it
+    cancellations: dict[str, Any]  # what is asked of cancellations, as `Cancellations.peer_request` makes it
 
     @classmethod
     def from_body(cls, body: bytes) -> PromiseRequest:
@@ -31,8 +31,8 @@
     """Whether the promise is given, and what its giver knows."""
 
     promised: bool
-    failing: bool  # the giver cannot reach the state service either
-    known: Any  # of cancellations, as `Cancellations.tell` makes it and `take` checks it
+    failing: bool  # the giver cannot reach the key-value store either
+    known: Any  # of cancellations, as `Cancellations.answer_peer` makes it
     has_known: bool = True  # False from the former version, which sends no such field
 
     @classmethod
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -39,7 +39,7 @@
         if now <= cluster.leases.lease_expires_at(machine):
             continue
         if released_tasks >= constants.EXPIRE_TASKS:
-            # Guards against hundreds of machines lost at once: pings must not wait behind them.
+            # Guards against hundreds of machines lost at once: lease renewals must not wait behind them.
             cluster.leases.continue_expiry()
             break
         released_tasks += len(machine.attempts)
