--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -96,7 +96,7 @@
         """In degraded mode: tasks of jobs known to be cancelled still have to go. Stopping them is always right,
         whoever leads next, and a worker takes it from any controller that names its fencing token. A watch cache
         that was read anew not long ago lacks what was cancelled before, so what is not live in it is stopped, too."""
-        unknown = self._watch_cache.fresh_at > float("-inf") and self._cancellations.suspect_unknown(now)
+        unknown = self._watch_cache.fresh_at > float("-inf") and self._cancellations.may_have_missed_cancellation(now)
         commands: list[Command] = []
         for attempt in heartbeat.tasks:
             job_id = attempt.task_id.rpartition("/")[0]
--- a/sorrelsill/jobs/cancellations.py
+++ b/sorrelsill/jobs/cancellations.py
@@ -1,24 +1,27 @@
-"""Which cancellations are certain to be known here, and so until when a worker's lease may be renewed.
+"""Tracks which cancellations this controller is guaranteed to know, and so whether it may renew a worker's lease.
 
-A renewal lets a machine's tasks live for another lease of the workers, whatever was cancelled meanwhile. So there
-is one rule for every answer to a heartbeat that renews a lease, whoever gives it:
+Renewing a worker's lease keeps its tasks running for one more lease, including tasks cancelled in the meantime. So
+every heartbeat response that renews a lease, from the leader or in degraded mode, follows one rule:
 
-    a lease is renewed only while every cancellation that any controller learnt of before
-    `now - (cancel_s - lease_s - margin)` is certain to be known here,
+    renew only if every cancellation that any controller learnt of before
+    `now - (cancel_s - lease_s - margin)` is guaranteed to be known here.
 
-and what is known is stopped in the same answer. A cancellation that is told to its user was learnt of before that, and
-one that is not known here yet is younger than this: its tasks still go in time by the lease renewed last.
+The same response stops all tasks whose cancellation is known. A controller learns of a cancellation before it reports
+it to the user. A cancellation that is not known here yet is more recent than the bound, so its tasks still end within
+`cancel_s` when the last renewed lease expires.
 
-Certain is, up to a moment each:
-- what was committed before our own watch cache was proved fresh;
-- what a peer learnt of, up to the last answer in which it named all that it learnt since a moment up to which we were
-  certain already. With such answers of all peers the bound moves on, though nobody reaches the key-value store;
-- what was committed up to the freshness of a peer that has followed the key-value store without a gap since our
-  own such moment.
-A process knows nothing of what its predecessor learnt. A peer that began after the moment up to which we were certain
-does not move the bound, nor does one that sends no list (the version before this one), a damaged or a cut one.
+Knowledge is guaranteed to be complete up to the latest of these times:
+- the time up to which our own watch cache is known to be fresh: it holds all that was committed before;
+- the earliest time over all peers of: the send time of our last request to which the peer listed everything that it
+  learnt since a time up to which our knowledge was complete already. With such answers from all peers the bound
+  advances even if no controller can reach the key-value store;
+- the time up to which a peer's watch cache is known to be fresh, if that cache has followed the key-value store
+  without a gap since a time up to which our knowledge was complete already.
+A restarted process does not know what the previous process learnt. So a peer that started after the time up to which
+our knowledge is complete does not advance the bound. Nor does a peer whose list is missing (previous version),
+malformed or truncated.
 
-Pure: time is given, and peers' moments come as ages, since clocks are not compared."""
+No I/O and no clock: callers pass the time. Peers send ages, since clocks of different machines are not compared."""
 
 from __future__ import annotations
 
@@ -33,15 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerKnowledge:
-    """What a peer names of the cancellations that it learnt of; moments are ages in seconds."""
+    """The cancellations that a peer reports; times are ages in seconds."""
 
     job_ids: list[str]
-    since_age_s: float  # all that it learnt of since then is named
-    followed_age_s: float | None  # how long its watch cache has followed every change
-    fresh_age_s: float | None  # how long ago its watch cache was proved fresh
+    since_age_s: float  # the list is complete since then
+    followed_age_s: float | None  # since then its watch cache has followed every change
+    fresh_age_s: float | None  # up to then its watch cache is known to be fresh
 
     def to_wire(self) -> dict[str, Any]:
-        """Under the names of the protocol between controllers."""
+        """Encodes it with the field names of the protocol between controllers."""
         return {
             "cancelled": self.job_ids,
             "back": self.since_age_s,
@@ -51,7 +54,7 @@
 
     @classmethod
     def from_wire(cls, raw: Any) -> PeerKnowledge | None:
-        """None if it is missing or damaged, and so proves nothing."""
+        """Returns None if it is missing or malformed; it then guarantees nothing."""
         if not isinstance(raw, dict) or not _is_age(raw.get("back")):
             return None
         job_ids = raw.get("cancelled")
@@ -67,31 +70,33 @@
 
 
 class Cancellations:
-    """What this controller knows to be cancelled, and how far back that is certain to be all."""
+    """The cancelled jobs that this controller knows, and the time up to which they are guaranteed to be all."""
 
-    def __init__(self, begun: float, cancel_s: float, renew_s: float, peers: int) -> None:
-        """`begun`: when this process began; `cancel_s`: seconds after which a cancelled task must be gone; `renew_s`:
-        how many seconds back the certainty may lie when a lease is renewed; `peers`: how many there are."""
-        self._begun = begun
+    def __init__(self, started_at: float, cancel_s: float, renew_s: float, peers: int) -> None:
+        """`started_at`: start time of this process; `cancel_s`: seconds within which a cancelled task must have ended;
+        `renew_s`: leases are renewed only if knowledge is complete up to at most this many seconds ago; `peers`: number
+        of peers."""
+        self._started_at = started_at
         self._cancel_s = cancel_s
         self._renew_s = renew_s
         self._learnt_at: OrderedDict[str, float] = OrderedDict()  # job -> when we learnt that it is cancelled
-        self._complete_since = begun  # all that this process learnt of since then is in `_learnt_at`
+        self._complete_since = started_at  # `_learnt_at` holds all that this process learnt since then
         self._followed_since = float("inf")  # since then the watch cache has followed every change
         self._fresh_at = _NEVER
-        # What was committed before this is known here, or not live in our watch cache.
+        # Cancellations committed before this are known here, or their jobs are not live in our watch cache.
         self._committed_known_until = _NEVER
-        self._peer_known_until = [_NEVER] * peers  # what this peer learnt of before this is known here
+        # By peer: cancellations that it learnt of before this are known here.
+        self._peer_known_until = [_NEVER] * peers
 
-    # --- our own knowledge ---
+    # --- own knowledge ---
 
     def add(self, job_id: str, now: float) -> bool:
-        """We learn that a job is cancelled; True if it is new."""
+        """Records that a job is cancelled. Returns True if that was not known."""
         if job_id in self._learnt_at:
             return False
         self._learnt_at[job_id] = now
-        # Kept by time and not by number: found by reading, the cache of final records pushed out by chance what still
-        # had to be stopped.
+        # Evicted by age, not by count: the cache of final records, which is bounded by count, could evict a job whose
+        # tasks still had to be stopped.
         keep = now - constants.CANCELLED_KEPT * self._cancel_s
         while self._learnt_at and (oldest := next(iter(self._learnt_at.items())))[1] < keep:
             del self._learnt_at[oldest[0]]
@@ -99,49 +104,51 @@
         return True
 
     def is_cancelled(self, job_id: str) -> bool:
-        """Whether the job is known to be cancelled."""
+        """Whether this controller knows that the job is cancelled."""
         return job_id in self._learnt_at
 
     def observe_watch_cache(self, followed_since: float, fresh_at: float) -> None:
-        """What our own watch cache proves."""
+        """Updates the bound from our own watch cache."""
         self._followed_since = followed_since
         self._fresh_at = max(self._fresh_at, fresh_at)
         self._committed_known_until = max(self._committed_known_until, fresh_at)
 
-    # --- what is certain ---
+    # --- guarantees ---
 
-    def _tasks_gone_until(self, now: float) -> float:
-        """What was learnt of before this is known here or gone: by this very rule its tasks' time is over."""
+    def _tasks_ended_until(self, now: float) -> float:
+        """Tasks of jobs whose cancellation any controller learnt of before this time have ended: `cancel_s` has passed,
+        and the renewal rule holds on every controller."""
         return now - self._cancel_s - constants.CANCEL_SLACK_S
 
-    def _complete_without_peers(self, now: float) -> float:
-        return max(self._committed_known_until, self._tasks_gone_until(now))
+    def _complete_until_without_peers(self, now: float) -> float:
+        return max(self._committed_known_until, self._tasks_ended_until(now))
 
     def complete_until(self, now: float) -> float:
-        """Every cancellation that any controller learnt of before this moment is known here, or gone."""
-        own = self._complete_without_peers(now)
-        if self._begun > own:
-            return own  # our predecessor may have learnt of some since, and told them
+        """Every cancellation that any controller learnt of before this time is known here, or its tasks have ended."""
+        own = self._complete_until_without_peers(now)
+        if self._started_at > own:
+            return own  # since then the previous process may have learnt of cancellations and reported them to users
         return max(own, min(self._peer_known_until, default=now))
 
     def may_renew(self, now: float) -> bool:
         """Whether a worker's lease may be renewed now."""
         return now - self.complete_until(now) <= self._renew_s
 
-    def suspect_unknown(self, now: float) -> bool:
-        """Whether a job that our watch cache doesn't hold may have been cancelled without our having learnt of it: this
-        cache has not followed for as long as a cancelled task may live."""
-        return self._followed_since > self._tasks_gone_until(now)
+    def may_have_missed_cancellation(self, now: float) -> bool:
+        """Whether a job that is missing from our watch cache may have been cancelled unnoticed: the cache has followed
+        changes for less time than a cancelled task may keep running."""
+        return self._followed_since > self._tasks_ended_until(now)
 
-    # --- between controllers ---
+    # --- exchange with peers ---
 
     def peer_request(self, now: float) -> dict[str, Any]:
-        """From how long ago a peer has to name what it learnt of."""
-        age = (now - self._complete_without_peers(now)) * (1 + 4 * constants.CLOCK_DRIFT)
+        """The request to a peer: the age since which it has to list the cancellations that it learnt of."""
+        age = (now - self._complete_until_without_peers(now)) * (1 + 4 * constants.CLOCK_DRIFT)
         return {"back": age + constants.PEER_TIMEOUT_S + constants.CANCEL_SLACK_S}
 
     def answer_peer(self, request: dict[str, Any], now: float) -> dict[str, Any]:
-        """What we learnt of since then. A list that would not fit is left out, and never cut."""
+        """Lists the cancellations learnt since the requested time. A list that is too long is omitted, never
+        truncated."""
         back = request.get("back")
         if not _is_age(back):
             return {}
@@ -157,16 +164,16 @@
         ).to_wire()
 
     def merge_peer_answer(self, peer: int, answer: Any, sent_at: float, now: float) -> list[str]:
-        """A peer's answer to the request that we sent at `sent_at`. Returns the jobs that are new to us. What is
-        damaged proves nothing."""
+        """Applies a peer's answer to the request sent at `sent_at`. Returns the jobs whose cancellation was not known
+        here. A malformed answer changes nothing."""
         knowledge = PeerKnowledge.from_wire(answer)
         if knowledge is None:
             return []
-        # It was made between sending and now: each moment is taken where it proves least.
+        # The peer computed the ages between `sent_at` and now: each is converted with the bound that guarantees less.
         drift = 1 - constants.CLOCK_DRIFT * 2
         since = now - knowledge.since_age_s * drift
         new = [job_id for job_id in knowledge.job_ids if self.add(job_id, now)]
-        own = self._complete_without_peers(now)
+        own = self._complete_until_without_peers(now)
         before = max(self._peer_known_until[peer], own)
         if since <= before:
             self._peer_known_until[peer] = max(before, sent_at)
