--- a/sorrelsill/jobs/submissions.py
+++ b/sorrelsill/jobs/submissions.py
@@ -1,6 +1,7 @@
-"""Submissions: what came while one batch was under way goes with the next, and is answered once it is committed.
+"""Submissions: those that arrive while a batch is being committed form the next batch. Each is answered once it is
+committed.
 
-A repeated submission is an idempotent request: it is answered with the job's present state."""
+Submitting is idempotent: a repeated submission is answered with the job's current state."""
 
 from __future__ import annotations
 
@@ -36,7 +37,7 @@
 
 log = logging.getLogger(__name__)
 
-_RECORD_FRAME = 200  # bytes of a transaction for one job, beside its specification
+_RECORD_OVERHEAD_BYTES = 200  # bytes in a transaction for one job, besides its specification
 
 
 @dataclass(slots=True, eq=False)
@@ -45,12 +46,12 @@
     deadline: float
     resolved: trio.Event = field(default_factory=trio.Event)
     answer: Answer | None = None
-    known_at: float = 0.0  # when the request was sent on whose outcome the answer rests
+    as_of: float = 0.0  # when the store request was sent that the answer is based on
 
-    def resolve(self, answer: Answer, known_at: float) -> None:
-        """At once: what the rest of its batch still waits for would make the answer older than need be."""
+    def resolve(self, answer: Answer, as_of: float) -> None:
+        """Answers without waiting for the rest of the batch, which would only make the answer older."""
         self.answer = answer
-        self.known_at = known_at
+        self.as_of = as_of
         self.resolved.set()
 
 
@@ -58,7 +59,7 @@
 
 
 class Submissions:
-    """Validates jobs and commits their first records, many to a transaction."""
+    """Validates jobs and commits their first records, many per transaction."""
 
     def __init__(
         self,
@@ -78,11 +79,12 @@
         self._queued = trio.Event()
 
     async def submit(self, body: Any) -> Answer:
-        """Accept a job, or answer what is known of it. Raises BusyError if it is not taken in time."""
+        """Accepts a job, or answers with the state of a job that was accepted earlier. Raises BusyError if it is not
+        committed in time."""
         try:
             spec = parse_spec(body)
         except InvalidJobError as error:
-            # A known job's repeat may be sent by a client gone wrong; it is still malformed.
+            # Refused even if a job of this id exists: the request itself is malformed.
             return Answer(400, ErrorAnswer(str(error)))
         ended = self._status.ended_state(spec.job_id)
         if ended is not None:
@@ -90,16 +92,16 @@
         pending = await self._enqueue(spec)
         if pending.answer is None:
             raise BusyError("the state service did not take the job in time")
-        # Other controllers may have told more since the read or write that the answer rests on.
+        # Since the read or write that the answer is based on, other controllers may have reported a newer state.
         ended = self._status.ended_state(spec.job_id)
         if ended is not None:
             return Answer(200, ended)
-        if pending.answer.status in (200, 201) and is_out_of_date(pending.known_at):
+        if pending.answer.status in (200, 201) and is_out_of_date(pending.as_of):
             return await self._status.poll(spec.job_id)
         return pending.answer
 
     async def _enqueue(self, spec: JobSpec) -> _PendingSubmission:
-        """Wait until it is resolved or its deadline is over."""
+        """Queues a submission and waits until it is resolved or its deadline has passed."""
         if len(self._queue) >= constants.ADMIT_QUEUE:
             raise BusyError("too many submissions are waiting")
         pending = _PendingSubmission(spec, trio.current_time() + constants.ADMIT_DEADLINE_S)
@@ -110,7 +112,7 @@
         return pending
 
     async def run(self) -> None:
-        """Commit batches for ever."""
+        """Commits batches until cancelled."""
         while True:
             await self._queued.wait()
             self._queued = trio.Event()
@@ -119,7 +121,7 @@
                 try:
                     await self._admit(batch)
                 except Exception:
-                    # Guards against one odd batch ending the loop: its users are told to come back.
+                    # One bad batch must not end the loop; its users are told to retry later.
                     log.exception("admission_failed")
                 for pending in batch:
                     pending.resolved.set()
@@ -129,7 +131,7 @@
         batch: list[_PendingSubmission] = []
         size = 0
         while self._queue and len(batch) < limit:
-            size += len(str(self._queue[0].spec.raw)) + _RECORD_FRAME
+            size += len(str(self._queue[0].spec.raw)) + _RECORD_OVERHEAD_BYTES
             if batch and size > constants.TXN_BYTES:
                 break
             batch.append(self._queue.pop(0))
@@ -141,7 +143,7 @@
         for pending in batch:
             if pending.deadline > now:
                 by_job.setdefault(pending.spec.job_id, []).append(pending)
-        # A repeat is looked up before it is validated: the limits may have changed since it was accepted.
+        # A job that can't be accepted is looked up first: it may have been accepted before the limits changed.
         for job_id in list(by_job):
             spec = by_job[job_id][0].spec
             if self.catalog is None or impossible(spec, self._teams, self.catalog) or self._is_too_long(spec):
@@ -151,13 +153,14 @@
                 return
 
     async def _commit(self, by_job: _ByJob, since: float) -> bool:
-        """One transaction for all jobs of a batch. What is resolved leaves it; True if the rest may be tried again."""
+        """Commits all jobs of a batch in one transaction. Removes jobs that are in the store already from the batch.
+        Returns True if the rest should be tried again."""
         records = {job_id: new_record(group[0].spec, self._time_of_day()) for job_id, group in by_job.items()}
         sent_at = trio.current_time()
         try:
             result = await self._write(records)
         except RefusedError:
-            await self._admit_singly(by_job)
+            await self._admit_one_by_one(by_job)
             return False
         except UnavailableError as error:
             if error.throttled and trio.current_time() < since + constants.ADMIT_DEADLINE_S / 2:
@@ -165,7 +168,7 @@
                 return True
             return False
         except AmbiguousError:
-            # It may have been written: what stands there now is an accepted job, whoever wrote it.
+            # The transaction may have been committed: a record found there now is an accepted job, whoever wrote it.
             for job_id, group in by_job.items():
                 await self._resolve_known(job_id, group)
             return False
@@ -181,7 +184,7 @@
         return False
 
     async def _write(self, records: dict[str, dict[str, Any]]) -> TransactionResult:
-        """On condition that none of the jobs is known, live or ended."""
+        """Writes the records on condition that none of the jobs exists, live or ended."""
         compares: list[Compare] = []
         writes: list[Put | Delete] = []
         for job_id, record in records.items():
@@ -189,9 +192,9 @@
             writes.append(Put(job_key(job_id), record))
         return await self._store.commit(compares, writes)
 
-    async def _admit_singly(self, by_job: _ByJob) -> None:
-        """One that is too long must not hold up the rest of its batch: each goes by itself, and those that the limit,
-        as it is known now, leaves no room for are told so."""
+    async def _admit_one_by_one(self, by_job: _ByJob) -> None:
+        """Retries a batch that the store refused for its size one job at a time, so that a job that is too long does
+        not block the others. A job that exceeds the limit, as it is known now, is rejected."""
         if len(by_job) > 1:
             for group in by_job.values():
                 await self._admit(group)
@@ -203,7 +206,7 @@
         return json_size(new_record(spec, self._time_of_day())) > self._store.value_bytes
 
     async def _resolve_known(self, job_id: str, group: list[_PendingSubmission]) -> None:
-        """Answer with the state of the job, if the store has it."""
+        """Answers with the state of the job, if the store has it."""
         requested_at = trio.current_time()
         try:
             state = await self._status.read(job_id)
@@ -214,7 +217,7 @@
                 pending.resolve(Answer(200, state), requested_at)
 
     async def _look_up_or_reject(self, job_id: str, group: list[_PendingSubmission]) -> None:
-        """Answer with the state of the job if it was accepted earlier, otherwise why it is not accepted."""
+        """Answers with the state of the job if it was accepted earlier, otherwise with why it is rejected."""
         requested_at = trio.current_time()
         try:
             state = await self._status.read(job_id)
@@ -226,8 +229,8 @@
                 pending.resolve(answer, requested_at)
 
     def _rejection(self, spec: JobSpec) -> Answer | None:
-        """Why a job is not accepted. None if it may be: the catalog may have come during the look-up, and then the user
-        is told to come back rather than refused for good."""
+        """Why a job is rejected, or None if no reason is known: the catalog is missing or arrived during the look-up.
+        The user is then told to retry later instead of being rejected for good."""
         if self._is_too_long(spec):
             return Answer(400, ErrorAnswer("body: longer than the state service can keep"))
         reason = impossible(spec, self._teams, self.catalog) if self.catalog is not None else None
--- a/sorrelsill/jobs/user_answers.py
+++ b/sorrelsill/jobs/user_answers.py
@@ -1,4 +1,4 @@
-"""What users are answered, under the names of the wire; a field that is not set is not sent."""
+"""Answers to users, with the field names of the HTTP API. An unset field is not sent."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 class JobAnswer(msgspec.Struct):
     """The state of one job."""
 
-    # Neither is set where a final record holds nothing.
+    # uid and phase are unset only if a known final record holds no value.
     uid: str | UnsetType = UNSET
     phase: str | UnsetType = UNSET
     done: int | UnsetType = UNSET  # finished tasks
-    running: int | UnsetType = UNSET  # tasks that run
+    running: int | UnsetType = UNSET  # running tasks
     why: list[str] | UnsetType = UNSET  # the newest notes on why tasks stopped or wait
-    workload: Any | UnsetType = UNSET  # the job's class, as stored
+    workload: Any | UnsetType = UNSET  # the job's class, as submitted
 
 
 class TeamJobsAnswer(msgspec.Struct):
@@ -32,40 +32,40 @@
 
     @property
     def phase(self) -> None:
-        """It is not about one job."""
+        """None: the answer is not about a single job."""
 
 
 class ErrorAnswer(msgspec.Struct):
-    """What is wrong with the request."""
+    """Why the request was refused."""
 
     error: str
 
     @property
     def phase(self) -> None:
-        """It tells of no job's state."""
+        """None: the answer holds no job's state."""
 
 
 class Answer(NamedTuple):
-    """The HTTP status and the body of an answer."""
+    """HTTP status and body of an answer."""
 
     status: int
     body: JobAnswer | TeamJobsAnswer | ErrorAnswer
 
 
 def no_such_job() -> Answer:
-    """The job was never accepted."""
+    """The answer about a job that was never accepted."""
     return Answer(404, ErrorAnswer("no such job"))
 
 
-def is_out_of_date(known_at: float) -> bool:
-    """Whether an answer that is not final rests on what was known too long ago.
+def is_out_of_date(as_of: float) -> bool:
+    """Whether an answer that is not final is based on a read or write that was sent at `as_of`, too long ago.
 
-    Guards against a process that stood still between finding out and answering: another controller may have told the
-    user something newer meanwhile."""
-    return trio.current_time() - known_at > constants.POLL_DEADLINE_S
+    If the process was paused between the read or write and the answer, another controller may have told the user
+    something newer in the meantime."""
+    return trio.current_time() - as_of > constants.POLL_DEADLINE_S
 
 
-def check_age(known_at: float) -> None:
-    """Raises BusyError if an answer would rest on what was known too long ago."""
-    if is_out_of_date(known_at):
+def check_age(as_of: float) -> None:
+    """Raises BusyError if an answer as of this time is out of date."""
+    if is_out_of_date(as_of):
         raise BusyError("the answer is out of date")
