--- a/sorrelsill/jobs/__init__.py
+++ b/sorrelsill/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs: what users submit, its checks, records, polls and cancellation."""
+"""Jobs: validation of submissions, stored records, polls and cancellations."""
 
 from sorrelsill.jobs.admission import Admission
 from sorrelsill.jobs.cancellations import Cancellations
--- a/sorrelsill/jobs/admission.py
+++ b/sorrelsill/jobs/admission.py
@@ -1,8 +1,8 @@
-"""Submissions, polls and cancellations: the users' side of a controller. Any controller serves them.
+"""Users' requests: submissions, polls and cancellations. Every controller serves them, not only the leader.
 
-What was told to a user may never be taken back, so every answer but the final ones rests on a read of the key-value
-store that began after the request came (a read barrier), and every change is committed before it is answered. What
-cannot be done now is refused at once with Retry-After (BusyError)."""
+An answer must never contradict an earlier one. So every answer, except that a job has ended, is based on a read of the
+key-value store that began after the request arrived (a read barrier), and every change is committed before it is
+answered. A request that can't be served now is refused at once with Retry-After (BusyError)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Admission:
-    """Takes submissions, polls and cancellations of users. Each may raise BusyError."""
+    """Serves users' submissions, polls and cancellations. Each may raise BusyError."""
 
     def __init__(
         self, store: KeyValueStore, watch_cache: WatchCache, teams: list[Team], time_of_day: Callable[[], float]
@@ -33,7 +33,7 @@
 
     @property
     def catalog(self) -> Catalog | None:
-        """The machine types by which jobs are validated; without them none is accepted."""
+        """The machine types against which jobs are validated. While it is None, no job is accepted."""
         return self._submissions.catalog
 
     @catalog.setter
@@ -41,27 +41,27 @@
         self._submissions.catalog = catalog
 
     async def run(self) -> None:
-        """Commit submissions, for ever."""
+        """Commits submissions until cancelled."""
         await self._submissions.run()
 
     async def submit(self, body: Any) -> Answer:
-        """Accept a job, or answer what is known of it."""
+        """Accepts a job, or answers with the state of a job that was accepted earlier."""
         return await self._submissions.submit(body)
 
     async def poll(self, job_id: str) -> Answer:
-        """A job's state, no older than the question."""
+        """Answers with a job's state, as of the request or later."""
         return await self._status.poll(job_id)
 
     async def explain(self, job_id: str) -> Answer:
-        """A job's state and why its tasks stopped or wait."""
+        """Answers with a job's state and why its tasks stopped or wait."""
         return await self._status.explain(job_id)
 
     async def team(self, name: str, after: str) -> Answer:
-        """A team's live jobs with ids beyond `after`, and only its own."""
+        """Lists the team's own live jobs whose ids sort after `after`."""
         if name not in self._teams:
             return Answer(404, ErrorAnswer("no such team"))
         return await list_team_jobs(self._watch_cache, name, after)
 
     async def cancel(self, job_id: str) -> Answer:
-        """Cancel a job, or answer that it is done."""
+        """Cancels a job, or answers how it has ended."""
         return await self._cancel_requests.cancel(job_id)
--- a/sorrelsill/jobs/cancel_requests.py
+++ b/sorrelsill/jobs/cancel_requests.py
@@ -1,4 +1,4 @@
-"""Users' cancellations: a conditional move of the job's record to its final key."""
+"""Users' cancellations: each moves the job's record to its final key in a compare-and-swap transaction."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 class CancelRequests:
-    """Cancels jobs; whichever of done and cancelled was committed first counts."""
+    """Cancels jobs. If a job is also finishing, whichever end is committed first counts."""
 
     def __init__(self, store: KeyValueStore, watch_cache: WatchCache) -> None:
         self._store = store
         self._watch_cache = watch_cache
 
     async def cancel(self, job_id: str) -> Answer:
-        """Cancel a job, or answer that it is done. Raises BusyError if the outcome is not known in time."""
+        """Cancels a job, or answers how it has ended. Raises BusyError if the outcome is not known in time."""
         if not valid_job_id(job_id):
             return no_such_job()
         try:
@@ -72,9 +72,9 @@
         return final
 
     async def _move_to_final_key(self, job_id: str, live: VersionedValue) -> dict[str, Any] | None:
-        """The final record, or None if the live one changed meanwhile."""
-        record = self._final_record_of(job_id, live.value)
-        # Chunks that find no room are removed later, by the leader's garbage collection.
+        """Returns the final record, or None if the live record changed since it was read."""
+        record = self._make_final_record(job_id, live.value)
+        # Chunks beyond the transaction's limit are deleted later by the leader's garbage collection.
         chunks = [Delete(key) for key in self._watch_cache.chunk_keys(job_id)][: max(0, self._store.txn_ops - 2)]
         writes: list[Put | Delete] = [Delete(job_key(job_id)), Put(final_key(job_id), record), *chunks]
         result = await self._store.commit([Compare(job_key(job_id), live.rev)], writes)
@@ -84,17 +84,17 @@
         self._watch_cache.remember_final(job_id, record)
         return record
 
-    def _final_record_of(self, job_id: str, live: Any) -> dict[str, Any]:
-        """The final record of a job that its user cancels now."""
+    def _make_final_record(self, job_id: str, live: Any) -> dict[str, Any]:
+        """Makes the final record of a job that its user cancels now."""
         count = done_count(live)
         try:
             spec, done, notes = parse_record(live, [])
         except (InvalidJobError, ValueError, TypeError) as error:
-            # Guards against a damaged record that could never be cancelled: whoever leads can't read it either.
+            # A job with a damaged record must still be cancellable: no leader can parse the record and end the job.
             log_event(log, logging.ERROR, "damaged_record_cancelled", job=job_id, error=error)
             return FinalRecord(JobPhase.CANCELLED, count, None).to_stored()
         limit = self._store.reduced_value_bytes
         if done.size == count and not spec.is_service:
-            # Every task is done and recorded; only the move to the final key is missing.
+            # All tasks are done and recorded: the job is done, and only the move to its final key is missing.
             return final_record(JobPhase.DONE, spec, count, notes, limit)
         return final_record(JobPhase.CANCELLED, spec, count, [*notes, "cancelled by its user"], limit)
--- a/sorrelsill/jobs/errors.py
+++ b/sorrelsill/jobs/errors.py
@@ -4,12 +4,12 @@
 
 
 class JobError(Exception):
-    """A user's request can't be carried out."""
+    """Base class: a user's request can't be carried out."""
 
 
 class InvalidJobError(JobError):
-    """A job specification or record is malformed; the text names the field and what is wrong with it."""
+    """A job specification or record is malformed. The message names the field and says what is wrong with it."""
 
 
 class BusyError(JobError):
-    """The request can't be served now; the user is told to come back."""
+    """The request can't be served now; the user is told to retry later."""
--- a/sorrelsill/jobs/team_jobs.py
+++ b/sorrelsill/jobs/team_jobs.py
@@ -1,4 +1,4 @@
-"""The list of a team's live jobs."""
+"""Lists a team's live jobs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def list_team_jobs(watch_cache: WatchCache, team: str, after: str) -> Answer:
-    """A page of a team's live jobs, and only its own, in order of their ids. Raises BusyError."""
+    """Answers with one page of the team's own live jobs, sorted by id. Raises BusyError."""
     requested_at = trio.current_time()
     if not await watch_cache.read_barrier():
         raise BusyError("the state service does not answer")
