--- a/sorrelsill/jobs/messages.py
+++ b/sorrelsill/jobs/messages.py
@@ -1,4 +1,4 @@
-"""The job specification as users submit it: checks every field, and maps the wire's names."""
+"""Parses and validates the job specification that users submit, and maps its field names to those of `JobSpec`."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 }
 
 _JOB_ID = re.compile(r"run-[A-Za-z0-9_.-]{1,120}\Z")
-_NAME_MAX = 200
+_MAX_LENGTH = 200  # characters of a text, or entries of a list
 
 
 def valid_job_id(job_id: object) -> bool:
-    """Whether this is a name that a job may have."""
+    """Whether this is a valid job id."""
     return isinstance(job_id, str) and _JOB_ID.match(job_id) is not None
 
 
-def _number(raw: dict[str, Any], name: str, least: float = 0.0, above: bool = False) -> float:
+def _number(raw: dict[str, Any], name: str, minimum: float = 0.0, exclusive: bool = False) -> float:
     value = raw.get(name)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise InvalidJobError(f"{name}: must be a number")
-    if not math.isfinite(value) or value < least or (above and value == least) or value > 1e12:
+    if not math.isfinite(value) or value < minimum or (exclusive and value == minimum) or value > 1e12:
         raise InvalidJobError(f"{name}: out of range")
     return float(value)
 
 
 def _text(raw: dict[str, Any], name: str) -> str:
     value = raw.get(name)
-    if not isinstance(value, str) or not 0 < len(value) <= _NAME_MAX:
-        raise InvalidJobError(f"{name}: must be a text of 1 to {_NAME_MAX} characters")
+    if not isinstance(value, str) or not 0 < len(value) <= _MAX_LENGTH:
+        raise InvalidJobError(f"{name}: must be a text of 1 to {_MAX_LENGTH} characters")
     return value
 
 
@@ -82,7 +82,7 @@
     value = raw.get("flavours")
     if value is None:
         return None
-    if not isinstance(value, list) or not value or len(value) > _NAME_MAX:
+    if not isinstance(value, list) or not value or len(value) > _MAX_LENGTH:
         raise InvalidJobError("flavours: must be null or a list of names")
     if not all(isinstance(v, str) and v for v in value):
         raise InvalidJobError("flavours: must hold names")
@@ -114,7 +114,7 @@
 
 
 def parse_spec(raw: object) -> JobSpec:
-    """Check every field; unknown ones are ignored and not kept. Raises InvalidJobError."""
+    """Validates every field; unknown fields are ignored and dropped. Raises InvalidJobError."""
     if not isinstance(raw, dict):
         raise InvalidJobError("body: must be a map")
     if not valid_job_id(raw.get("uid")):
--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -1,5 +1,5 @@
-"""Job records as they stand in the key-value store: `s/j/` while live, `s/f/` once ended. Only this module knows the
-names of their fields."""
+"""Job records as stored in the key-value store: under `s/j/` while the job is live, under `s/f/` once it has ended.
+Only this module knows the names of their fields."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveRecord:
-    """A live job. The version before this one writes its record anew from these fields, so there are no others."""
+    """The record of a live job. It must not get further fields: the previous version rewrites records from these."""
 
     spec: dict[str, Any]  # the known fields of the submission
-    done: str  # finished tasks as text, unless they are kept in chunks
+    done: str  # finished tasks as encoded by `TaskSet`; empty if they are kept in progress chunks
     done_count: int
-    running: int  # tasks that run
-    accepted: float  # time of day; it only orders jobs and their deadlines, no rule rests on it
+    running: int  # running tasks
+    accepted: float  # time of day; only orders jobs and their deadlines, correctness does not depend on it
 
     def to_stored(self) -> dict[str, Any]:
-        """Under the names of the store."""
+        """Encodes it with the field names of the stored form."""
         return {"s": self.spec, "d": self.done, "n": self.done_count, "r": self.running, "t": self.accepted}
 
 
 @dataclass(frozen=True, slots=True)
 class FinalRecord:
-    """What is kept of an ended job for ever."""
+    """The record of an ended job, kept for ever."""
 
     phase: JobPhase
     done_count: int
     team: str | None  # None if the live record was damaged
 
     def to_stored(self) -> dict[str, Any]:
-        """Under the names of the store."""
+        """Encodes it with the field names of the stored form."""
         return {"p": self.phase.value, "n": self.done_count, "o": self.team}
 
 
 class ParsedRecord(NamedTuple):
-    """What a live record tells of its job."""
+    """The contents of a live record."""
 
     spec: JobSpec
     done: TaskSet
@@ -52,12 +52,13 @@
 
 
 def new_record(spec: JobSpec, accepted: float) -> dict[str, Any]:
-    """The first record of a job that is accepted at this time of day."""
+    """The first record of a job that was accepted at this time of day."""
     return LiveRecord(spec.raw, "", 0, 0, round(accepted, 3)).to_stored()
 
 
 def json_size(value: Any) -> int:
-    """Length in JSON form, with every sign beyond ASCII counted as an escape, since the store's way is not known."""
+    """Length of the value as JSON in bytes, at the most: counts every non-ASCII character as an escape sequence, since
+    it is not known how the store encodes them."""
     raw = msgspec.json.encode(value)
     if raw.isascii():
         return len(raw)
@@ -65,63 +66,64 @@
     return len(text) + sum(11 if ord(c) > 0xFFFF else 5 for c in text if not c.isascii())
 
 
-def with_notes(value: dict[str, Any], why: list[str], limit: int) -> dict[str, Any]:
-    """Add the newest notes that leave the value within the limit."""
+def with_notes(value: dict[str, Any], notes: list[str], limit: int) -> dict[str, Any]:
+    """Adds as many of the newest notes as fit within `limit` bytes."""
     kept: list[str] = []
-    for note in reversed(why):
-        trial = {**value, "w": [note, *kept]}
-        if json_size(trial) > limit:
+    for note in reversed(notes):
+        extended = {**value, "w": [note, *kept]}
+        if json_size(extended) > limit:
             break
         kept.insert(0, note)
     return {**value, "w": kept} if kept else value
 
 
 def record_value(
-    spec: JobSpec, done: TaskSet, running: int, why: list[str], accepted: float, inline: bool = True
+    spec: JobSpec, done: TaskSet, running: int, notes: list[str], accepted: float, inline: bool = True
 ) -> dict[str, Any]:
-    """The live record. Very large jobs keep their finished tasks in progress chunks beside it (not `inline`)."""
+    """The live record. If not `inline`, it omits the finished tasks: very large jobs keep them in progress chunks."""
     text = done.encode(0, spec.task_count) if inline else ""
     value = LiveRecord(spec.raw, text, done.count, running, accepted).to_stored()
-    if why:
-        value["w"] = why
+    if notes:
+        value["w"] = notes
     return value
 
 
 def chunk_value(done: TaskSet, number: int, size: int = constants.CHUNK_TASKS) -> str:
-    """The finished tasks of one progress chunk of a large job, as stored."""
+    """The stored form of a progress chunk: the finished ones among the `size` tasks of chunk `number`."""
     start = number * size
     return done.encode(start, min(done.size, start + size))
 
 
-def final_record(phase: JobPhase, spec: JobSpec, done: int, why: list[str], limit: int) -> dict[str, Any]:
-    """What is kept for ever, with the newest notes that leave it within `limit` bytes."""
-    return with_notes(FinalRecord(phase, done, spec.team).to_stored(), why, limit)
+def final_record(phase: JobPhase, spec: JobSpec, done: int, notes: list[str], limit: int) -> dict[str, Any]:
+    """The record of an ended job, with as many of the newest notes as fit within `limit` bytes."""
+    return with_notes(FinalRecord(phase, done, spec.team).to_stored(), notes, limit)
 
 
 def done_count(record: Any) -> int:
-    """How many tasks are finished, by a live record that may be damaged."""
+    """Number of finished tasks according to a live record; 0 if that field is damaged."""
     return _count(record, "n")
 
 
 def running_count(record: Any) -> int:
-    """How many tasks run, by a live record that may be damaged."""
+    """Number of running tasks according to a live record; 0 if that field is damaged."""
     return _count(record, "r")
 
 
 def accepted_at(record: dict[str, Any]) -> float:
-    """The time of day at which a live record's job was accepted. Raises ValueError or TypeError if that is damaged."""
+    """The time of day at which a live record's job was accepted; 0.0 if the record holds none. Raises ValueError or
+    TypeError if it is damaged."""
     return float(record.get("t") or 0.0)
 
 
 def has_inline_tasks(record: dict[str, Any]) -> bool:
-    """Whether a live record itself names finished tasks, besides those in progress chunks."""
+    """Whether a live record holds finished tasks itself, not only in progress chunks."""
     return bool(record.get("d"))
 
 
 def _count(record: Any, name: str) -> int:
-    """A damaged count must not keep its job's users without an answer."""
-    found = record.get(name) if isinstance(record, dict) else None
-    return found if isinstance(found, int) else 0
+    """Returns 0 if the count is damaged, so that users still get an answer about the job."""
+    count = record.get(name) if isinstance(record, dict) else None
+    return count if isinstance(count, int) else 0
 
 
 def notes_of(record: dict[str, Any]) -> list[str]:
@@ -135,30 +137,30 @@
 
 
 def ended_as(record: Any, phase: JobPhase) -> bool:
-    """Whether this is the record of a job that ended in this phase. One that is missing or damaged says no."""
+    """Whether this is the final record of a job that ended in this phase. False if it is missing or damaged."""
     return isinstance(record, dict) and record.get("p") == phase.value
 
 
 def final_phase(record: dict[str, Any]) -> str:
-    """How the job ended, as its final record says."""
+    """The phase in which the job ended according to its final record."""
     phase: str = record["p"]
     return phase
 
 
 def final_done_count(record: dict[str, Any]) -> int:
-    """How many tasks were finished at the end, as the final record says."""
+    """Number of tasks that were finished when the job ended, according to its final record."""
     count: int = record.get("n", 0)
     return count
 
 
 def submitted_field(record: dict[str, Any], name: str) -> Any:
-    """A field of the submission, under its name on the wire."""
+    """A field of the submission, by its name in the HTTP API."""
     return record["s"].get(name)
 
 
 def parse_record(value: Any, chunks: list[tuple[int, Any]]) -> ParsedRecord:
-    """A live record, with its chunks, back to what it was made of. Raises InvalidJobError, ValueError or TypeError
-    if it is damaged."""
+    """Parses a live record and its progress chunks, given as (first task, stored form). Raises InvalidJobError,
+    ValueError or TypeError if they are damaged."""
     if not isinstance(value, dict):
         raise InvalidJobError("record: must be a map")
     spec = parse_spec(value.get("s"))
@@ -170,7 +172,7 @@
 
 
 def impossible(spec: JobSpec, teams: dict[str, Team], catalog: Catalog) -> str | None:
-    """Why a job can never run (422), or None."""
+    """Why a job can never run (answered with status 422), or None if it can."""
     team = teams.get(spec.team)
     if team is None:
         return f"unknown team {spec.team}"
