--- a/sorrelsill/jobs/registry_writes.py
+++ b/sorrelsill/jobs/registry_writes.py
@@ -1,7 +1,8 @@
-"""Adds changes of the machine registry to a write batch: machines that may hold work, many to a key.
+"""Adds changes of the machine registry to a write batch. The registry lists the machines that may hold work, many per
+key.
 
-Each write carries the revision of what it replaces: found by reading, a removal that was carried out late or twice
-could undo a later entry of the same term, and the next leader would not have waited for that machine."""
+Each write is conditional on the revision of the value that it replaces. Otherwise a removal that is applied late or
+twice could delete an entry added later in the same term, and the next leader would not wait for that machine."""
 
 from __future__ import annotations
 
@@ -20,14 +21,14 @@
 
 log = logging.getLogger(__name__)
 
-_FRAME_BYTES = 50  # of a transaction, for one key of the registry
+_KEY_OVERHEAD_BYTES = 50  # bytes in a transaction for one key of the registry, besides key and value
 
 
 @dataclass(slots=True)
 class _DuePart:
-    """A part of the registry (a first key and those it goes on in) that has to change."""
+    """A part of the registry (a first key and the keys that continue it) that has to change."""
 
-    one_machine: str  # any machine of the part
+    any_machine: str  # any machine of the part, to look up its keys
     to_register: dict[str, Machine] = field(default_factory=dict)
 
 
@@ -36,7 +37,7 @@
 
 
 class RegistryWrites:
-    """Knows which machines have to be registered and deregistered."""
+    """Turns due registrations and deregistrations of machines into writes."""
 
     def __init__(
         self, store: KeyValueStore, watch_cache: WatchCache, cluster: ClusterState, quarantine: WriteQuarantine
@@ -47,12 +48,12 @@
         self._quarantine = quarantine
 
     def add_to(self, batch: WriteBatch) -> None:
-        """Add one write for each part that has to change, as far as there is room."""
+        """Adds one write for each part that has to change, as long as the batch has room."""
         for base, part in sorted(self._due_parts().items()):
             self._add_part(batch, base, part)
 
     def _due_parts(self) -> dict[str, _DuePart]:
-        """By first key. What needs no write any more is taken off what is due."""
+        """The parts that have to change, by first key. Removes pending changes that need no write any more."""
         pending = self._cluster.pending_writes
         due: dict[str, _DuePart] = {}
         for name in list(pending.deregistrations):
@@ -72,9 +73,9 @@
         return any(name in value for value, _ in self._watch_cache.registry_parts(name).values())
 
     def _add_part(self, batch: WriteBatch, base: str, part: _DuePart) -> None:
-        stored = self._watch_cache.registry_parts(part.one_machine)
-        # Further keys only once the store refuses longer values: a leader of the former version that finds a
-        # machine in two of them never takes it for heard.
+        stored = self._watch_cache.registry_parts(part.any_machine)
+        # Continues in further keys only when the store refuses a longer value: a leader of the previous version that
+        # finds a machine in two keys never counts it as heard from.
         write = next_registry_write(
             base,
             {key: value for key, (value, _) in stored.items()},
@@ -83,13 +84,13 @@
             self._store.value_bytes,
         )
         if write is None:
-            # Without an entry a machine gets no work: that must not go unseen.
+            # A machine without an entry gets no work, so this is logged as an error.
             log_event(log, logging.ERROR, "registry_entries_too_long", key=base, machines=len(part.to_register))
             return
-        size = json_size(write.value) + len(write.key) + _FRAME_BYTES
+        size = json_size(write.value) + len(write.key) + _KEY_OVERHEAD_BYTES
         if not self._quarantine.admits(batch, write.key) or not batch.has_room(max(1, len(stored)), 1, size):
             return
-        # Of all keys, since what is left out of one may rest on standing in another.
+        # Conditions on all keys of the part: an entry may be dropped from one key because another key holds it.
         compares = [Compare(key, rev) for key, (_, rev) in stored.items()]
         if write.key not in stored:
             compares.append(Compare(write.key, 0))
@@ -98,8 +99,8 @@
         batch.add(write.key, compares, [Put(write.key, write.value)], size, on_commit)
 
     def _committed(self, write: RegistryWrite, added: list[tuple[Machine, int]], rev: int) -> None:
-        """The added machines may be given work, unless they changed meanwhile. Machines that are gone stay due until
-        they stand in no key any more."""
+        """Lets added machines get work unless they changed in the meantime. Deregistrations stay due until no key
+        holds the machine."""
         cluster = self._cluster
         self._watch_cache.apply_change(write.key, write.value, rev, True)
         for machine, incarnation in added:
