--- a/sorrelsill/jobs/due_records.py
+++ b/sorrelsill/jobs/due_records.py
@@ -1,4 +1,4 @@
-"""Which live jobs' records are due to be written, by how urgent they are."""
+"""Determines which live jobs' records have to be written, grouped by urgency."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 @dataclass(slots=True)
 class DueRecords:
-    """Jobs whose records are due; those written longest ago come first."""
+    """Jobs whose records are due. Each list starts with the job whose record was written longest ago."""
 
     ended: list[Job] = field(default_factory=list)  # all tasks are done
-    started_or_stopped: list[Job] = field(default_factory=list)  # the first task runs, or none does any more
+    started_or_stopped: list[Job] = field(default_factory=list)  # a first task runs now, or none does any more
     progressed: list[Job] = field(default_factory=list)
 
 
 def all_tasks_done(job: Job) -> bool:
-    """Whether nothing is left of the job but to move its record to the final key. A service never is done."""
+    """Whether the job is done and only has to be moved to its final key. A service is never done."""
     return job.done.count == job.spec.task_count and not job.spec.is_service
 
 
 def due_records(cluster: ClusterState, writes_per_s: float, now: float) -> DueRecords:
-    """What is due at a store that takes so many writes a second. Progress is for display, and its results stay on the
-    workers until they are recorded, so it is gathered: found on a measured day, writing each job at each change used up
-    the store's rate, and submissions waited. With many jobs it is gathered longer."""
+    """The records that are due, given the allowed writes per second. Progress is written only at intervals, which grow
+    with the number of pending jobs: writing a record at each change used up the store's rate and delayed submissions.
+    Waiting loses nothing, as progress is only displayed and workers keep results until they are recorded."""
     pending = cluster.pending_writes.records
     pending.intersection_update(cluster.jobs)
     interval_s = max(constants.PROGRESS_EVERY_S, len(pending) / (constants.PROGRESS_SHARE * writes_per_s))
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -1,8 +1,8 @@
-"""The leader's writes: finished tasks into job records, ended jobs to their final key, and the registry of machines
-that may hold work. Every transaction carries `leader == term`, so a late one fails.
+"""The leader's writes: progress of live jobs, moves of ended jobs to their final key, and the registry of machines that
+may hold work. Every transaction has the condition `leader == term`, so one that arrives after the term fails.
 
-Whatever is written keeps to the limits of the key-value store, which may shrink without notice. A transaction that it
-refuses for its size is taken apart: each change goes by itself, and one that is refused alone is quarantined."""
+All writes keep to the limits of the key-value store, which may be reduced without notice. When the store refuses a
+transaction for its size, its changes are sent one by one, and a change that is refused alone is quarantined."""
 
 from __future__ import annotations
 
@@ -26,7 +26,8 @@
 
 
 class RecordWriter:
-    """One per term. A step writes what is due; whatever is not committed stays due."""
+    """Writes due changes, one transaction per step. Changes that are not committed stay due. Each term has its own
+    writer."""
 
     def __init__(
         self,
@@ -36,7 +37,8 @@
         valid: Callable[[], bool],
         on_fenced: Callable[[], None] = lambda: None,
     ) -> None:
-        """`on_fenced` is called when the store says that another leader's term has begun."""
+        """`valid` tells whether this leader may still write. `on_fenced` is called when a commit fails because another
+        leader's term has begun."""
         self._store = store
         self._cluster = cluster
         self._valid = valid
@@ -48,11 +50,11 @@
 
     @property
     def quarantined(self) -> int:
-        """How many changes are left out for now since the store refuses them."""
+        """Number of changes in quarantine because the store refuses them."""
         return len(self._quarantine)
 
     async def step(self) -> bool:
-        """Write one transaction. True if there was something to write and it was committed."""
+        """Writes one transaction. Returns True if there was something to write and it was committed."""
         if not self._valid():
             return False
         self._quarantine.expire(trio.current_time())
@@ -70,32 +72,34 @@
         return False
 
     def due_records(self) -> DueRecords:
-        """Jobs whose records are due now."""
+        """Jobs whose records have to be written now."""
         return due_records(self._cluster, self._store.writes.rate, trio.current_time())
 
     def _next_batch(self) -> WriteBatch:
-        """Ended jobs go first, since their users wait for them, then machines that wait for their first work, then
-        jobs that begin or stop to run. Mere progress never costs what these need next."""
+        """Collects due changes by priority: ended jobs, as users wait for them; registrations of machines, which get no
+        work before; jobs that started or stopped running; and progress, which leaves a reserve of the write rate for
+        the others."""
         batch = WriteBatch(self._cluster.term, self._store.txn_ops)
         due = self.due_records()
         self._jobs.add_to(batch, due.ended)
         self._registry.add_to(batch)
         self._jobs.add_to(batch, due.started_or_stopped)
-        batch.max_writes = min(batch.max_writes, max(len(batch.writes), self._writes_without_reserve()))
+        batch.max_writes = min(batch.max_writes, max(len(batch.writes), self._writes_beyond_reserve()))
         self._jobs.add_to(batch, due.progressed)
         self._garbage.add_to(batch)
         return batch
 
-    def _writes_without_reserve(self) -> int:
-        """How many writes the rate allows at once, less what is left over for what is urgent next. Found by reading: at
-        the smaller store's rate the reserve was all that could be saved up, and no progress was ever written."""
+    def _writes_beyond_reserve(self) -> int:
+        """Number of writes that the rate allows now, less a reserve for the next urgent writes. The reserve is limited
+        to a share of the token bucket: at a low rate it would be the whole burst, and progress would never be
+        written."""
         bucket = self._store.writes
         reserve = min(constants.PROGRESS_RESERVE, int(bucket.burst * constants.PROGRESS_RESERVE_SHARE))
         return int(bucket.level()) - reserve
 
     async def _commit(self, batch: WriteBatch) -> TransactionResult | None:
-        """None if there is no result. Whether an unanswered one was carried out shows in the watch cache; until then
-        it stays due."""
+        """Returns None without a result. If the store did not answer, the watch cache will show whether the transaction
+        was committed; until then its changes stay due."""
         try:
             return await self._store.commit(batch.compares, batch.writes)
         except RefusedError as error:
