--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -15,7 +15,7 @@
 
 from sorrelsill import constants
 from sorrelsill.http import Client, NoAnswerError, NotSentError
-from sorrelsill.workers.commands import direct_commands_answered, has_direct_commands, take_direct_commands
+from sorrelsill.workers.commands import has_direct_commands, mark_starts_answered, take_direct_commands
 from sorrelsill.workers.machine_probes import MachineProbes
 from sorrelsill.workers.messages import DirectCommands
 from sorrelsill.workers.worker_connections import WorkerConnections, is_address
@@ -105,7 +105,7 @@
                     "POST", "/commands", body, constants.COMMAND_TIMEOUT_S, may_send=self._valid_for(batch.started)
                 )
             except NotSentError as error:
-                direct_commands_answered(batch.started)
+                mark_starts_answered(batch.started)
                 self._connections.call_failed(machine.name, str(error))
                 return
             except NoAnswerError as error:
@@ -115,7 +115,7 @@
                 return
             if status in (200, 400, 409):
                 self._connections.pauses.call_answered(machine.name)
-                direct_commands_answered(batch.started)
+                mark_starts_answered(batch.started)
                 self._connections.take_response(cluster, raw)
             else:
                 self._connections.call_failed(machine.name, f"status {status}")
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -1,4 +1,4 @@
-"""The commands that a machine is due: the difference between what is wanted on it and what its worker has named."""
+"""Commands for a machine: the difference between the desired state of its attempts and what its worker has reported."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
     """The commands of one direct call."""
 
     commands: list[Command] = field(default_factory=list)
-    started: list[Attempt] = field(default_factory=list)  # until the call is answered these may start at any time
+    started: list[Attempt] = field(default_factory=list)  # may start at any time until the call is answered
 
 
 def response_commands(cluster: ClusterRecords, machine: Machine, jobs_fresh: bool, now: float) -> list[Command]:
-    """The difference between what is wanted on a machine and what its worker has named."""
+    """Commands for the response to a heartbeat. Without `jobs_fresh` (a recent view of the jobs) they include no new
+    starts."""
     due: list[Command] = []
     for attempt in machine.attempts.values():
         if attempt.exited:
-            # Only once no older leader can send a start any more: a repeated start after
-            # `clear` would run the task again.
+            # Clear only when no start of this attempt can arrive any more, from an earlier leader or
+            # a direct call: a start that arrives after the clear would run the task again.
             if (
                 attempt.clearable
                 and machine.token_acknowledged
@@ -36,8 +37,8 @@
                 due.append(ClearCommand(attempt.task_id, attempt.attempt_number))
         elif attempt.stop_requested:
             if attempt.unanswered_starts and not attempt.confirmed and machine.token_acknowledged:
-                # Get it onto the worker first: a late direct start then finds the attempt ended
-                # there, and has no effect.
+                # Start the attempt before stopping it, so that the worker holds it as exited: a
+                # direct start that arrives late then has no effect.
                 due.append(StartCommand(attempt.task_id, attempt.attempt_number))
                 due.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
             elif attempt.confirmed and (attempt.phase != TaskPhase.CHECKPOINTING or attempt.grace_period_s == 0):
@@ -54,11 +55,11 @@
 
 
 def has_direct_commands(cluster: ClusterRecords, machine: Machine, jobs_fresh: bool) -> bool:
-    """Whether a machine is due commands that were not sent yet."""
-    return any(_is_due_directly(cluster, a, jobs_fresh) for a in machine.attempts.values())
+    """Whether there are commands for the machine that were not sent yet."""
+    return any(_needs_direct_command(cluster, a, jobs_fresh) for a in machine.attempts.values())
 
 
-def _is_due_directly(cluster: ClusterRecords, attempt: Attempt, jobs_fresh: bool) -> bool:
+def _needs_direct_command(cluster: ClusterRecords, attempt: Attempt, jobs_fresh: bool) -> bool:
     if attempt.exited:
         return False
     if attempt.stop_requested:
@@ -73,10 +74,10 @@
 
 
 def take_direct_commands(cluster: ClusterRecords, machine: Machine, jobs_fresh: bool) -> DirectBatch:
-    """Commands not sent yet, for one direct call; they count as sent from now on."""
+    """Return the commands that were not sent yet, for one direct call, and mark them as sent."""
     batch = DirectBatch()
     for attempt in machine.attempts.values():
-        if not _is_due_directly(cluster, attempt, jobs_fresh):
+        if not _needs_direct_command(cluster, attempt, jobs_fresh):
             continue
         if attempt.stop_requested:
             attempt.stop_sent = True
@@ -89,7 +90,7 @@
     return batch
 
 
-def direct_commands_answered(attempts: list[Attempt]) -> None:
-    """A direct call that started these attempts was answered, or certainly never sent."""
+def mark_starts_answered(attempts: list[Attempt]) -> None:
+    """Record that a direct call with starts of these attempts was answered, or was never sent."""
     for attempt in attempts:
         attempt.unanswered_starts -= 1
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -1,4 +1,4 @@
-"""Messages between controllers and workers. The names on the wire appear here and nowhere else."""
+"""Messages between controllers and workers. The field names on the wire are defined only here."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class TaskPhase(StrEnum):
-    """How far an attempt is; the values are those of the wire. A phase that is not known leads to no decision."""
+    """Phase of an attempt; the values are those on the wire. UNKNOWN stands for any other value and never leads
+    to a decision."""
 
-    SENT = "sent"  # until the worker has named it
+    SENT = "sent"  # until the worker has reported the attempt
     FETCHING = "pulling"
     WAITING = "waiting"
     RUNNING = "running"
@@ -26,13 +27,13 @@
 
 
 class ExitCause(StrEnum):
-    """Why a task exited, as far as decisions depend on it; the values are those of the wire."""
+    """Why a task exited; the values are those on the wire. UNKNOWN stands for any other value."""
 
     DONE = "done"
     STOPPED = "halted"
     ERROR = "error"
-    PEER_LOST = "peers"  # another task of its gang is gone
-    GANG_INCOMPLETE = "alone"  # its gang was never complete
+    PEER_LOST = "peers"  # another task of its gang was lost
+    GANG_INCOMPLETE = "alone"  # not all tasks of its gang were started
     UNKNOWN = "unknown"
 
     @classmethod
@@ -41,37 +42,37 @@
 
 
 class TaskStatus(msgspec.Struct):
-    """A task in a worker's heartbeat."""
+    """State of one task, as reported by a worker."""
 
     task_id: str = msgspec.field(name="shard")
     attempt_number: int = msgspec.field(name="tryNo")
-    phase: str  # as it came: any text is accepted, and comparing it costs nothing
+    phase: str  # raw value: any text is accepted, and comparing it needs no conversion to TaskPhase
     exit_cause: str | None = msgspec.field(name="exitCause", default=None)
-    saved: bool | None = None
+    saved: bool | None = None  # whether a checkpoint was saved before the task exited
 
     def known_phase(self) -> TaskPhase:
-        """The phase, or UNKNOWN."""
+        """The phase, or UNKNOWN if this version does not know the value."""
         return TaskPhase(self.phase)
 
     def known_exit_cause(self) -> ExitCause:
-        """The cause, or UNKNOWN."""
+        """The exit cause, or UNKNOWN if it is missing or this version does not know the value."""
         return ExitCause(self.exit_cause_text())
 
     def exit_cause_text(self) -> str:
-        """The worker's word for the cause, for notes to users."""
+        """The exit cause as the worker sent it, for notes to users."""
         return self.exit_cause or ExitCause.UNKNOWN.value
 
-    def split(self) -> tuple[str, int]:
-        """Job and index of the task. Called only for attempts not known yet, since a heartbeat names the same tasks
-        again and again. Raises ValueError if it is not the name of a task."""
+    def parse_task_id(self) -> tuple[str, int]:
+        """Return the job ID and the task index. Called only for attempts that are not known yet, because successive
+        heartbeats report mostly the same tasks. Raises ValueError if the task ID is malformed."""
         job_id, slash, index = self.task_id.rpartition("/")
         if not slash or not index.isdecimal():
-            raise ValueError(f"not a task: {self.task_id[:80]!r}")
+            raise ValueError(f"malformed task ID {self.task_id[:80]!r}: expected <job ID>/<index>")
         return job_id, int(index)
 
 
 class WorkerHeartbeat(msgspec.Struct):
-    """What a worker says of its machine: in a heartbeat, or in its answer to a direct call."""
+    """State of a machine and its tasks, sent by its worker in a heartbeat or in the response to a direct call."""
 
     machine: str = msgspec.field(name="host")
     incarnation: int = msgspec.field(name="tenure")
@@ -97,14 +98,14 @@
 
 
 class StartCommand(msgspec.Struct, frozen=True, tag_field="verb", tag="start"):
-    """Start a task; without effect while the worker holds this attempt in any state."""
+    """Start a task. No effect while the worker holds this attempt in any state."""
 
     task_id: str = msgspec.field(name="shard")
     attempt_number: int = msgspec.field(name="tryNo")
 
 
 class StopCommand(msgspec.Struct, frozen=True, tag_field="verb", tag="halt"):
-    """Stop a task; it saves a checkpoint first if the grace period (seconds) allows."""
+    """Stop a task. The task saves a checkpoint first if the grace period (seconds) is long enough."""
 
     task_id: str = msgspec.field(name="shard")
     attempt_number: int = msgspec.field(name="tryNo")
@@ -122,15 +123,16 @@
 
 
 class HeartbeatResponse(msgspec.Struct, frozen=True):
-    """The answer to a heartbeat; it renews the worker's lease if the fencing token is not below the highest it has
-    seen."""
+    """Response to a heartbeat. Renews the worker's lease unless its fencing token is lower than the highest that the
+    worker has seen."""
 
     fencing_token: int = msgspec.field(name="epoch")
     commands: list[Command] = msgspec.field(name="orders")
 
 
 class DirectCommands(msgspec.Struct, frozen=True):
-    """Commands sent straight to a worker; executed only in this incarnation, and they renew no lease."""
+    """Body of a direct call to a worker. The worker executes the commands only in this incarnation; its lease is not
+    renewed."""
 
     fencing_token: int = msgspec.field(name="epoch")
     incarnation: int = msgspec.field(name="tenure")
--- a/sorrelsill/workers/reported_tasks.py
+++ b/sorrelsill/workers/reported_tasks.py
@@ -44,7 +44,7 @@
 def _adopt(cluster: ClusterRecords, machine: Machine, status: TaskStatus, now: float) -> Attempt | None:
     """An attempt that an earlier leader started: it is adopted, or stopped if its job is over or not known."""
     try:
-        job_id, index = status.split()
+        job_id, index = status.parse_task_id()
     except ValueError as error:
         # Guards against one damaged entry hiding the machine's other tasks.
         log_event(log, logging.ERROR, "invalid_task_in_heartbeat", machine=machine.name, error=error)
