--- a/sorrelsill/workers/reported_tasks.py
+++ b/sorrelsill/workers/reported_tasks.py
@@ -1,4 +1,5 @@
-"""Reconciles the attempts that are bound to a machine with the tasks that its worker names in a message. Pure."""
+"""Reconciles the attempts bound to a machine with the tasks that its worker reports. Pure: no I/O, the current time is
+passed in."""
 
 from __future__ import annotations
 
@@ -18,35 +19,37 @@
 def reconcile_tasks(
     cluster: ClusterRecords, machine: Machine, heartbeat: WorkerHeartbeat, now: float, is_heartbeat: bool
 ) -> None:
-    """Take in what the worker says of its tasks; `is_heartbeat`: in a heartbeat, not in the answer to a direct call."""
+    """Update the machine's attempts from the reported tasks. `is_heartbeat`: whether the message is a heartbeat and not
+    the response to a direct call."""
     attempts = machine.attempts
-    named = 0
+    reported_count = 0
     for status in heartbeat.tasks:
         attempt = attempts.get((status.task_id, status.attempt_number))
         if attempt is None:
-            attempt = _adopt(cluster, machine, status, now)
+            attempt = _adopt_reported(cluster, machine, status, now)
             if attempt is None:
                 continue
         elif attempt.reported_phase == status.phase and attempt.confirmed:
-            named += 1
+            reported_count += 1
             continue
-        named += 1
-        _take_phase(cluster, attempt, status, now)
-    if named != len(attempts):
-        _drop_absent(cluster, machine, heartbeat, now, is_heartbeat)
+        reported_count += 1
+        _update_phase(cluster, attempt, status, now)
+    if reported_count != len(attempts):
+        _remove_unreported(cluster, machine, heartbeat, now, is_heartbeat)
     if machine.token_acknowledged and not machine.attempts_verified:
-        # An earlier message may have been a stale copy; what this one names is there.
+        # Earlier messages may have been stale copies; this one is not, so its attempts are on the machine.
         machine.attempts_verified = True
         for attempt in attempts.values():
             attempt.verified = True
 
 
-def _adopt(cluster: ClusterRecords, machine: Machine, status: TaskStatus, now: float) -> Attempt | None:
-    """An attempt that an earlier leader started: it is adopted, or stopped if its job is over or not known."""
+def _adopt_reported(cluster: ClusterRecords, machine: Machine, status: TaskStatus, now: float) -> Attempt | None:
+    """Adopt an attempt that an earlier leader started, or stop it if its job has ended or is not known. Returns None if
+    the task ID is malformed."""
     try:
         job_id, index = status.parse_task_id()
     except ValueError as error:
-        # Guards against one damaged entry hiding the machine's other tasks.
+        # Skip only this entry, so that one malformed task ID does not hide the machine's other tasks.
         log_event(log, logging.ERROR, "invalid_task_in_heartbeat", machine=machine.name, error=error)
         return None
     attempt = Attempt(job_id, index, status.attempt_number, machine, None, now, verified=machine.attempts_verified)
@@ -59,7 +62,7 @@
     return attempt
 
 
-def _take_phase(cluster: ClusterRecords, attempt: Attempt, status: TaskStatus, now: float) -> None:
+def _update_phase(cluster: ClusterRecords, attempt: Attempt, status: TaskStatus, now: float) -> None:
     machine = attempt.machine
     if not attempt.confirmed:
         attempt.confirmed = True
@@ -74,7 +77,7 @@
         return
     attempt.phase = phase
     if phase is TaskPhase.WAITING and attempt.spec is not None:
-        cluster.index.hold_image(machine, attempt.spec)  # it has its image, and waits for the rest of its gang
+        cluster.index.hold_image(machine, attempt.spec)  # the image is fetched; the task waits for its gang
     if phase is TaskPhase.RUNNING and attempt.running_since is None:
         attempt.running_since = now
         log_attempt(log, "runs", attempt, after_bind_s=now - attempt.created_at)
@@ -83,15 +86,15 @@
             cluster.pending_writes.record_due(attempt.job_id)
 
 
-def _drop_absent(
+def _remove_unreported(
     cluster: ClusterRecords, machine: Machine, heartbeat: WorkerHeartbeat, now: float, is_heartbeat: bool
 ) -> None:
-    """Attempts that a message doesn't name: gone, if their absence proves it."""
-    named = {(status.task_id, status.attempt_number) for status in heartbeat.tasks}
-    for attempt in [attempt for key, attempt in machine.attempts.items() if key not in named]:
+    """Remove the attempts that the message does not report, where that proves that they are gone."""
+    reported = {(status.task_id, status.attempt_number) for status in heartbeat.tasks}
+    for attempt in [attempt for key, attempt in machine.attempts.items() if key not in reported]:
         if attempt.unanswered_starts and not attempt.confirmed:
             continue  # its direct start may still be executed, so its absence proves nothing
         if attempt.confirmed or (is_heartbeat and (attempt.exited or attempt.stop_requested)):
-            # Cleared, vanished, or never started and no longer wanted: this newer heartbeat proves it.
+            # Cleared, lost, or stopped before it was ever started: this newer message proves that it is gone.
             cluster.attempts.leave(attempt)
             cluster.unbind(attempt, now)
