--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -1,8 +1,9 @@
-"""Commands sent straight to workers, so that a start does not wait for the next heartbeat.
+"""Sends commands to workers in direct calls, so that a start does not wait for the next heartbeat.
 
-Such a command may be executed minutes late while fencing token and incarnation still match, so an attempt whose direct
-start is unanswered stays uncertain: a heartbeat without it proves nothing, it is never cleared, and to be rid of it
-the same start goes out again in an answer to a heartbeat (which cannot be late), followed by a stop."""
+A worker may execute such a command minutes late, as long as fencing token and incarnation still match. So an attempt
+whose direct start is unanswered stays uncertain: a heartbeat that does not list it proves nothing, and it is never
+cleared. To end it, the same start is sent again in a heartbeat response (which cannot be executed late), followed by a
+stop."""
 
 from __future__ import annotations
 
@@ -29,17 +30,19 @@
 
 @dataclass(frozen=True, slots=True)
 class CallLimits:
-    """How many calls to workers there may be at a time. Every machine needs a socket of the leader's for its
-    heartbeats, so the quota of sockets grows with the fleet, and with it the probes after a failover. Commands keep
-    their pace: more of them at a time would only be answered at a time as well."""
+    """Limits on connections and on concurrent calls to workers.
 
-    connections: int  # machines to which a connection is kept
-    commands: int
-    probes: int
+    The leader needs a socket for each machine's heartbeats, so its socket quota grows with the fleet, and the number of
+    probes after a failover grows with the quota. The number of commands in flight does not: with more of them, more
+    responses would only arrive at the same time."""
+
+    connections: int  # connections to workers that stay open
+    commands: int  # direct calls with commands in flight
+    probes: int  # probes in flight
 
     @classmethod
     def derive(cls, sockets: int) -> CallLimits:
-        """Out of a controller's quota of sockets."""
+        """Derive the limits from a controller's socket quota."""
         return cls(
             connections=max(8, int(sockets * constants.COMMAND_SOCKETS)),
             commands=constants.COMMANDS_AT_ONCE,
@@ -48,7 +51,7 @@
 
 
 class CommandSender:
-    """One call in flight per machine, a bounded number in all; a machine that fails is left alone a while."""
+    """Sends direct calls: at most one in flight per machine, a bounded number in total, and a pause after a failure."""
 
     def __init__(
         self,
@@ -58,8 +61,9 @@
         limits: CallLimits,
         on_response: Callable[[], None] = lambda: None,
     ) -> None:
-        """`leadership_valid`: whether we may command workers now; `jobs_fresh`: whether our view of the jobs is recent
-        enough for starts; `on_response` is called after each answer that was taken in."""
+        """`client` opens a connection to an address. `leadership_valid` tells whether we may command workers now,
+        `jobs_fresh` whether our view of the jobs is recent enough for starts. `on_response` is called after each
+        response that was applied to the cluster state."""
         self._limits = limits
         self._leadership_valid = leadership_valid
         self._jobs_fresh = jobs_fresh
@@ -68,7 +72,7 @@
         self._probes = MachineProbes(self._connections, leadership_valid, limits.probes)
 
     def start_due(self, cluster: ClusterState, nursery: trio.Nursery) -> None:
-        """Start a call for every machine with commands it was not sent yet."""
+        """Start a call to each machine that has commands not sent yet, up to the limit."""
         now = trio.current_time()
         if not self._leadership_valid():
             return
@@ -83,13 +87,13 @@
             if not _may_be_called(machine) or not has_direct_commands(cluster, machine, True):
                 del cluster.machines_with_pending_commands[machine.name]
             elif has_direct_commands(cluster, machine, jobs_fresh):
-                # What becomes due while the call is under way puts the machine back among these.
+                # Commands that become due during the call put the machine back into this dict.
                 del cluster.machines_with_pending_commands[machine.name]
                 self._busy.add(machine.name)
                 nursery.start_soon(self._send_commands, cluster, machine)
 
     def probe_unconfirmed(self, cluster: ClusterState, nursery: trio.Nursery) -> None:
-        """Start the probes that are due after a failover."""
+        """Start the probes of unconfirmed machines that are due after a failover."""
         self._probes.start_due(cluster, nursery)
 
     async def _send_commands(self, cluster: ClusterState, machine: Machine) -> None:
@@ -102,21 +106,22 @@
             body = _encode(DirectCommands(cluster.term, machine.incarnation, batch.commands))
             try:
                 status, raw = await self._connections.client(machine.addr).request(
-                    "POST", "/commands", body, constants.COMMAND_TIMEOUT_S, may_send=self._valid_for(batch.started)
+                    "POST", "/commands", body, constants.COMMAND_TIMEOUT_S, may_send=self._may_send(batch.started)
                 )
             except NotSentError as error:
                 mark_starts_answered(batch.started)
                 self._connections.call_failed(machine.name, str(error))
                 return
             except NoAnswerError as error:
-                # The attempts stay uncertain, and the machine gets no more work before it has shown that it hears.
+                # The attempts stay uncertain, and the machine gets no new work until it has shown that responses or
+                # commands reach it.
                 machine.reachable = False
                 self._connections.call_failed(machine.name, str(error))
                 return
             if status in (200, 400, 409):
                 self._connections.pauses.call_answered(machine.name)
                 mark_starts_answered(batch.started)
-                self._connections.take_response(cluster, raw)
+                self._connections.apply_response(cluster, raw)
             else:
                 self._connections.call_failed(machine.name, f"status {status}")
         finally:
@@ -124,15 +129,16 @@
             if has_direct_commands(cluster, machine, True):
                 cluster.machines_with_pending_commands[machine.name] = machine
 
-    def _valid_for(self, starts: list[Attempt]) -> Callable[[], bool]:
-        """Whether commands may still go out: with starts only while the view of the jobs is fresh as well."""
+    def _may_send(self, starts: list[Attempt]) -> Callable[[], bool]:
+        """Return a check whether commands may still be sent: while we lead and, if they include starts, while the view
+        of the jobs is fresh."""
         return lambda: self._leadership_valid() and (not starts or self._jobs_fresh())
 
 
 def _may_be_called(machine: Machine) -> bool:
-    """Whether the machine is sent commands directly. What is overdue gets them with its next heartbeat: guards against
-    some fifty machines that hang at once taking all calls for two seconds each, while the healthy ones wait for their
-    heartbeats."""
+    """Whether commands may be sent to the machine in direct calls. A machine whose heartbeat is overdue gets them with
+    its next heartbeat instead: otherwise some fifty machines that hang at once would occupy all calls for two seconds
+    each, and the commands for healthy machines would wait for their heartbeats."""
     return (
         not machine.heartbeat_overdue
         and not machine.lease_expired
--- a/sorrelsill/workers/machine_probes.py
+++ b/sorrelsill/workers/machine_probes.py
@@ -1,6 +1,7 @@
-"""Probes after a failover: a new leader shows its fencing token to the registered machines that were not heard yet.
+"""Probes after a failover: a new leader sends its fencing token to the registered machines that have not confirmed it
+yet.
 
-An answer is the machine's state, with nothing older to come."""
+The response carries the machine's state. After it, the worker accepts nothing from an earlier leader."""
 
 from __future__ import annotations
 
@@ -26,31 +27,31 @@
 
 
 class MachineProbes:
-    """Which machines are still to be probed in a term; the number of probes at a time is bounded."""
+    """Probes the unconfirmed machines of a term, with a bounded number of probes in flight."""
 
     def __init__(self, connections: WorkerConnections, leadership_valid: Callable[[], bool], limit: int) -> None:
         self._connections = connections
         self._leadership_valid = leadership_valid
         self._limit = limit
         self.in_flight = 0
-        self._repeats_in_flight = 0  # those of them to machines that did not answer before
-        self._cluster: ClusterState | None = None  # whose machines are probed
-        self._not_probed: deque[str] = deque()
-        self._probe_again: Timers[str] = Timers()  # when machines that did not answer are probed next
+        self._repeats_in_flight = 0  # probes in flight to machines that were probed before
+        self._cluster: ClusterState | None = None  # the term's cluster state whose machines are probed
+        self._not_probed: deque[str] = deque()  # machines not probed yet in this term
+        self._repeat_timers: Timers[str] = Timers()  # when machines that are still unconfirmed are probed next
 
     def start_due(self, cluster: ClusterState, nursery: trio.Nursery) -> None:
-        """Start the probes that are due. Each machine is tried again after a pause that grows; what did not answer
-        before never keeps those from being probed that were not probed yet."""
+        """Start the probes that are due. A machine that does not answer is probed again with exponential backoff. Only
+        a part of the probes may be repeats, so that these never block the first probes of other machines."""
         if self._cluster is not cluster:
             self._cluster = cluster
             self._not_probed = deque(cluster.failover.unconfirmed)
-            self._probe_again.clear()
+            self._repeat_timers.clear()
         while self._not_probed and self.in_flight < self._limit:
             self._start(cluster, self._not_probed.popleft(), nursery)
         now = trio.current_time()
         repeats_limit = self._limit * constants.REPEATED_PROBES
         while self._repeats_in_flight < repeats_limit and self.in_flight < self._limit:
-            name = self._probe_again.pop_due(now)
+            name = self._repeat_timers.pop_due(now)
             if name is None:
                 break
             self._start(cluster, name, nursery, repeated=True)
@@ -60,7 +61,7 @@
         if name not in cluster.failover.unconfirmed or not is_address(addr):
             return
         if name in self._connections.busy:
-            self._probe_again.set_if_earlier(name, trio.current_time() + constants.RETRY_S)
+            self._repeat_timers.set_if_earlier(name, trio.current_time() + constants.RETRY_S)
             return
         self._connections.busy.add(name)
         self.in_flight += 1
@@ -69,7 +70,8 @@
 
     async def _probe(self, cluster: ClusterState, name: str, addr: str, repeated: bool) -> None:
         try:
-            # Guards against machines that hang: thousands of them would keep the probes from those that answer.
+            # The first probe has a short timeout: otherwise thousands of machines that hang would delay the probes of
+            # those that answer.
             timeout_s = constants.COMMAND_TIMEOUT_S if repeated else constants.FIRST_PROBE_TIMEOUT_S
             status, raw = await self._connections.client(addr).request("GET", "/status", b"", timeout_s)
             if status != 200 or not self._leadership_valid():
@@ -80,7 +82,7 @@
                 "POST", "/commands", body, constants.COMMAND_TIMEOUT_S, may_send=self._leadership_valid
             )
             if status in (200, 409):
-                self._connections.take_response(cluster, raw)
+                self._connections.apply_response(cluster, raw)
         except (NotSentError, NoAnswerError, InvalidHeartbeatError) as error:
             self._connections.call_failed(name, str(error))
         finally:
@@ -88,4 +90,4 @@
             self.in_flight -= 1
             self._repeats_in_flight -= repeated
             if name in cluster.failover.unconfirmed and self._cluster is cluster:
-                self._probe_again.set_if_earlier(name, self._connections.pauses.retry_at(name, trio.current_time()))
+                self._repeat_timers.set_if_earlier(name, self._connections.pauses.retry_at(name, trio.current_time()))
--- a/sorrelsill/workers/stopping.py
+++ b/sorrelsill/workers/stopping.py
@@ -1,4 +1,4 @@
-"""Stopping a task, or the gang that it belongs to. Pure."""
+"""Stops a task, or the whole gang that it belongs to. Pure: no I/O."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 def stop(cluster: ClusterRecords, attempt: Attempt, reason: str, immediately: bool = False) -> None:
-    """Stop a task to make room or to drain; it checkpoints first unless its room is needed at once. The tasks of a gang
-    are stopped together."""
+    """Stop a task for preemption or draining. It saves a checkpoint first unless `immediately` is set. The tasks of a
+    gang are stopped together."""
     if attempt.stop_requested or attempt.exited:
         return
     gang = cluster.gangs.get(attempt.job_id)
--- a/sorrelsill/workers/worker_connections.py
+++ b/sorrelsill/workers/worker_connections.py
@@ -1,5 +1,5 @@
-"""Connections to workers, and what every direct call has in common: one at a time for each machine, a pause after a
-failure, and the answer, which is the machine's state."""
+"""Connections to workers, and the handling that all direct calls share: at most one call per machine at a time, a pause
+after a failure, and a response that carries the machine's state."""
 
 from __future__ import annotations
 
@@ -24,37 +24,39 @@
 
 
 class WorkerConnections:
-    """Keeps the connections used last, and knows which machines are being called or left alone."""
+    """Keeps the most recently used connections, and tracks which machines have a call in flight or are paused after a
+    failure."""
 
     def __init__(
         self,
         client: Callable[[str], Client],
-        kept: int,
+        max_connections: int,
         leadership_valid: Callable[[], bool],
         on_response: Callable[[], None],
     ) -> None:
-        """`kept` is the number of connections that stay open; `on_response` is called after each answer that was taken
-        in."""
+        """`client` opens a connection to an address; of all connections the `max_connections` used last stay open.
+        `leadership_valid` tells whether we may command workers now. `on_response` is called after each response that
+        was applied to the cluster state."""
         self.busy: set[str] = set()  # machines with a call in flight
         self.pauses = CallPauses()
         self._make_client = client
-        self._kept = kept
+        self._max_connections = max_connections
         self._leadership_valid = leadership_valid
         self._on_response = on_response
         self._clients: OrderedDict[str, Client] = OrderedDict()
 
     def client(self, addr: str) -> Client:
-        """The connection to an address, made if there is none."""
+        """Return the connection to an address; open one if there is none."""
         client = self._clients.get(addr)
         if client is None:
             client = self._clients[addr] = self._make_client(addr)
-            while len(self._clients) > self._kept:
+            while len(self._clients) > self._max_connections:
                 self._clients.popitem(last=False)[1].close()
         self._clients.move_to_end(addr)
         return client
 
-    def take_response(self, cluster: ClusterState, raw: bytes) -> None:
-        """Take in the machine's state, unless we ceased to lead meanwhile."""
+    def apply_response(self, cluster: ClusterState, raw: bytes) -> None:
+        """Update the cluster state from the machine's response, unless we are no longer the leader."""
         try:
             heartbeat = parse_heartbeat(raw)
         except InvalidHeartbeatError as error:
@@ -65,13 +67,13 @@
             self._on_response()
 
     def call_failed(self, name: str, reason: str) -> None:
-        """Leave the machine alone for a while."""
+        """Log the failure and pause calls to the machine."""
         log_event(log, logging.DEBUG, "machine_not_reached", machine=name, error=reason)
         self.pauses.call_failed(name, trio.current_time())
 
 
 def is_address(addr: str) -> bool:
-    """Whether a machine's address can be called."""
+    """Whether the text is a valid address (a machine may have none yet)."""
     try:
         split_addr(addr)
     except ValueError:
