--- a/sorrelsill/workers/lease_monitor.py
+++ b/sorrelsill/workers/lease_monitor.py
@@ -1,7 +1,8 @@
-"""When a machine's heartbeat is overdue and when its lease has certainly expired. Pure: time is given.
+"""Determines when a machine's heartbeat is overdue and when its lease has certainly expired. Pure: no I/O, the current
+time is passed in.
 
-Each machine has one timer, which is never later than the moment at which continued silence would next change what is
-believed of the machine. Most heartbeats only move that moment away and so leave the timer alone."""
+Each machine has one timer. It fires no later than the time at which continued silence would next change the machine's
+state. Most heartbeats only postpone that time, so they leave the timer as it is."""
 
 from __future__ import annotations
 
@@ -18,24 +19,24 @@
 
 
 class LeaseMonitor:
-    """The timers of all machines, and the durations by which leases are judged (all in seconds)."""
+    """The timers of all machines, and the durations that apply to leases (all in seconds)."""
 
     def __init__(
         self, term_began_at: float, loss_s: float, validity_s: float, overdue_s: float, failover: FailoverReconciliation
     ) -> None:
-        """`loss_s`: after this much silence a lease has expired for certain; `validity_s`: for how long a leader may
-        answer after its last renewal; `overdue_s`: after this much silence a heartbeat is overdue."""
+        """`loss_s`: silence after which a lease has certainly expired; `validity_s`: how long a leader may answer
+        heartbeats after it last renewed its own lease; `overdue_s`: silence after which a heartbeat is overdue."""
         self.loss_s = loss_s
         self.overdue_s = overdue_s
         self.unreachable_after_s = loss_s / 2
-        self.renewed_by_others = float("-inf")  # leases may have been renewed by any node up to then
+        self.renewed_by_others = float("-inf")  # until when any controller may have renewed leases
         self._earlier_leader_valid_until = term_began_at + validity_s
         self._failover = failover
         self._timers: Timers[Machine] = Timers()
-        self._last_expiry_at = float("-inf")
+        self._last_check_at = float("-inf")
 
     def watch(self, machine: Machine) -> None:
-        """Set the machine's timer, after anything that may have brought its next check nearer."""
+        """Set the machine's timer. Called after any change that may make its next check due earlier."""
         self._timers.set_if_earlier(machine, self._next_check_at(machine))
 
     def watch_if_new(self, machine: Machine) -> None:
@@ -44,45 +45,46 @@
             self.watch(machine)
 
     def pop_due(self, now: float) -> Machine | None:
-        """A machine whose timer has run out; the timer is taken off. None if there is none."""
+        """Return a machine whose timer has expired and remove the timer, or return None."""
         return self._timers.pop_due(now)
 
-    def begin_expiry(self, now: float) -> bool:
-        """Whether it is time to check the leases again; if so, the interval starts anew."""
-        if now - self._last_expiry_at < constants.EXPIRE_EVERY_S:
+    def begin_check_if_due(self, now: float) -> bool:
+        """Whether the leases are due for a check. If so, the interval until the next check starts now."""
+        if now - self._last_check_at < constants.EXPIRE_EVERY_S:
             return False
-        self._last_expiry_at = now
+        self._last_check_at = now
         return True
 
-    def continue_expiry(self) -> None:
-        """The check was cut short: it goes on with the next call."""
-        self._last_expiry_at = float("-inf")
+    def make_check_due(self) -> None:
+        """Make the next check due at once, because the last one was cut short."""
+        self._last_check_at = float("-inf")
 
     def heartbeat_is_overdue(self, machine: Machine, now: float) -> bool:
-        """Whether the machine has been silent for longer than it may be and still be given work."""
+        """Whether the machine has been silent for so long that it must not be given new work."""
         return now - machine.last_seen_at > self._overdue_after_s(machine)
 
     def lease_expires_at(self, machine: Machine) -> float:
-        """From when on its lease has expired for certain; infinite if there is none to expire."""
+        """Time from which the machine's lease has certainly expired; infinite if it has no lease."""
         if machine.lease_expired or machine.lease_renewed_at is None:
             return _NEVER
         renewed_by_others = self.renewed_by_others
         if machine.name in self._failover.unconfirmed:
-            renewed_by_others = self.renewed_before_term_until()
+            renewed_by_others = self.latest_renewal_before_term()
         return max(machine.lease_renewed_at, renewed_by_others) + self.loss_s
 
-    def renewed_before_term_until(self) -> float:
-        """Until when anyone before us may have renewed leases. An earlier leader's validity ran out before its key
-        could go, but an early end of the key would let it answer for the rest of that time, so this is waited out as
-        well."""
+    def latest_renewal_before_term(self) -> float:
+        """Latest time at which an earlier leader or another controller may have renewed leases. Normally an earlier
+        leader stops answering before its leader key can expire. Should the key end early, that leader could go on
+        answering until its validity ends, so this time is waited out as well."""
         return max(self.renewed_by_others, self._earlier_leader_valid_until)
 
     def _next_check_at(self, machine: Machine) -> float:
-        """When continued silence would next change what is believed of the machine."""
+        """Time at which continued silence would next change the machine's state."""
         overdue_at = _NEVER if machine.heartbeat_overdue else machine.last_seen_at + self._overdue_after_s(machine)
         return min(overdue_at, self.lease_expires_at(machine))
 
     def _overdue_after_s(self, machine: Machine) -> float:
-        """A machine that answers direct calls and sends no heartbeats has a lease that expires again and again, and
-        all work with it. After a failover it has some time to find the way to the new leader."""
+        """Silence in seconds after which the heartbeat is overdue. This also applies to a machine that answers
+        direct calls but sends no heartbeats: its lease expires repeatedly, and its tasks are lost each time. Before its
+        first heartbeat in this term it gets longer, since after a failover its worker has to find the new leader."""
         return self.overdue_s if machine.has_sent_heartbeat else max(self.overdue_s, self.unreachable_after_s)
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -1,4 +1,4 @@
-"""Work that is lost, or about to be: leases that expired, workers that are not heard, machines that are reclaimed."""
+"""Handles tasks that are lost or about to be: expired leases, silent workers, and spot machines to be reclaimed."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 def expire_leases(cluster: ClusterRecords, now: float) -> list[Machine]:
-    """Declare lost what has been silent for longer than the workers' lease. Returns those machines."""
-    if not cluster.leases.begin_expiry(now):
+    """Declare lost the machines that have been silent for longer than the workers' lease. Returns these machines."""
+    if not cluster.leases.begin_check_if_due(now):
         return []
     cluster.failover.recount()
     cluster.failover.forget_ended_jobs()
@@ -26,21 +26,23 @@
 
 
 def _check_due_machines(cluster: ClusterRecords, now: float) -> list[Machine]:
-    """Mark the machines whose timer is up as overdue or lost, and set their timers anew. Returns the lost ones."""
+    """Check the machines whose timer has expired: mark them as overdue or lost, and set their timers again. Returns the
+    lost ones."""
     lost: list[Machine] = []
     checked: list[Machine] = []
     released_tasks = 0
     while (machine := cluster.leases.pop_due(now)) is not None:
         if cluster.machines.get(machine.name) is not machine:
-            continue  # gone since its timer was set: guards against it coming back into the indices
+            continue  # removed since its timer was set: an update would put it back into the indices
         checked.append(machine)
         if cluster.leases.heartbeat_is_overdue(machine, now):
             machine.heartbeat_overdue = True
         if now <= cluster.leases.lease_expires_at(machine):
             continue
         if released_tasks >= constants.EXPIRE_TASKS:
-            # Guards against hundreds of machines lost at once: lease renewals must not wait behind them.
-            cluster.leases.continue_expiry()
+            # Stop here and go on with the next call: when hundreds of machines are lost at once, lease renewals must
+            # not be delayed.
+            cluster.leases.make_check_due()
             break
         released_tasks += len(machine.attempts)
         _declare_lost(cluster, machine, now)
@@ -62,9 +64,10 @@
 
 
 def _confirm_expired_machines(cluster: ClusterRecords, now: float) -> None:
-    """Registered machines that nobody can have answered for longer than a lease hold no work any more."""
+    """Confirm the registered machines whose heartbeats nobody can have answered for longer than a lease: they hold no
+    tasks any more."""
     unconfirmed = cluster.failover.unconfirmed
-    if not unconfirmed or now - cluster.leases.renewed_before_term_until() <= cluster.loss_s:
+    if not unconfirmed or now - cluster.leases.latest_renewal_before_term() <= cluster.loss_s:
         return
     for name in list(unconfirmed):
         machine = cluster.machines.get(name)
@@ -74,10 +77,11 @@
     cluster.wake_scheduler = True
 
 
-def hears_no_worker(cluster: ClusterRecords, now: float, limit: float) -> bool:
-    """Whether workers were heard in this term and all of them have been silent since. One machine alone
-    proves nothing, and a leader that never heard any is no better replaced."""
-    if cluster.last_heartbeat_at is None or now - max(cluster.last_heartbeat_at, cluster.renewed_by_others) <= limit:
+def hears_no_worker(cluster: ClusterRecords, now: float, limit_s: float) -> bool:
+    """Whether there were heartbeats in this term, but none from any worker for `limit_s` seconds. The silence of a
+    single machine proves nothing. A leader that never received a heartbeat is not replaced either, because another
+    leader would be no better."""
+    if cluster.last_heartbeat_at is None or now - max(cluster.last_heartbeat_at, cluster.renewed_by_others) <= limit_s:
         return False
     machines = cluster.machines.values()
     with_lease = sum(1 for m in machines if not m.lease_expired and m.lease_renewed_at is not None)
@@ -85,8 +89,8 @@
 
 
 def drain(cluster: ClusterRecords, now: float) -> None:
-    """Stop work on machines that are about to be reclaimed. A task that ended with its machine would only be known to
-    be lost once a whole lease of silence had passed."""
+    """Stop tasks on machines that are about to be reclaimed. The loss of a task that runs until its machine is gone is
+    detected only after a full lease of silence."""
     for machine in cluster.machines_with_reclaim_notice.values():
         if machine.spot_reclaim_at is None or machine.lease_expired:
             continue
@@ -94,13 +98,14 @@
             spec = attempt.spec
             if spec is None or attempt.stop_requested or attempt.exited:
                 continue
-            if _must_leave(cluster, attempt, spec, machine.spot_reclaim_at, now):
+            if _must_stop_now(cluster, attempt, spec, machine.spot_reclaim_at, now):
                 stop(cluster, attempt, "machine is taken back")
 
 
-def _must_leave(cluster: ClusterRecords, attempt: Attempt, spec: JobSpec, reclaim_at: float, now: float) -> bool:
-    """What can checkpoint does so as late as is safe; what can't, and won't be complete by then, goes at once, and the
-    rest just before the end."""
+def _must_stop_now(cluster: ClusterRecords, attempt: Attempt, spec: JobSpec, reclaim_at: float, now: float) -> bool:
+    """Whether a task has to be stopped now. A running task that can save a checkpoint is stopped as late as is safe.
+    Any other is stopped at once, unless it will probably complete before the machine is reclaimed; then it is stopped
+    shortly before that."""
     remaining_s = reclaim_at - now
     if spec.is_gang and attempt.job_id in cluster.gangs:
         return gang_must_leave(cluster.gangs[attempt.job_id], remaining_s)
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -1,4 +1,5 @@
-"""Takes in that a task exited: its result, where it may be tried again, and whose fault a failure is. Pure."""
+"""Handles the exit of a task: records its result, where it may be retried, and whether job or machine is at fault.
+Pure: no I/O, the current time is passed in."""
 
 from __future__ import annotations
 
@@ -15,7 +16,7 @@
 
 
 def on_exit(cluster: ClusterRecords, attempt: Attempt, status: TaskStatus, now: float) -> None:
-    """The worker says for the first time that the attempt has exited."""
+    """Handle the first report that an attempt has exited."""
     cluster.attempts.count_unknown_task(attempt, -1)
     attempt.exited = True
     attempt.phase = TaskPhase.EXITED
@@ -28,17 +29,17 @@
         attempt.clear_after = now + constants.DUPLICATE_START_S
     cluster.unbind(attempt, now)
     if job is not None:
-        _explain(cluster, job, attempt, status, now)
+        _note_exit(cluster, job, attempt, status, now)
 
 
 def _on_completion(cluster: ClusterRecords, attempt: Attempt, now: float) -> None:
     job = cluster.jobs.get(attempt.job_id)
     if job is not None and 0 <= attempt.index < job.spec.task_count and not job.spec.is_service:
         _mark_done(cluster, job, attempt.index)
-        _blame(cluster, job, job.failures.record_success(attempt.machine.name))
+        _blame_machines(cluster, job, job.failures.record_success(attempt.machine.name))
     else:
         attempt.clearable = True
-    # Another attempt of the same task would be wasted: the result is there.
+    # Stop any other attempt of the task: its result is no longer needed.
     other = job.bound.get(attempt.index) if job is not None else None
     if other is not None and other is not attempt:
         cluster.request_stop(other, "the result is there")
@@ -46,7 +47,8 @@
 
 
 def _mark_done(cluster: ClusterRecords, job: Job, index: int) -> None:
-    """The tasks of a gang complete together, also those whose machines die before they say so."""
+    """Mark a task as done. The tasks of a gang complete together, so one exit marks them all, including those whose
+    machines fail before reporting it."""
     for done_index in range(job.spec.task_count) if job.spec.is_gang else (index,):
         if job.done.add(done_index):
             job.unrecorded_parts.add(done_index // constants.PART_TASKS)
@@ -54,9 +56,9 @@
             cluster.job_changed(job.spec.job_id)
 
 
-def _explain(cluster: ClusterRecords, job: Job, attempt: Attempt, status: TaskStatus, now: float) -> None:
-    """Tell the job's users why a task exited without a result, and keep the next attempt off the machine if that may be
-    to blame."""
+def _note_exit(cluster: ClusterRecords, job: Job, attempt: Attempt, status: TaskStatus, now: float) -> None:
+    """Add a note for the job's users on why a task exited without a result. If the machine may be at fault, the job
+    avoids it for a while."""
     machine = attempt.machine
     cause = status.known_exit_cause()
     if cause is ExitCause.STOPPED:
@@ -64,7 +66,7 @@
         job.note(f"task {attempt.index}: stopped{saved} ({attempt.stop_reason or 'by an earlier leader'})")
         return
     if cause in (ExitCause.PEER_LOST, ExitCause.GANG_INCOMPLETE):
-        # Another task of its gang is gone or never came: the fault of neither this machine nor the job.
+        # Another task of its gang was lost or never started: neither this machine nor the job is at fault.
         job.note(f"task {attempt.index}: {status.exit_cause_text()}, its group is started anew")
         return
     job.note(f"task {attempt.index}: {status.exit_cause_text()} on {machine.name}")
@@ -74,23 +76,26 @@
 
 
 def _on_failure(cluster: ClusterRecords, job: Job, machine: Machine, now: float) -> None:
-    """Guards against jobs that fail wherever they run: their failures must not get machines quarantined."""
+    """Record a failed task and decide whether it counts against the job or the machine. A job that fails on every
+    machine must not get machines quarantined."""
     failures = job.failures
     if job.spec.is_service:
         for replica in job.bound.values():
             if replica.running_since is not None and now - replica.running_since >= constants.REPLICA_PROOF_S:
-                _blame(cluster, job, failures.record_success(replica.machine.name))
+                _blame_machines(cluster, job, failures.record_success(replica.machine.name))
                 break
-    _blame(cluster, job, failures.record_failure(machine.name, now))
+    _blame_machines(cluster, job, failures.record_failure(machine.name, now))
     if failures.is_suspect(len(job.bound)):
-        # The other machines are not to blame: avoiding them all would leave it waiting beside free room.
+        # The other machines are probably not at fault: if the job avoided them all, it would wait although there is
+        # free capacity.
         job.avoid = {machine.name: job.avoid[machine.name]}
         wait_s = max(0.0, failures.next_trial_at - now)
         job.note(f"failed on all {len(failures.machines)} machines tried; next try in {wait_s:.0f} s")
 
 
-def _blame(cluster: ClusterRecords, job: Job, names: set[str]) -> None:
-    """The job failed on these machines and succeeded on another. A machine that several jobs blame is quarantined."""
+def _blame_machines(cluster: ClusterRecords, job: Job, names: set[str]) -> None:
+    """Count the job's failures against these machines, on which it failed while it succeeded on another. A machine that
+    several jobs blame is quarantined."""
     for name in names:
         machine = cluster.machines.get(name)
         if machine is None:
