--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -1,4 +1,4 @@
-"""Tasks that an earlier leader started and that are found on their machines. Pure."""
+"""Adopts tasks that an earlier leader started and that workers still report. Pure: no I/O."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 log = logging.getLogger(__name__)
 
 
-def adopt_found(cluster: ClusterRecords, attempt: Attempt) -> None:
-    """Take over an attempt that was found running: for its job, or to be stopped if that is over or not known."""
+def adopt_or_stop(cluster: ClusterRecords, attempt: Attempt) -> None:
+    """Adopt an attempt that a worker reports as not exited, or stop it if its job has ended or is not known."""
     job = cluster.jobs.get(attempt.job_id)
     if job is not None:
         adopt(cluster, attempt, job)
@@ -29,44 +29,45 @@
     if ended is not None:
         adopt_ended(cluster, attempt, ended)
         return
-    # Guards against work that fills the machine and hides what these tasks use: their size is not known, so the room
-    # that is left counts toward every team's limit, and must not be given away before they are gone.
+    # The size of such tasks is not known, so all free capacity of the machine counts toward every team's limit. It
+    # must not be given to other tasks before these are gone: that would hide what they use.
     attempt.machine.holds_tasks_of_unknown_size = True
     cluster.request_stop(attempt, "its job is over or not known")
 
 
 def adopt_tasks_of(cluster: ClusterRecords, job: Job) -> None:
-    """Adopt the tasks of a job that were found before the job was known."""
+    """Adopt the attempts of a job that were reported before the job was known."""
     for attempt in _unknown_attempts(cluster, job.spec.job_id):
         adopt(cluster, attempt, job)
 
 
 def adopt_tasks_of_ended(cluster: ClusterRecords, ended: EndedJob) -> None:
-    """Adopt the tasks of a job that is over and that were found before the job was known."""
+    """Adopt the attempts of an ended job that were reported before the job was known."""
     for attempt in _unknown_attempts(cluster, ended.spec.job_id):
         adopt_ended(cluster, attempt, ended)
 
 
 def _unknown_attempts(cluster: ClusterRecords, job_id: str) -> Iterator[Attempt]:
-    """Attempts of a job that run and whose size is not known. Lazy: adopting one may change what is true of the
-    next."""
+    """Attempts of a job that have not exited and whose size is not known. Evaluated lazily, since adopting one attempt
+    may change the state of the next."""
     return (a for a in cluster.attempts.of_job(job_id) if a.spec is None and not a.exited)
 
 
 def adopt(cluster: ClusterRecords, attempt: Attempt, job: Job) -> None:
-    """A task of a live job. If it is one too many, it is stopped."""
-    _take_room(cluster, attempt, job)
-    known = job.bound.get(attempt.index)
+    """Bind an attempt to its live job. It is stopped if its task is done or does not exist, or if the task already has
+    an attempt that has to be kept."""
+    _allocate(cluster, attempt, job)
+    other = job.bound.get(attempt.index)
     keep = 0 <= attempt.index < job.spec.task_count and attempt.index not in job.done
-    if keep and known is not None:
-        # The later attempt was only made once the earlier one was proved gone. So the earlier is a stale copy
-        # out of a late heartbeat, and must not cost the true one its place.
+    if keep and other is not None:
+        # The later attempt was created only after the earlier one was proved gone. So the earlier one is a stale
+        # copy from a delayed heartbeat, and must not replace the later one.
         keep = (
-            attempt.attempt_number > known.attempt_number
-            and known.attempt_number >> constants.ATTEMPT_COUNTER_BITS < cluster.term
+            attempt.attempt_number > other.attempt_number
+            and other.attempt_number >> constants.ATTEMPT_COUNTER_BITS < cluster.term
         )
         if keep:
-            cluster.request_stop(known, "a later attempt was found")
+            cluster.request_stop(other, "a later attempt was found")
     attempt.stop_requested = False
     if not keep:
         cluster.request_stop(attempt, "one too many")
@@ -77,16 +78,16 @@
 
 
 def adopt_ended(cluster: ClusterRecords, attempt: Attempt, ended: EndedJob) -> None:
-    """A task of a job that is over. It takes room and counts toward its team's limit like any other, until it is proved
-    gone."""
-    _take_room(cluster, attempt, ended)
+    """Stop an attempt of an ended job. Until it is proved gone, it uses capacity of its machine and counts toward its
+    team's limit like any other."""
+    _allocate(cluster, attempt, ended)
     ended.mark_observed(attempt.index)
     cluster.failover.recount()
     cluster.request_stop(attempt, "its job is over")
 
 
-def _take_room(cluster: ClusterRecords, attempt: Attempt, job: Job | EndedJob) -> None:
-    """From now on its size is known."""
+def _allocate(cluster: ClusterRecords, attempt: Attempt, job: Job | EndedJob) -> None:
+    """Give the attempt its job's spec, so that its size is known and counted."""
     cluster.attempts.count_unknown_task(attempt, -1)
     attempt.spec = job.spec
     cluster.take_room(attempt)
--- a/sorrelsill/workers/call_pauses.py
+++ b/sorrelsill/workers/call_pauses.py
@@ -1,4 +1,4 @@
-"""Machines that are left alone for a while after a call to them failed. Pure: time is given."""
+"""Pauses direct calls to machines after a call failed. Pure: no I/O, the current time is passed in."""
 
 from __future__ import annotations
 
@@ -18,36 +18,37 @@
 
 
 class CallPauses:
-    """The pause after the last failed call to each machine; it doubles with each failure in a row."""
+    """The pause after the last failed call to each machine; it doubles with each consecutive failure, up to a limit."""
 
     def __init__(self) -> None:
         self._by_machine: dict[str, _Pause] = {}
         self._swept_at = float("-inf")
 
     def call_failed(self, name: str, now: float) -> None:
-        """Leave the machine alone from now on."""
-        former = self._by_machine.get(name)
-        duration_s = constants.COMMAND_BACKOFF_S if former is None else 2 * former.duration_s
+        """Pause calls to the machine from now on."""
+        previous = self._by_machine.get(name)
+        duration_s = constants.COMMAND_BACKOFF_S if previous is None else 2 * previous.duration_s
         self._by_machine[name] = _Pause(now, min(constants.COMMAND_BACKOFF_MAX_S, duration_s))
         if now >= self._swept_at + constants.COMMAND_BACKOFF_MAX_S:
             self._sweep(now)
 
     def call_answered(self, name: str) -> None:
-        """The machine answers: its next failure counts as the first."""
+        """End the pause: the next failure counts as the first again."""
         self._by_machine.pop(name, None)
 
     def is_paused(self, name: str, now: float, last_seen_at: float) -> bool:
-        """Whether the machine is still left alone; not once a heartbeat of it has come since (`last_seen_at`)."""
+        """Whether calls to the machine are still paused. A heartbeat received after the failure (`last_seen_at`) ends
+        the pause."""
         pause = self._by_machine.get(name)
         return pause is not None and now < pause.ends_at and last_seen_at <= pause.failed_at
 
     def retry_at(self, name: str, now: float) -> float:
-        """When the machine may be called again."""
+        """Time from which the machine may be called again; soon if its last call did not fail."""
         pause = self._by_machine.get(name)
         return now + constants.RETRY_S if pause is None else pause.ends_at
 
     def _sweep(self, now: float) -> None:
-        """Forget failures so long ago that they say nothing any more."""
+        """Remove entries whose failure was longer ago than twice the longest pause."""
         self._swept_at = now
         kept_since = now - 2 * constants.COMMAND_BACKOFF_MAX_S
         self._by_machine = {name: pause for name, pause in self._by_machine.items() if pause.failed_at > kept_since}
--- a/sorrelsill/workers/reported_tasks.py
+++ b/sorrelsill/workers/reported_tasks.py
@@ -6,7 +6,7 @@
 import logging
 
 from sorrelsill.events import log_event
-from sorrelsill.workers.adoption import adopt_found
+from sorrelsill.workers.adoption import adopt_or_stop
 from sorrelsill.workers.attempt_events import log_attempt
 from sorrelsill.workers.cluster_records import ClusterRecords
 from sorrelsill.workers.machine import Attempt, Machine
@@ -58,7 +58,7 @@
         return None
     cluster.attempts.enter(attempt)
     if status.phase != TaskPhase.EXITED:
-        adopt_found(cluster, attempt)
+        adopt_or_stop(cluster, attempt)
     return attempt
 
 
--- a/sorrelsill/workers/test_call_pauses.py
+++ b/sorrelsill/workers/test_call_pauses.py
@@ -4,7 +4,7 @@
 from sorrelsill.workers.call_pauses import CallPauses
 
 
-def test_pauses_double_up_to_the_longest_and_start_anew_after_an_answer() -> None:
+def test_pauses_double_up_to_the_limit_and_reset_after_an_answer() -> None:
     pauses = CallPauses()
     now = 0.0
     durations = []
@@ -19,7 +19,7 @@
     assert pauses.retry_at("m1", now) == now + 2.0
 
 
-def test_a_heartbeat_after_the_failure_ends_the_pause() -> None:
+def test_heartbeat_after_the_failure_ends_the_pause() -> None:
     pauses = CallPauses()
     pauses.call_failed("m1", 5.0)
     assert pauses.is_paused("m1", 6.0, last_seen_at=4.0)
