--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -1,8 +1,9 @@
-"""What a new leader can't see yet: machines of the registry that it has not heard, and what may run on them.
+"""What a new leader does not know yet: registered machines that are unconfirmed in its term, and tasks that may run on
+them.
 
-Until such a machine has shown the new fencing token or its lease has run out, it may hold tasks of jobs that an
-earlier leader started. Those jobs get no new starts, and what their teams may use unseen counts toward the teams'
-limits."""
+Until a machine has acknowledged the new fencing token or its lease has expired, it may hold tasks that an earlier
+leader started. The jobs of such tasks get no new starts, and the resources that the tasks may be using count toward
+their teams' limits."""
 
 from __future__ import annotations
 
@@ -15,13 +16,13 @@
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Machine
 
-_ANY_SIZE = Resources(float("inf"), float("inf"))
+_UNBOUNDED = Resources(float("inf"), float("inf"))
 
 
 class MachineKind(NamedTuple):
-    """What a registry entry tells of a machine."""
+    """The properties in a machine's registry entry that decide which tasks the machine may hold."""
 
-    machine_type: str
+    machine_type: str  # empty: not known
     zone: str | None  # None: not known
     spot: bool  # whether it is certainly a spot machine
 
@@ -36,130 +37,134 @@
 
 @dataclass(frozen=True, slots=True)
 class _Unobserved:
-    """What may be in use on machines that are not heard."""
+    """Resources that may be in use on unconfirmed machines."""
 
-    by_team: dict[str, Resources]  # by tasks of each team
-    others: Resources  # by tasks of any other team
+    by_team: dict[str, Resources]  # by the tasks of each team
+    other_teams: Resources  # by the tasks of any team that is not in `by_team`
 
-    def of(self, team: str) -> Resources:
-        return self.by_team.get(team, self.others)
+    def for_team(self, team: str) -> Resources:
+        return self.by_team.get(team, self.other_teams)
 
 
 class FailoverReconciliation:
     """The machines not confirmed in this term, and the resources that may be in use on them."""
 
     def __init__(self) -> None:
-        self.unconfirmed: dict[str, MachineKind] = {}  # registered machines not yet heard with our fencing token
+        self.unconfirmed: dict[str, MachineKind] = {}  # registered machines not confirmed in this term
         self.unconfirmed_addresses: dict[str, str] = {}
-        self._unconfirmed_kinds: dict[MachineKind, int] = {}
-        self.ended: dict[str, EndedJob] = {}  # jobs that are over, of which such machines may hold tasks
-        self._all_ended_known = False  # no other job can have left tasks there
-        self._unobserved: _Unobserved | None = None
+        self._unconfirmed_by_kind: dict[MachineKind, int] = {}
+        self.ended: dict[str, EndedJob] = {}  # ended jobs whose tasks may still run on unconfirmed machines
+        self._all_ended_known = False  # no ended job other than these can have left tasks there
+        self._unobserved: _Unobserved | None = None  # None: to be computed when it is next needed
 
     def recount(self) -> None:
-        """What the counts rest on has changed: work them out anew when they are next needed."""
+        """Discard the computed resources, since something that they depend on has changed. They are computed again when
+        next needed."""
         self._unobserved = None
 
     def expect_machines(self, registered: Iterable[tuple[str, Any]]) -> None:
-        """Machines that an earlier leader may have given work: they have to be heard, or time out."""
+        """Add registered machines, to which an earlier leader may have assigned tasks. Each of them stays unconfirmed
+        until it acknowledges our fencing token or its lease expires."""
         for name, value in registered:
             entry = RegistryEntry.from_stored(value)
-            # An entry of an earlier version lacks zone and kind: the machine may be any.
+            # An entry from an earlier version has no zone and no spot flag, so neither rules out any task.
             kind = MachineKind(entry.machine_type, entry.zone, entry.spot)
             if name in self.unconfirmed:
-                # It stands in two parts of the registry. Guards against counting it twice and hearing it once, which
-                # would hold back every older job that it may hold for the whole term.
+                # The machine is in two parts of the registry. If it were counted twice but confirmed once, jobs from
+                # earlier terms that it may hold would be held back for the whole term.
                 self.confirm(name)
             self.unconfirmed[name] = kind
-            self._unconfirmed_kinds[kind] = self._unconfirmed_kinds.get(kind, 0) + 1
+            self._unconfirmed_by_kind[kind] = self._unconfirmed_by_kind.get(kind, 0) + 1
             self.unconfirmed_addresses[name] = entry.addr
         self._unobserved = None
 
     def add_ended_job(self, spec: JobSpec, accounted: TaskSet) -> EndedJob:
-        """A job is over; all but the tasks accounted for may still run on machines that are not heard."""
+        """Add a job that has ended. All its tasks except those in `accounted` may still run on unconfirmed machines."""
         ended = self.ended[spec.job_id] = EndedJob(spec, accounted)
         self._unobserved = None
         return ended
 
     def set_all_ended_known(self, known: bool) -> None:
-        """Whether the jobs added are all that were over before this term and may have left tasks."""
+        """Set whether the ended jobs added include all that ended before this term and may have left tasks running."""
         self._all_ended_known = known
         self._unobserved = None
 
     def forget_ended_jobs(self) -> None:
-        """Once all machines are heard, tasks of these are bound where they are. Not in the middle of a heartbeat: the
-        last machine's tasks are still to be found then."""
+        """Forget the ended jobs once all machines are confirmed, since all their remaining tasks are bound then. Must
+        not be called while a heartbeat is processed: the last machine is confirmed before its tasks are adopted."""
         if not self.unconfirmed:
             self.ended.clear()
 
     def confirm(self, name: str) -> bool:
-        """The machine was heard with the new fencing token, or holds nothing any more. False if it was confirmed
-        before."""
+        """Confirm a machine: it has acknowledged our fencing token, or it holds no tasks any more. Returns False if it
+        was not unconfirmed."""
         kind = self.unconfirmed.pop(name, None)
         if kind is None:
             return False
-        self._unconfirmed_kinds[kind] -= 1
-        if not self._unconfirmed_kinds[kind]:
-            del self._unconfirmed_kinds[kind]
+        self._unconfirmed_by_kind[kind] -= 1
+        if not self._unconfirmed_by_kind[kind]:
+            del self._unconfirmed_by_kind[kind]
         self._unobserved = None
         return True
 
     def reconciled(self, job: Job) -> bool:
-        """Whether everything an earlier leader may have started of a job is accounted for. A machine that is not heard
-        yet can hold tasks only of jobs that allow its type, zone and kind."""
-        return not job.from_earlier_term or not self._may_be_unheard(job.spec)
+        """Whether all tasks of a job that an earlier leader may have started are accounted for. An unconfirmed machine
+        can hold only tasks of jobs that allow its type, its zone and, if it is one, spot machines."""
+        return not job.from_earlier_term or not self._may_run_on_unconfirmed(job.spec)
 
-    def _may_be_unheard(self, spec: JobSpec) -> bool:
-        """Whether a machine that is not heard may hold tasks of the job."""
-        return any(kind.may_hold(spec) for kind in self._unconfirmed_kinds)
+    def _may_run_on_unconfirmed(self, spec: JobSpec) -> bool:
+        """Whether an unconfirmed machine may hold tasks of the job."""
+        return any(kind.may_hold(spec) for kind in self._unconfirmed_by_kind)
 
     def unobserved(
-        self, team: str, jobs: dict[str, Job], catalog: Catalog, with_unknown_tasks: Iterable[Machine]
+        self, team: str, jobs: dict[str, Job], catalog: Catalog, machines_with_unknown_tasks: Iterable[Machine]
     ) -> Resources:
-        """What tasks of a team may be using unseen, which count toward its limit.
+        """Resources that a team's tasks may be using without being bound; they count toward the team's limit.
 
-        On machines not heard yet: what is neither done nor on a heard machine of its jobs, live ones and those lately
-        over, that such a machine may hold; never more than all such machines. With their whole size
-        counted for every team, fifty silent machines would fill small teams' limits for a lease.
+        Unconfirmed machines: every task of the team's live and recently ended jobs counts that is neither done nor
+        bound to a confirmed machine, if an unconfirmed machine may hold it; in total at most the capacity of these
+        machines. Their whole capacity counts for every team only while not all recently ended jobs are known: fifty
+        silent machines would exhaust the limits of small teams for the duration of a lease.
 
-        On machines heard, everything is bound with its own size, tasks of jobs lately over as well. Counted by
-        the room left on their machine, other work could take that room. Of tasks of jobs that are
-        not known the size can't be told, so that room counts, and the machine takes no work until they are gone."""
+        Confirmed machines: all tasks are bound with their own sizes, including those of recently ended jobs. Were these
+        counted by the free capacity of their machine, other tasks could take that capacity. Only for tasks of unknown
+        jobs, whose size is not known, the free capacity of their machine counts, and the machine gets no new tasks
+        until they are gone."""
         if self._unobserved is None:
             self._unobserved = self._count_unobserved(jobs, catalog)
-        unobserved = self._unobserved.of(team)
-        for machine in with_unknown_tasks:
-            unobserved = unobserved.plus(_room_left(machine, catalog))
+        unobserved = self._unobserved.for_team(team)
+        for machine in machines_with_unknown_tasks:
+            unobserved = unobserved.plus(_free_capacity(machine, catalog))
         return unobserved
 
     def _count_unobserved(self, jobs: dict[str, Job], catalog: Catalog) -> _Unobserved:
-        size = NOTHING
-        for kind, count in self._unconfirmed_kinds.items():
-            size = size.plus(_size_of(kind.machine_type, count, catalog))
+        capacity = NOTHING
+        for kind, count in self._unconfirmed_by_kind.items():
+            capacity = capacity.plus(_total_capacity(kind.machine_type, count, catalog))
         if not self._all_ended_known or not self.unconfirmed:
-            return _Unobserved({}, size)
+            return _Unobserved({}, capacity)
         by_team: dict[str, Resources] = {}
         for ended in self.ended.values():
-            if self._may_be_unheard(ended.spec):
-                _add(by_team, ended.spec, ended.unobserved_count)
+            if self._may_run_on_unconfirmed(ended.spec):
+                _add_tasks(by_team, ended.spec, ended.unobserved_count)
         for job in jobs.values():
             if not self.reconciled(job):
-                _add(by_team, job.spec, job.unobserved_count)
-        return _Unobserved({team: amount.at_most(size) for team, amount in by_team.items()}, NOTHING)
+                _add_tasks(by_team, job.spec, job.unobserved_count)
+        return _Unobserved({team: amount.at_most(capacity) for team, amount in by_team.items()}, NOTHING)
 
 
-def _size_of(machine_type: str, count: int, catalog: Catalog) -> Resources:
+def _total_capacity(machine_type: str, count: int, catalog: Catalog) -> Resources:
     known = catalog.machine_types.get(machine_type)
     if known is None:
-        return _ANY_SIZE  # a type that is not known may be of any size
+        return _UNBOUNDED  # a machine of unknown type may have any capacity
     return Resources(known.cpus * count, known.gpus * count)
 
 
-def _room_left(machine: Machine, catalog: Catalog) -> Resources:
+def _free_capacity(machine: Machine, catalog: Catalog) -> Resources:
     if machine.machine_type not in catalog.machine_types:
-        return _ANY_SIZE  # guards against a machine whose size is not known counting as one without room
+        return _UNBOUNDED  # its capacity of 0 means unknown, not that the machine is full
     return Resources(machine.capacity_cpus - machine.cpus, machine.capacity_gpus - machine.gpus).at_least(NOTHING)
 
 
-def _add(by_team: dict[str, Resources], spec: JobSpec, tasks: int) -> None:
+def _add_tasks(by_team: dict[str, Resources], spec: JobSpec, tasks: int) -> None:
     by_team[spec.team] = by_team.get(spec.team, NOTHING).plus(resources_of(spec, tasks))
