--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -55,7 +55,7 @@
 
 
 def has_direct_commands(cluster: ClusterRecords, machine: Machine, jobs_fresh: bool) -> bool:
-    """Whether there are commands for the machine that were not sent yet."""
+    """Whether there are commands for the machine to be sent in a direct call."""
     return any(_needs_direct_command(cluster, a, jobs_fresh) for a in machine.attempts.values())
 
 
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -125,8 +125,8 @@
             _acknowledge_token(cluster, machine, is_consecutive or not machine.token_may_be_inherited, now, "report")
     else:
         # A gap in the sequence does not prove that responses are lost: heartbeats cross with responses to direct calls,
-        # and a worker that was redirected here sent its last one to another controller. Recent proof still counts;
-        # otherwise many machines would become unusable at once.
+        # and a worker that was redirected here sent its previous heartbeat to another controller. Recent proof still
+        # counts; otherwise many machines would become unusable at once.
         proof_is_recent = now - machine.reachability_proved_at <= cluster.leases.unreachable_after_s
         machine.reachable = is_consecutive or (machine.reachable and proof_is_recent)
     if is_consecutive:
--- a/sorrelsill/workers/machine_probes.py
+++ b/sorrelsill/workers/machine_probes.py
@@ -1,5 +1,5 @@
-"""Probes after a failover: a new leader sends its fencing token to the registered machines that have not confirmed it
-yet.
+"""Probes after a failover: a new leader sends its fencing token to the registered machines that have not acknowledged
+it yet.
 
 The response carries the machine's state. After it, the worker accepts nothing from an earlier leader."""
 
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -33,7 +33,7 @@
     STOPPED = "halted"
     ERROR = "error"
     PEER_LOST = "peers"  # another task of its gang was lost
-    GANG_INCOMPLETE = "alone"  # not all tasks of its gang were started
+    GANG_INCOMPLETE = "alone"  # its gang never became complete
     UNKNOWN = "unknown"
 
     @classmethod
