--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -102,7 +102,7 @@
                 self.membership.term_ended()
             return
         if self.membership is not None:
-            self.membership.term_began(term, self.elector.predecessor)
+            self.membership.term_began(term, self.elector.previous_leader)
         now = trio.current_time()
         timings = self.timings
         cluster = ClusterState(
@@ -121,7 +121,7 @@
         self.scheduler.reset()
         self._log_failover(cluster)
         for loop in ("place", "record", "fleet"):
-            self.watchdog.beat(loop)
+            self.watchdog.record_heartbeat(loop)
 
     def _log_failover(self, cluster: ClusterState) -> None:
         log_event(
@@ -146,7 +146,7 @@
             self.watch_cache,
             cluster,
             self.elector.valid,
-            on_fenced=lambda: self.elector.fenced(cluster.term + 1),
+            on_fenced=lambda: self.elector.observe_fencing_token(cluster.term + 1),
         )
 
     def _make_fleet(self, cluster: ClusterState) -> FleetManager:
@@ -305,7 +305,7 @@
     async def _loop(self, name: str, step: Callable[[], Awaitable[None]], tick_s: float) -> None:
         """A leader's loop: an error is logged and the next round goes on; beats feed the watchdog."""
         while True:
-            self.watchdog.beat(name)
+            self.watchdog.record_heartbeat(name)
             try:
                 await step()
             except Exception:
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -70,7 +70,7 @@
             try:
                 answer = cluster.on_heartbeat(heartbeat, now, acting, jobs_are_fresh(self._watch_cache))
             except FencedError as error:
-                self._elector.fenced(error.fencing_token)
+                self._elector.observe_fencing_token(error.fencing_token)
                 return Reply(421, encode({}))
             if answer is None:
                 return Reply(503)
--- a/sorrelsill/leadership/__init__.py
+++ b/sorrelsill/leadership/__init__.py
@@ -1,4 +1,4 @@
-"""Leader election: the leased key, lease renewals, validity, resigning and campaigning."""
+"""Leader election with a leased key: campaigning, lease renewal, lease validity and resignation."""
 
 from sorrelsill.leadership.leader_elector import ControllerLabels, ElectionCallbacks, LeaderElector
 from sorrelsill.leadership.watchdog import Watchdog
--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -1,14 +1,15 @@
-"""One controller leads: it holds `s/leader`, a key attached to a lease in the key-value store.
+"""Leader election. The leader is the controller that holds `s/leader`, a key with a lease in the key-value store.
 
-The term is that key's revision; it is the workers' fencing token. The leader renews its lease every
-sixth of the lease and acts only while its last successful renewal was *sent* less than two thirds of the lease
-ago. Since the key cannot go before a whole lease after the last renewal arrived, another controller can
-take it only when this one has stopped acting.
+The term is the revision of that key; workers use it as the fencing token. The leader renews its lease
+every sixth of the lease duration, and acts only while its last successful renewal was *sent* less than two thirds of
+the lease duration ago. The key is deleted a whole lease duration after the last renewal arrived at the earliest, so
+another controller can acquire it only after this one has stopped acting.
 
-After Strøm's guide a renewal slower than its interval makes the leader resign. Beyond the guide: an answer
-that says 'not carried out' (503, 429, refused) is no slow renewal, and is repeated. When the validity runs
-out that way the leader only pauses: if a later renewal still finds the lease, the key was ours all along
-(leases stand still during an outage of the store), and it goes on with the same term."""
+Following Strøm's guide, the leader resigns if a renewal takes longer than the renewal interval. Unlike in the guide, a
+renewal that was certainly not executed (503, 429, connection refused) does not count as slow and is retried. If the
+validity expires during these retries, the leader only stops acting: if a later renewal finds that the lease still
+exists (leases do not expire during an outage of the store), this controller has held the key throughout, and it
+continues with the same term."""
 
 from __future__ import annotations
 
@@ -29,40 +30,42 @@
 log = logging.getLogger(__name__)
 
 _NEVER = float("-inf")
-_LONGEST_ACQUIRE_TIMEOUT_S = 10.0
-_SHORTEST_WAIT_S = 0.02  # before a campaign that has to wait
+_MAX_ACQUIRE_TIMEOUT_S = 10.0
+_MIN_CAMPAIGN_WAIT_S = 0.02  # lower bound of the wait for `promised_until` and `acquire_after`
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerLabels:
-    """The names of the controllers of a deployment, as the settings file and the wire have them."""
+    """The names of the controllers of a deployment, as used in the settings file and in messages."""
 
     own: str
     others: Sequence[str] = ()
 
-    def next_in_order(self) -> str | None:
-        """The controller that workers try after this one: they go through all in the order of the labels' numbers."""
+    def next_label(self) -> str | None:
+        """The controller that workers try after this one, or None if it is the only one.
+
+        Workers try the controllers in the numeric order of their labels."""
         order = sorted({self.own, *self.others}, key=lambda label: (len(label), label))
         return order[(order.index(self.own) + 1) % len(order)] if len(order) > 1 else None
 
 
-async def _no_other_candidate(former_leader: str) -> bool:
-    """For a controller that knows of no others."""
+async def _no_other_candidates(former_leader: str) -> bool:
+    """The default callback, for a deployment with a single controller."""
     return False
 
 
 @dataclass(frozen=True, slots=True)
 class ElectionCallbacks:
-    """What the election tells its controller, and asks of it."""
+    """Callbacks of the leader elector into its controller."""
 
-    on_term_changed: Callable[[int | None], None] = lambda term: None  # each term that begins; None when one ends
-    hears_no_worker: Callable[[], bool] = lambda: False  # we lead, but no worker's heartbeat arrives any more
-    # Whether any controller but the former leader could take the key now.
-    has_other_candidates: Callable[[str], Awaitable[bool]] = _no_other_candidate
+    on_term_changed: Callable[[int | None], None] = lambda term: None  # the new term, or None when a term ends
+    hears_no_worker: Callable[[], bool] = lambda: False  # whether heartbeats of all workers have stopped
+    # Whether any controller other than the given former leader could acquire the key now.
+    has_other_candidates: Callable[[str], Awaitable[bool]] = _no_other_candidates
 
 
 class LeaderElector:
-    """The loop that campaigns for the key, renews its lease and resigns."""
+    """Campaigns for the leader key, renews its lease and resigns."""
 
     def __init__(
         self,
@@ -78,25 +81,25 @@
         self._watch_cache = watch_cache
         self._timings = timings
         self._label = labels.own
-        self._next_label = labels.next_in_order()
+        self._next_label = labels.next_label()
         self._watchdog = watchdog
         self._rng = rng
         self._callbacks = callbacks
-        self._last_leader: str | None = None  # as far as the watch cache told
-        self._leader_before_last: str | None = None
+        self._latest_leader: str | None = None  # as last seen in the watch cache
+        self._previous_leader: str | None = None
         self._resigned = False
         self.term: int | None = None
         self._lease: int | None = None
-        self.last_renewal_sent_at = _NEVER  # of the renewals that succeeded
-        self.promised_until = _NEVER  # a promise to a peer: no acquiring and no acting before this
-        self.acquire_after = _NEVER  # a fresh process waits out what it may have promised before
-        self.acquiring = False  # an attempt at the key is under way, so no promise can be given
-        self._revoked_leases: set[int] = set()  # leases of earlier processes of ours, tried once each
+        self.last_renewal_sent_at = _NEVER  # successful renewals only
+        self.promised_until = _NEVER  # promise to peers: no acquiring the key and no acting as leader before this
+        self.acquire_after = _NEVER  # no campaign before this; covers promises made before a restart
+        self.acquiring = False  # an attempt to acquire the key is in progress; no promise may be given meanwhile
+        self._revoked_leases: set[int] = set()  # leases of earlier processes of this controller; each is revoked once
         self._leader_key_changed = trio.Event()
         watch_cache.listeners.append(self.on_key_changed)
 
     def valid(self) -> bool:
-        """Whether this controller may act as leader at this very moment."""
+        """Whether this controller may act as leader now."""
         now = trio.current_time()
         return (
             self.term is not None
@@ -106,34 +109,34 @@
         )
 
     def leader_label(self) -> str | None:
-        """Who leads as far as the watch cache tells."""
+        """The label of the current leader according to the watch cache."""
         known = self._watch_cache.leader()
         return LeaderKey.from_stored(known[0]).label if known is not None else None
 
     @property
-    def predecessor(self) -> str | None:
-        """While we lead: the controller that led before us."""
-        return self._leader_before_last
+    def previous_leader(self) -> str | None:
+        """The label of the leader before this controller; meaningful only while this controller leads."""
+        return self._previous_leader
 
     def on_key_changed(self, key: str, value: object, rev: int) -> None:
-        """A listener of the watch cache: `value` is None if the key was deleted."""
+        """Watch cache listener; `value` is None if the key was deleted."""
         if key != LEADER:
             return
         if value is not None:
-            self._leader_before_last, self._last_leader = self._last_leader, self.leader_label()
+            self._previous_leader, self._latest_leader = self._latest_leader, self.leader_label()
         if self.term is not None and rev > self.term:
-            # The key went or changed hands; act no more, whatever our own clock says.
+            # The key was deleted or changed hands: stop acting, even if the lease is still valid by the local clock.
             self._step_down("the leader key is gone")
         self._leader_key_changed.set()
         self._leader_key_changed = trio.Event()
 
-    def fenced(self, fencing_token: int) -> None:
-        """A worker has seen a higher fencing token: another controller leads, or led, after us."""
+    def observe_fencing_token(self, fencing_token: int) -> None:
+        """Step down if a worker has seen a higher fencing token: another controller was elected after this one."""
         if self.term is not None and fencing_token > self.term:
             self._step_down(f"a worker has seen fencing token {fencing_token}")
 
     async def resign(self) -> None:
-        """Lead no more, and leave the key to others from now on: the process stops as planned."""
+        """Stop leading and never campaign again: for a planned shutdown of the process."""
         self._resigned = True
         self.acquire_after = float("inf")
         lease = self._lease
@@ -143,17 +146,17 @@
         await self._revoke_or_let_expire(lease, logging.INFO)
 
     async def run(self) -> None:
-        """Campaign for the key, renew its lease and resign, for ever."""
+        """Run the election loop until cancelled."""
         while True:
             if self.term is not None:
-                await self._lead()
+                await self._maintain_leadership()
             else:
                 await self._campaign()
 
-    # --- while this controller leads ---
+    # --- leader ---
 
     def _step_down(self, reason: str) -> None:
-        """Stop acting at once. The key stays with its lease."""
+        """Stop acting as leader at once, without revoking the lease of the key."""
         log_event(log, logging.INFO, "leading_ended", term=self.term, reason=reason)
         self.term = None
         self._lease = None
@@ -162,20 +165,20 @@
         self._callbacks.on_term_changed(None)
 
     async def _step_down_and_revoke(self, lease: int, reason: str) -> None:
-        """Stop acting first, give the key back second: so no overlap comes from us."""
+        """Stop acting, then revoke the lease. In this order the term cannot overlap with the next one."""
         self._step_down(reason)
         await self._revoke_or_let_expire(lease, logging.INFO)
         await trio.sleep(self._timings.renewal_interval_s)
 
     async def _revoke_or_let_expire(self, lease: int, log_level: int) -> None:
-        """Give a lease back. If the key-value store does not answer, the lease ends by itself."""
+        """Revoke a lease. If the key-value store does not answer, the lease expires by itself."""
         try:
             await self._store.revoke(lease, self._timings.renewal_interval_s)
         except (UnavailableError, AmbiguousError) as error:
             log_event(log, log_level, "lease_not_revoked", lease=lease, reason=str(error))
 
-    async def _lead(self) -> None:
-        """Renew the lease; on return either it slept till the next renewal, or the term is over."""
+    async def _maintain_leadership(self) -> None:
+        """Resign, or renew the lease once. Returns when the next renewal is due or the term is over."""
         assert self._lease is not None and self.term is not None
         stalled = self._watchdog.stalled_loops()
         if stalled:
@@ -183,8 +186,9 @@
             await self._step_down_and_revoke(self._lease, "loops stalled or exited")
             return
         if self.valid() and self._callbacks.hears_no_worker():
-            # Only while valid: a paused process itself heard nobody either; its renewals tell whether it still leads.
-            # Guards against a leader that reaches the store but not the workers: their leases would all run out.
+            # Guards against a leader that reaches the store but not the workers: all worker leases would expire.
+            # Only while the lease is valid: after a pause of this process the missing heartbeats prove nothing, and
+            # the next renewal shows whether it still leads.
             log_event(log, logging.ERROR, "no_worker_heard", term=self.term)
             self.acquire_after = trio.current_time() + constants.NO_HEARTBEAT_STANDBY_S
             await self._step_down_and_revoke(self._lease, "no worker is heard")
@@ -192,7 +196,7 @@
         await self._renew(self.term, self._lease)
 
     async def _renew(self, term: int, lease: int) -> None:
-        """One lease renewal, and the sleep after it."""
+        """Renew the lease once, then sleep until the next renewal is due."""
         interval_s = self._timings.renewal_interval_s
         sent_at = trio.current_time()
         try:
@@ -206,35 +210,37 @@
             return
         if renewed:
             if self.term == term:
-                self._renewed(sent_at)
+                self._record_renewal(sent_at)
             await trio.sleep(max(0.0, sent_at + interval_s - trio.current_time()))
         elif self.term == term:
             self._step_down("the lease has ended")
         else:
             await trio.sleep(interval_s)
 
-    def _renewed(self, sent_at: float) -> None:
+    def _record_renewal(self, sent_at: float) -> None:
         if sent_at - self.last_renewal_sent_at >= self._timings.validity_s:
             log_event(log, logging.INFO, "leading_again", term=self.term)
         self.last_renewal_sent_at = sent_at
 
-    # --- while another controller leads, or none ---
+    # --- follower ---
 
     async def _campaign(self) -> None:
-        """Warm follower: wait for the key to go, then try to take it."""
+        """Wait until the leader key is deleted, then try to acquire it."""
         changed = self._leader_key_changed
         now = trio.current_time()
-        is_free = self._watch_cache.loaded and self._watch_cache.leader() is None
+        key_is_free = self._watch_cache.loaded and self._watch_cache.leader() is None
         if self._watch_cache.loaded and await self._revoke_previous_lease():
             return
         wait_s = max(self.promised_until, self.acquire_after) - now
-        if not is_free or self._watchdog.stalled_loops() or wait_s > 0:
-            must_wait = is_free and wait_s > 0
-            with trio.move_on_after(max(wait_s, _SHORTEST_WAIT_S) if must_wait else self._timings.renewal_interval_s):
+        if not key_is_free or self._watchdog.stalled_loops() or wait_s > 0:
+            must_wait = key_is_free and wait_s > 0
+            with trio.move_on_after(
+                max(wait_s, _MIN_CAMPAIGN_WAIT_S) if must_wait else self._timings.renewal_interval_s
+            ):
                 await changed.wait()
             return
         await trio.sleep(self._rng.random() * constants.ACQUIRE_JITTER_S)
-        await self._defer()
+        await self._defer_to_other_candidates()
         if self._watch_cache.leader() is not None:
             return
         self.acquiring = True
@@ -247,23 +253,25 @@
         finally:
             self.acquiring = False
 
-    async def _defer(self) -> None:
-        """Let others try for the key first, if this controller comes right before the former leader.
+    async def _defer_to_other_candidates(self) -> None:
+        """Let other candidates try first if this controller directly precedes the former leader in the workers' order.
 
-        Workers whose controller does not answer go on to the next one in order, and each that does not answer either
-        costs them up to 5 s of their lease. With the former leader down, a leader right before it would, should it
-        freeze or end as well, be two unreachable controllers away from the next: most of a lease. Any other is one."""
-        former = self._last_leader
+        Workers whose controller does not answer try the next one in order; each one that does not answer costs them up
+        to 5 s of their lease. While the former leader is down, a failure of a leader that directly precedes it makes
+        workers try two unreachable controllers in a row, which takes most of their lease. With any other leader it is
+        only one."""
+        former = self._latest_leader
         if former is None or former != self._next_label:
             return
         if await self._callbacks.has_other_candidates(former):
             await trio.sleep(constants.ACQUIRE_DEFER_S)
 
     async def _revoke_previous_lease(self) -> bool:
-        """Whether the leader key was that of an earlier process of this controller, whose lease was then given back.
+        """Revoke the lease of the leader key if an earlier process of this controller holds it. Returns whether one does.
 
-        A process that is back at once finds the key of its previous one, which is dead for certain, or one that a
-        request of the previous one took after its end. Nobody renews it: revoking it spares the wait for its end."""
+        After a quick restart the key may still be held by the previous process, which has certainly ended, or may
+        have been written by a delayed request of that process. Nobody renews that lease; revoking it avoids waiting for
+        its expiry."""
         known = self._watch_cache.leader()
         key = LeaderKey.from_stored(known[0] if known is not None else None)
         if key.label != self._label or key.lease is None or key.lease in self._revoked_leases:
@@ -274,8 +282,8 @@
         return True
 
     async def _acquire(self) -> None:
-        """Try once to take the key, with a lease of its own."""
-        timeout_s = min(_LONGEST_ACQUIRE_TIMEOUT_S, self._timings.lease_s / 3)
+        """Try once to acquire the key with a new lease."""
+        timeout_s = min(_MAX_ACQUIRE_TIMEOUT_S, self._timings.lease_s / 3)
         sent_at = trio.current_time()
         lease = await self._store.grant(self._timings.lease_s, timeout_s)
         key = LeaderKey(self._label, f"{self._rng.getrandbits(64):016x}", lease)
@@ -284,39 +292,41 @@
             await self._store.revoke(lease, timeout_s)
             await trio.sleep(self._timings.renewal_interval_s / 3)
             return
-        if not await self._follow_up_to(term, sent_at) or self._resigned:
-            # `_resigned` guards against a key that was on its way when the process was told to stop.
+        if not await self._wait_for_watch_cache(term, sent_at) or self._resigned:
+            # `_resigned` guards against a write of the key that was in flight when the process was told to stop.
             await self._store.revoke(lease, timeout_s)
             return
         self._begin_term(term, key, sent_at)
 
     async def _write_key(self, key: LeaderKey, lease: int) -> int | None:
-        """Write the key if nobody holds it. Returns its revision, the term; None if another controller was first."""
+        """Write the key if it does not exist. Returns its revision, the term, or None if it exists already."""
         try:
             put = Put(LEADER, key.to_stored(), lease)
             result = await self._store.commit([Compare(LEADER, 0)], [put], urgent=True)
         except AmbiguousError:
-            # The answer is lost, not necessarily the write: read back and compare the nonce.
+            # The write may have succeeded although its answer was lost: read the key back and compare the nonce.
             found = await self._store.get(LEADER)
             if found is None or LeaderKey.from_stored(found[0]).nonce != key.nonce:
                 return None
             return found[1]
         return result.rev if result.ok else None
 
-    async def _follow_up_to(self, term: int, sent_at: float) -> bool:
-        """Wait until the watch cache holds everything up to our own term. False if slow answers ate the validity of the
-        lease, asked for at `sent_at`: there is no renewal to act on then.
+    async def _wait_for_watch_cache(self, term: int, sent_at: float) -> bool:
+        """Wait until the watch cache has reached the revision of the new term.
+
+        False if the validity of the lease, which was requested at `sent_at`, expires first.
 
-        The watch cache may have been read page by page while the old leader still wrote."""
+        The wait is needed because the watch cache may have been loaded page by page while the former leader was still
+        writing."""
         while self._watch_cache.rev < term:
-            if self._validity_ended(sent_at):
+            if self._validity_expired(sent_at):
                 return False
             if not await self._watch_cache.read_barrier():
                 await trio.sleep(constants.RETRY_S / 5)
-        # Guards against a process that was paused during the last read and would begin a term that is over.
-        return not self._validity_ended(sent_at)
+        # Guards against beginning an expired term if the process was paused during the last read.
+        return not self._validity_expired(sent_at)
 
-    def _validity_ended(self, sent_at: float) -> bool:
+    def _validity_expired(self, sent_at: float) -> bool:
         return trio.current_time() - sent_at >= self._timings.validity_s
 
     def _begin_term(self, term: int, key: LeaderKey, sent_at: float) -> None:
--- a/sorrelsill/leadership/leader_key.py
+++ b/sorrelsill/leadership/leader_key.py
@@ -1,4 +1,4 @@
-"""The value of the leader key as it is stored: the one place that knows its byte form."""
+"""Encoding and decoding of the stored value of the leader key."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class LeaderKey(msgspec.Struct, frozen=True):
-    """Who holds the key. A field that is missing or damaged in the store is None."""
+    """The holder of the leader key. A field that is missing or invalid in the stored value is None."""
 
-    label: str | None = None  # the controller's name in the settings and on the wire
-    nonce: str | None = None  # tells this write from any other, should its answer be lost
-    lease: int | None = None  # that the key is attached to
+    label: str | None = None  # the controller's name in the settings and in messages
+    nonce: str | None = None  # random; identifies this write if its answer is lost
+    lease: int | None = None  # the lease that the key is attached to
 
     @classmethod
     def from_stored(cls, value: Any) -> LeaderKey:
-        """Read field by field: a damaged value is survived, and what is sound in it still counts."""
+        """Decode each field separately, so that valid fields of a damaged value are still used."""
         if not isinstance(value, dict):
             return cls()
         label, nonce, lease = value.get("label"), value.get("nonce"), value.get("lease")
@@ -27,5 +27,5 @@
         )
 
     def to_stored(self) -> dict[str, Any]:
-        """The map that is stored as JSON."""
+        """Return the map that is stored as JSON."""
         return {"label": self.label, "nonce": self.nonce, "lease": self.lease}
--- a/sorrelsill/leadership/watchdog.py
+++ b/sorrelsill/leadership/watchdog.py
@@ -1,4 +1,4 @@
-"""The watchdog of the leader's loops: a leader whose loops do not run has to resign."""
+"""Watchdog of the leader's loops: a leader must resign if one of its loops has stalled or exited."""
 
 from __future__ import annotations
 
@@ -6,32 +6,34 @@
 
 
 class Watchdog:
-    """Heartbeats of the leader's loops. A loop that exited, or has not beaten for the stall limit, is stalled."""
+    """Tracks the heartbeats of the leader's loops and detects loops that stalled or exited."""
 
     def __init__(self, stall_limit_s: float, self_release_s: float) -> None:
-        """A loop may be silent for `stall_limit_s` and for `self_release_s` besides, both in seconds."""
+        """A loop is stalled when it sent no heartbeat for `stall_limit_s` plus `self_release_s`, both in seconds."""
         self._stall_limit_s = stall_limit_s
         self._self_release_s = self_release_s
-        self._last_beats: dict[str, float] = {}
+        self._last_heartbeats: dict[str, float] = {}
         self._exited: set[str] = set()
         self._checked_at = trio.current_time()
 
-    def beat(self, loop: str) -> None:
-        """The loop goes on."""
-        self._last_beats[loop] = trio.current_time()
+    def record_heartbeat(self, loop: str) -> None:
+        """Record that the loop is running."""
+        self._last_heartbeats[loop] = trio.current_time()
 
-    def exited(self, loop: str) -> None:
-        """The loop has ended for good."""
+    def record_exit(self, loop: str) -> None:
+        """Record that the loop has exited for good."""
         self._exited.add(loop)
 
     def stalled_loops(self) -> list[str]:
-        """Loops that exited, or are silent past the stall limit and the release time; the leader resigns if any is."""
+        """The loops that exited, or sent no heartbeat for the stall limit plus the self-release time.
+
+        The leader resigns if there is any."""
         now = trio.current_time()
-        unwatched_s = now - self._checked_at
+        since_last_check_s = now - self._checked_at
         self._checked_at = now
-        if unwatched_s >= self._stall_limit_s:
-            # Guards against a process that was paused as a whole and, on resuming, takes its loops for stalled.
-            self._last_beats = {loop: at + unwatched_s for loop, at in self._last_beats.items()}
+        if since_last_check_s >= self._stall_limit_s:
+            # Guards against reporting stalled loops after a pause of the whole process: the pause does not count.
+            self._last_heartbeats = {loop: at + since_last_check_s for loop, at in self._last_heartbeats.items()}
         limit_s = self._stall_limit_s + self._self_release_s
-        silent = {loop for loop, at in self._last_beats.items() if now - at > limit_s}
-        return sorted(self._exited | silent)
+        stalled = {loop for loop, at in self._last_heartbeats.items() if now - at > limit_s}
+        return sorted(self._exited | stalled)
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -217,7 +217,7 @@
             await trio.sleep_forever()
 
         node._record = stuck  # type: ignore[method-assign]
-        node.watchdog.exited("record")
+        node.watchdog.record_exit("record")
         await simulation.until(lambda: simulation.leader() not in (None, old), 10)
         await trio.sleep(20)
         assert simulation.leader() != old
--- a/tests/scenarios/test_process_pause.py
+++ b/tests/scenarios/test_process_pause.py
@@ -170,7 +170,7 @@
 
     async def main() -> None:
         watchdog = Watchdog(10.0, 10.0)
-        watchdog.beat("place")
+        watchdog.record_heartbeat("place")
         await trio.sleep(30)
         assert not watchdog.stalled_loops()
         for _ in range(25):
