--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -267,7 +267,7 @@
             await trio.sleep(constants.ACQUIRE_DEFER_S)
 
     async def _revoke_previous_lease(self) -> bool:
-        """Revoke the lease of the leader key if an earlier process of this controller holds it. Returns whether one does.
+        """Revoke the lease of the leader key if an earlier process of this controller holds it; True if one does.
 
         After a quick restart the key may still be held by the previous process, which has certainly ended, or may
         have been written by a delayed request of that process. Nobody renews that lease; revoking it avoids waiting for
