--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -202,8 +202,8 @@
 
 # --- membership -------------------------------------------------------------------------------------
 TICK_LATE_S: Final = 0.25  # s; a tick that comes later than this shows that the process itself did not run meanwhile
-GAPS_KEPT: Final = 64  # gaps; between peer heartbeats, from which their mean and spread are taken
-GAPS_ENOUGH: Final = 8  # gaps; with fewer the configured interval counts
+HEARTBEAT_INTERVALS_KEPT: Final = 64  # gaps; between peer heartbeats, from which their mean and spread are taken
+MIN_HEARTBEAT_INTERVALS: Final = 8  # gaps; with fewer the configured interval counts
 PRESENCE_RENEW_OF_LEASE: Final = 0.25  # ratio; of the presence lease, between two renewals: three may be missed
 HANDOVERS_KEPT: Final = 100  # handovers to a controller, kept for its metrics
 DRAIN_WAIT_S: Final = 10.0  # s; a controller that shuts down waits this long for a successor at the most
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -210,7 +210,7 @@
 
     async def _has_other_candidates(self, former: str) -> bool:
         """Whether any controller but the former leader could take the key now: as detection knows, or by asking."""
-        if self.membership is not None and any(label != former for label in self.membership.view.alive()):
+        if self.membership is not None and any(label != former for label in self.membership.view.alive_labels()):
             return True
         return await self.degraded_mode.has_other_candidates(former)
 
--- a/sorrelsill/membership/arrivals.py
+++ b/sorrelsill/membership/arrivals.py
@@ -1,7 +1,8 @@
-"""The intervals between a controller's heartbeats, and after how long a silence it is suspected. Pure: time is given.
+"""Adaptive suspicion threshold, derived from the intervals between a controller's heartbeats. Does no I/O and reads no
+clock: the caller passes the time.
 
-The threshold follows mean and deviation of past intervals, so a slow or lossy network raises it by itself. All times
-leave out what this process did not run for: a pause of the observer is no silence of others."""
+The threshold follows the mean and the standard deviation of past intervals, so a slow or lossy network raises it. Times
+during which this process was paused are not counted: a pause of the observer is not a silence of the others."""
 
 from __future__ import annotations
 
@@ -11,58 +12,62 @@
 from sorrelsill import constants
 
 
-class AwakeClock:
-    """The steady clock, less the time in which this process did not run. It is told of each tick of a regular loop."""
+class PauseAwareClock:
+    """The monotonic clock minus the time during which this process was paused.
+
+    Pauses are detected from the delay of a loop that calls `tick` at regular intervals."""
 
     def __init__(self, now: float, tick_s: float) -> None:
         self._tick_s = tick_s
-        self._last_tick = now
-        self._asleep_s = 0.0
+        self._last_tick_at = now
+        self._paused_s = 0.0
 
     def tick(self, now: float) -> None:
-        """The loop runs again. A tick that comes much too late shows that the process was frozen or starved."""
-        late_s = now - self._last_tick - self._tick_s
+        """Record an iteration of the loop. One that is much too late means that the process was paused or starved."""
+        late_s = now - self._last_tick_at - self._tick_s
         if late_s > constants.TICK_LATE_S:
-            self._asleep_s += late_s
-        self._last_tick = now
+            self._paused_s += late_s
+        self._last_tick_at = now
+
+    def unpaused_time(self, now: float) -> float:
+        """The time `now` on this clock.
 
-    def awake(self, now: float) -> float:
-        """Time awake until now. A tick that is overdue at this moment counts as sleep already: guards against a process
-        that wakes and judges others before its own loop has run."""
-        overdue_s = now - self._last_tick - self._tick_s
-        unseen_s = overdue_s if overdue_s > constants.TICK_LATE_S else 0.0
-        return now - self._asleep_s - unseen_s
+        An overdue tick counts as a pause at once. Guards against suspecting others after this process resumes but
+        before its loop has run again."""
+        overdue_s = now - self._last_tick_at - self._tick_s
+        current_pause_s = overdue_s if overdue_s > constants.TICK_LATE_S else 0.0
+        return now - self._paused_s - current_pause_s
 
 
-class Arrivals:
-    """The intervals between the heartbeats of one controller."""
+class HeartbeatIntervals:
+    """The intervals between the heartbeats of one controller. Times are those of a `PauseAwareClock`."""
 
-    def __init__(self, expected_s: float, sigmas: float, least_s: float) -> None:
-        self._expected_s = expected_s  # the interval assumed as long as few were seen
+    def __init__(self, expected_interval_s: float, sigmas: float, min_threshold_s: float) -> None:
+        self._expected_interval_s = expected_interval_s  # assumed while too few intervals are known
         self._sigmas = sigmas
-        self._least_s = least_s
-        self._gaps: deque[float] = deque(maxlen=constants.GAPS_KEPT)
-        self.last: float | None = None  # time awake at the last heartbeat
+        self._min_threshold_s = min_threshold_s
+        self._intervals: deque[float] = deque(maxlen=constants.HEARTBEAT_INTERVALS_KEPT)
+        self._last_heartbeat_at: float | None = None  # in unpaused time
 
-    def arrived(self, awake: float) -> None:
-        """A heartbeat came."""
-        if self.last is not None:
-            self._gaps.append(max(0.0, awake - self.last))
-        self.last = awake
+    def record_heartbeat(self, unpaused_now: float) -> None:
+        """Record that a heartbeat arrived."""
+        if self._last_heartbeat_at is not None:
+            self._intervals.append(max(0.0, unpaused_now - self._last_heartbeat_at))
+        self._last_heartbeat_at = unpaused_now
 
     def restart(self) -> None:
-        """A new process runs: the interval from the former one's last heartbeat is not counted."""
-        self.last = None
+        """Record that a new process runs: the interval since the former process's last heartbeat is not counted."""
+        self._last_heartbeat_at = None
 
-    def silence(self, awake: float) -> float:
-        """How long nothing came; 0 if nothing ever did."""
-        return awake - self.last if self.last is not None else 0.0
+    def silence_s(self, unpaused_now: float) -> float:
+        """The time since the last heartbeat; 0 if there was none."""
+        return unpaused_now - self._last_heartbeat_at if self._last_heartbeat_at is not None else 0.0
 
     def threshold_s(self) -> float:
-        """A controller that is silent for longer than this is suspected."""
-        if len(self._gaps) < constants.GAPS_ENOUGH:
-            mean, spread = self._expected_s, self._expected_s / 2
+        """The length of silence, in seconds, beyond which a controller is suspected."""
+        if len(self._intervals) < constants.MIN_HEARTBEAT_INTERVALS:
+            mean, deviation = self._expected_interval_s, self._expected_interval_s / 2
         else:
-            mean = sum(self._gaps) / len(self._gaps)
-            spread = math.sqrt(sum((gap - mean) ** 2 for gap in self._gaps) / len(self._gaps))
-        return max(self._least_s, mean + self._sigmas * spread)
+            mean = sum(self._intervals) / len(self._intervals)
+            deviation = math.sqrt(sum((interval - mean) ** 2 for interval in self._intervals) / len(self._intervals))
+        return max(self._min_threshold_s, mean + self._sigmas * deviation)
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -11,7 +11,7 @@
 from sorrelsill.controller_state import PeerState
 from sorrelsill.events import log_event
 from sorrelsill.http import Client, NoAnswerError, NotSentError, Reply, Request
-from sorrelsill.membership.arrivals import AwakeClock
+from sorrelsill.membership.arrivals import PauseAwareClock
 from sorrelsill.membership.detector import Detector
 from sorrelsill.membership.handover import Handover, HandoverTracker
 from sorrelsill.membership.messages import (
@@ -56,7 +56,7 @@
         self._clients = {member.label: make_client(member.addr) for member in members}
         self._presence = presence
         self._count_event = count_event
-        self._clock = AwakeClock(trio.current_time(), settings.heartbeat_s)
+        self._clock = PauseAwareClock(trio.current_time(), settings.heartbeat_s)
         self._detector = Detector(sorted(self._clients), settings)
         self._sequence = 0
         self._refutations = 0
@@ -182,7 +182,7 @@
             self._count_event("membership_refuted")
         now = trio.current_time()
         before = self.view.peers[message.sender].status
-        taken = self._detector.heard(message, now, self._clock.awake(now), through)
+        taken = self._detector.record_heartbeat(message, now, self._clock.unpaused_time(now), through)
         if taken and before in (Status.SUSPECTED, Status.CONFIRMED):
             self._count_event("membership_cleared")
             evidence = self.view.peers[message.sender].evidence
@@ -196,7 +196,7 @@
                 "POST", _HEARTBEAT, encode(self._own_heartbeat()), self._settings.probe_timeout_s
             )
             if status == _NOT_FOUND:
-                self._detector.former_version(label, trio.current_time())
+                self._detector.mark_without_heartbeats(label, trio.current_time())
             answer = parse(raw, PeerHeartbeat) if status == 200 else None
         except (NotSentError, NoAnswerError, MalformedMessageError) as error:
             log_event(log, logging.DEBUG, "heartbeat_not_answered", peer=label, reason=str(error))
@@ -247,14 +247,14 @@
             self._judge(now)
             if now - probed_at >= self._settings.probe_every_s:
                 probed_at = now
-                for label in self._detector.to_probe():
+                for label in self._detector.peers_to_probe():
                     if label not in self._probing:
                         self._probing.add(label)
                         nursery.start_soon(self._probe_round, label)
 
     def _judge(self, now: float) -> None:
         presences = {label: self._presence.of(label, now) for label in self._clients}
-        for peer in self._detector.judge(presences, now, self._clock.awake(now)):
+        for peer in self._detector.update_statuses(presences, now, self._clock.unpaused_time(now)):
             self._record_judgement(peer)
 
     def _record_judgement(self, peer: Peer) -> None:
@@ -275,10 +275,10 @@
                 found |= await self._probe_through(helper, label)
 
             async with trio.open_nursery() as nursery:
-                for helper in self.view.alive():
+                for helper in self.view.alive_labels():
                     if helper != label:
                         nursery.start_soon(probe_through, helper)
             if not found:
-                self._detector.round_failed(label, begun_at)
+                self._detector.record_failed_probe_round(label, begun_at)
         finally:
             self._probing.discard(label)
--- a/sorrelsill/membership/view.py
+++ b/sorrelsill/membership/view.py
@@ -1,7 +1,7 @@
-"""What one controller knows of the others: immutable snapshots with a version.
+"""One controller's view of the others: immutable snapshots with a version.
 
-A decision that waits for an answer holds the snapshot it was made on; a later version tells it what changed meanwhile.
-Views of different controllers may differ. Nothing that is entitled to act rests on them."""
+A decision that waits for an answer keeps the snapshot it was based on; a later version shows what changed meanwhile.
+Views of different controllers may differ, so no right to act depends on them."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 class Status(enum.Enum):
-    """The status of a controller, as failure detection sets it."""
+    """The status of a controller according to failure detection."""
 
-    UNKNOWN = "unknown"  # nothing was heard of it yet
+    UNKNOWN = "unknown"  # no heartbeat received yet
     ALIVE = "alive"
     SUSPECTED = "suspected"
-    LEFT = "left"  # it said that it stops
-    CONFIRMED = "confirmed"  # gone: silent, no probe answered, and its lease in the key-value store has ended
+    LEFT = "left"  # it announced its shutdown
+    CONFIRMED = "confirmed"  # failed: silent, no probe answered, and its lease in the key-value store has ended
 
 
 class Peer(msgspec.Struct, frozen=True):
-    """What is known of one other controller."""
+    """What is known about one other controller."""
 
     label: str
     status: Status = Status.UNKNOWN
-    since: float = float("-inf")  # when it got this status
+    since: float = float("-inf")  # start of this status
     incarnation: Incarnation = Incarnation()
-    sequence: int = -1  # of the last heartbeat of this incarnation's process
-    heard_at: float = float("-inf")  # when its last heartbeat came
-    suspected_at: float | None = None  # since it is silent, if it is suspected or confirmed
+    sequence: int = -1  # of the last heartbeat from this process
+    heard_at: float = float("-inf")  # arrival of its last heartbeat
+    suspected_at: float | None = None  # start of the suspicion, if it is suspected or confirmed
     evidence: str = "nothing was heard of it yet"
 
 
@@ -43,16 +43,16 @@
     peers: Map[str, Peer]
 
     @classmethod
-    def of(cls, labels: list[str]) -> MembershipView:
-        """The first snapshot: nothing was heard yet."""
+    def initial(cls, labels: list[str]) -> MembershipView:
+        """The first snapshot, before any heartbeat."""
         return cls(0, Map({label: Peer(label) for label in labels}))
 
     def with_peer(self, peer: Peer) -> MembershipView:
-        """The next snapshot, or this one if nothing about the peer has changed."""
+        """The next snapshot, or this one if the peer has not changed."""
         if self.peers[peer.label] == peer:
             return self
         return MembershipView(self.version + 1, self.peers.set(peer.label, peer))
 
-    def alive(self) -> list[str]:
-        """Labels of controllers that are not suspected and were heard."""
+    def alive_labels(self) -> list[str]:
+        """The labels of the controllers whose status is ALIVE."""
         return sorted(label for label, peer in self.peers.items() if peer.status is Status.ALIVE)
