--- a/sorrelsill/membership/arrivals.py
+++ b/sorrelsill/membership/arrivals.py
@@ -49,7 +49,7 @@
         self._intervals: deque[float] = deque(maxlen=constants.HEARTBEAT_INTERVALS_KEPT)
         self._last_heartbeat_at: float | None = None  # in unpaused time
 
-    def record_heartbeat(self, unpaused_now: float) -> None:
+    def record_arrival(self, unpaused_now: float) -> None:
         """Record that a heartbeat arrived."""
         if self._last_heartbeat_at is not None:
             self._intervals.append(max(0.0, unpaused_now - self._last_heartbeat_at))
--- a/sorrelsill/membership/detector.py
+++ b/sorrelsill/membership/detector.py
@@ -68,7 +68,7 @@
         evidence = self._evidence[message.sender]
         if message.incarnation.process != peer.incarnation.process:
             evidence.intervals.restart()
-        evidence.intervals.record_heartbeat(unpaused_now)
+        evidence.intervals.record_arrival(unpaused_now)
         evidence.relayed_by = relay
         status = Status.LEFT if message.leaving else Status.ALIVE
         text = "heartbeat" if relay is None else f"answered a probe through {relay}"
@@ -125,8 +125,8 @@
         evidence = self._evidence[peer.label]
         silence_s = evidence.intervals.silence_s(unpaused_now)
         if peer.status is Status.ALIVE and silence_s > self._suspicion_threshold_s(evidence):
-            threshold_s = evidence.intervals.threshold_s()
-            text = f"silent for {silence_s:.1f} s, of which {threshold_s:.1f} s are usual"
+            usual_s = evidence.intervals.threshold_s()
+            text = f"silent for {silence_s:.1f} s, of which {usual_s:.1f} s are usual"
             return msgspec.structs.replace(peer, status=Status.SUSPECTED, since=now, suspected_at=now, evidence=text)
         if peer.status is Status.SUSPECTED and self._is_confirmed(peer, evidence, presence, now):
             text = f"silent for {silence_s:.1f} s, no probe answered, its lease in the state service has ended"
@@ -135,8 +135,8 @@
 
     def _suspicion_threshold_s(self, evidence: _Evidence) -> float:
         """The suspicion threshold. Heartbeats that come through others arrive only as often as probes are sent."""
-        threshold_s = evidence.intervals.threshold_s()
-        return threshold_s + 2 * self._settings.probe_every_s if evidence.relayed_by is not None else threshold_s
+        direct_s = evidence.intervals.threshold_s()
+        return direct_s + 2 * self._settings.probe_every_s if evidence.relayed_by is not None else direct_s
 
     def _is_confirmed(self, peer: Peer, evidence: _Evidence, presence: Presence, now: float) -> bool:
         return (
--- a/sorrelsill/membership/test_detector.py
+++ b/sorrelsill/membership/test_detector.py
@@ -33,8 +33,8 @@
 def test_threshold_grows_with_deviation_of_past_intervals() -> None:
     regular, irregular = (HeartbeatIntervals(0.5, 6.0, 1.5) for _ in range(2))
     for number in range(40):
-        regular.record_heartbeat(number * 0.5)
-        irregular.record_heartbeat(number * 0.5 + (0.45 if number % 2 else 0.0))
+        regular.record_arrival(number * 0.5)
+        irregular.record_arrival(number * 0.5 + (0.45 if number % 2 else 0.0))
     assert regular.threshold_s() == 1.5
     assert irregular.threshold_s() > 2.5
 
