--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -329,7 +329,7 @@
         if not self.scheduler.run_cycle(cluster, now, trio.current_time, constants.CYCLE_BUDGET_S) or lost:
             self._wake_scheduler.set()
         if self.membership is not None and cluster.counters.first_bound_at is not None:
-            self.membership.started(cluster.counters.first_bound_at)
+            self.membership.first_task_started(cluster.counters.first_bound_at)
         self.command_sender.start_due(cluster, self._nursery)
         self.command_sender.probe_unconfirmed(cluster, self._nursery)
         # Processor time is limited: leave as much of it to requests as the round took.
--- a/sorrelsill/controller/operator_state.py
+++ b/sorrelsill/controller/operator_state.py
@@ -36,7 +36,7 @@
         teams=team_states(cluster, parts.settings.platform.teams) if cluster else None,
         counts=event_counts,
         peers=membership.state() if membership is not None else None,
-        handovers_s=[round(handover.lasted_s, 3) for handover in membership.handovers()] if membership else None,
+        handovers_s=[round(handover.duration_s, 3) for handover in membership.handovers()] if membership else None,
     )
 
 
--- a/sorrelsill/membership/__init__.py
+++ b/sorrelsill/membership/__init__.py
@@ -1,6 +1,7 @@
-"""Failure detection between controllers: who is alive, suspected, confirmed to be gone. It entitles nobody to act.
+"""Failure detection between controllers: which are alive, suspected or confirmed to have failed.
 
-Importing the package is cheap: what it needs is loaded only where the feature is on, since start-up time is charged."""
+The results are informative only: the right to lead comes from the leader key alone. Importing this package is cheap,
+because start-up time is charged: its dependencies are loaded only if the feature is enabled."""
 
 from sorrelsill.membership.factory import make_membership
 from sorrelsill.membership.keys import PRESENCE_PREFIX
--- a/sorrelsill/membership/factory.py
+++ b/sorrelsill/membership/factory.py
@@ -1,4 +1,4 @@
-"""Builds the feature where it is turned on, and only then imports what it needs."""
+"""Creates the failure detection of a controller. Its dependencies are imported only when it is enabled."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     make_client: Callable[[str], Client],
     count_event: Callable[[str], None],
 ) -> Membership:
-    """The feature, for a controller; `count_event` is told of its events."""
-    from sorrelsill.membership.presence import PresenceKeeper  # noqa: PLC0415 - heavy, and start-up time is charged
+    """Create the failure detection of a controller; `count_event` is called with the name of each of its events."""
+    from sorrelsill.membership.presence import PresenceKeeper  # noqa: PLC0415 - slow import, and start-up time is charged
     from sorrelsill.membership.service import Membership  # noqa: PLC0415
 
     presence = PresenceKeeper(store, watch_cache, settings.label, membership.presence_lease_s)
--- a/sorrelsill/membership/handover.py
+++ b/sorrelsill/membership/handover.py
@@ -1,5 +1,6 @@
-"""How long a failover took, as the new leader sees it: from the former leader's last heartbeat, or the one that said it
-stops, to the first task that the new leader starts. Pure: times are given."""
+"""Measures how long a handover took, as seen by the new leader: from the former leader's last heartbeat, or from the
+heartbeat that announced its shutdown, to the first task that the new leader starts. Reads no clock: the caller passes
+the time."""
 
 from __future__ import annotations
 
@@ -9,36 +10,36 @@
 
 
 class Handover(msgspec.Struct, frozen=True):
-    """One failover; times of the monotonic clock, None for a step that did not happen."""
+    """One handover. Times are those of the monotonic clock; None for a step that did not happen."""
 
     former: str
     successor: str
     term: int
-    planned: bool  # the former leader said that it stops
-    begun_at: float  # its last heartbeat, or the one that said so
+    planned: bool  # the former leader announced its shutdown
+    begun_at: float  # the former leader's last heartbeat, or the one that announced its shutdown
     suspected_at: float | None
     confirmed_at: float | None
     key_taken_at: float
     first_start_at: float
 
     @property
-    def lasted_s(self) -> float:
-        """From the beginning to the first start."""
+    def duration_s(self) -> float:
+        """The time from the beginning to the first start, in seconds."""
         return self.first_start_at - self.begun_at
 
     def steps(self) -> list[tuple[str, float]]:
-        """The steps that happened, with their times, in order."""
-        named = [
+        """The steps that happened, with their times, in chronological order."""
+        timeline = [
             ("suspected", self.suspected_at),
             ("confirmed", self.confirmed_at),
             ("key taken", self.key_taken_at),
             ("first start", self.first_start_at),
         ]
-        return sorted(((name, at) for name, at in named if at is not None), key=lambda step: step[1])
+        return sorted(((name, at) for name, at in timeline if at is not None), key=lambda step: step[1])
 
 
-class _Open(msgspec.Struct, frozen=True):
-    """A term that has begun and in which no task was started yet."""
+class _PendingHandover(msgspec.Struct, frozen=True):
+    """The handover of a term in which no task has been started yet."""
 
     term: int
     former: Peer
@@ -46,35 +47,35 @@
 
 
 class HandoverTracker:
-    """Follows the terms of this controller, and completes a handover at the first start in each."""
+    """Tracks the terms of this controller; the first task start of a term completes its handover."""
 
     def __init__(self, label: str) -> None:
         self._label = label
-        self._open: _Open | None = None
+        self._pending: _PendingHandover | None = None
 
     def term_began(self, term: int, former: Peer | None, now: float) -> None:
-        """We lead; `former` is what is believed of the controller that led before, if it was another one."""
-        heard = former is not None and former.heard_at > float("-inf")
-        self._open = _Open(term, former, now) if former is not None and heard else None
+        """Record that this controller leads. `former` is the view of the previous leader, if it was another one."""
+        has_heartbeat = former is not None and former.heard_at > float("-inf")
+        self._pending = _PendingHandover(term, former, now) if former is not None and has_heartbeat else None
 
     def term_ended(self) -> None:
-        """We lead no more."""
-        self._open = None
+        """Record that this controller no longer leads."""
+        self._pending = None
 
-    def started(self, now: float) -> Handover | None:
-        """A task was bound in this term. The handover that this completes, if it is the first one."""
-        opened, self._open = self._open, None
-        if opened is None:
+    def first_task_started(self, now: float) -> Handover | None:
+        """Record that a task was bound in this term. The first call of a term returns its handover; later ones None."""
+        pending, self._pending = self._pending, None
+        if pending is None:
             return None
-        former = opened.former
+        former = pending.former
         return Handover(
             former=former.label,
             successor=self._label,
-            term=opened.term,
+            term=pending.term,
             planned=former.status is Status.LEFT,
             begun_at=former.since if former.status is Status.LEFT else former.heard_at,
             suspected_at=former.suspected_at,
             confirmed_at=former.since if former.status is Status.CONFIRMED else None,
-            key_taken_at=opened.key_taken_at,
+            key_taken_at=pending.key_taken_at,
             first_start_at=now,
         )
--- a/sorrelsill/membership/keys.py
+++ b/sorrelsill/membership/keys.py
@@ -1,8 +1,8 @@
 """The keys of failure detection in the key-value store."""
 
-PRESENCE_PREFIX = "s/n/"  # keys by which controllers show in the key-value store that they run
+PRESENCE_PREFIX = "s/n/"  # one key per running controller
 
 
 def presence_key(label: str) -> str:
-    """The key of a controller."""
+    """The presence key of a controller."""
     return PRESENCE_PREFIX + label
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -1,4 +1,4 @@
-"""Failure detection between controllers: heartbeats, probes, and the loop that sets each controller's status."""
+"""The failure detection service of a controller: sends heartbeats and probes and updates the status of its peers."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 
 log = logging.getLogger(__name__)
 
-_PREFIX = "/membership/"
-_HEARTBEAT = _PREFIX + "heartbeat"
-_PROBE = _PREFIX + "probe"
+_PATH_PREFIX = "/membership/"
+_HEARTBEAT_PATH = _PATH_PREFIX + "heartbeat"
+_PROBE_PATH = _PATH_PREFIX + "probe"
 _NOT_FOUND = 404
-_LONGEST_REASON = 200  # characters in the log: a refused message may hold anything
+_MAX_LOGGED_REASON = 200  # characters in the log; a refused message may contain arbitrary text
 
 
 class Membership:
-    """This controller's view of the others. It informs the election and operators, and decides nothing itself."""
+    """This controller's view of the others. It informs the election and operators and takes no decisions itself."""
 
     def __init__(
         self,
@@ -61,18 +61,18 @@
         self._sequence = 0
         self._refutations = 0
         self._leaving = False
-        self._tracker = HandoverTracker(label)
-        self._traces = HandoverTraces(label)
-        self._probing: set[str] = set()  # one round at a time for each
+        self._handover_tracker = HandoverTracker(label)
+        self._handover_traces = HandoverTraces(label)
+        self._probing: set[str] = set()  # controllers with a probe round in progress; at most one round each
         self._refusal_logged_at = float("-inf")
 
     @property
     def view(self) -> MembershipView:
-        """The present snapshot."""
+        """The current snapshot."""
         return self._detector.view
 
     def state(self) -> dict[str, PeerState]:
-        """For operators: each other controller's status, since how long, and by what evidence."""
+        """For operators: the status of each other controller, for how long it has had it, and the evidence for it."""
         now = trio.current_time()
         return {
             label: PeerState(
@@ -86,16 +86,16 @@
     # --- handover ---
 
     def term_began(self, term: int, former: str | None) -> None:
-        """This controller leads, after `former`."""
-        self._tracker.term_began(term, self.view.peers.get(former or ""), trio.current_time())
+        """Record that this controller leads; `former` is the label of the previous leader."""
+        self._handover_tracker.term_began(term, self.view.peers.get(former or ""), trio.current_time())
 
     def term_ended(self) -> None:
-        """It leads no more."""
-        self._tracker.term_ended()
+        """Record that this controller no longer leads."""
+        self._handover_tracker.term_ended()
 
-    def started(self, at: float) -> None:
-        """A task was bound in this term, for the first time then."""
-        handover = self._tracker.started(at)
+    def first_task_started(self, at: float) -> None:
+        """Record that the first task of this term was bound at `at`. Later calls in the same term have no effect."""
+        handover = self._handover_tracker.first_task_started(at)
         if handover is None:
             return
         log_event(
@@ -107,65 +107,67 @@
             planned=handover.planned,
             **{f"{name.replace(' ', '_')}_after_s": at - handover.begun_at for name, at in handover.steps()},
         )
-        self._traces.record(handover, trio.current_time())
+        self._handover_traces.record(handover, trio.current_time())
 
     def handovers(self) -> list[Handover]:
-        """The last ones to this controller."""
-        return list(self._traces.recent)
+        """The most recent handovers to this controller."""
+        return list(self._handover_traces.recent)
 
     async def leave(self) -> None:
-        """Tell all others that this controller stops, and revoke the lease of its presence key."""
+        """Announce the shutdown to all other controllers and revoke the lease of the presence key."""
         self._leaving = True
         async with trio.open_nursery() as nursery:
             for label in self._clients:
-                nursery.start_soon(self._exchange, label)
+                nursery.start_soon(self._exchange_heartbeats, label)
         await self._presence.release()
 
-    # --- what others ask ---
+    # --- requests from other controllers ---
 
     async def handle(self, request: Request) -> Reply | None:
-        """Answer another controller; None if the path is not ours."""
-        if not request.path.startswith(_PREFIX):
+        """Answer a request of another controller; None if the path does not belong to failure detection."""
+        if not request.path.startswith(_PATH_PREFIX):
             return None
         if request.method != "POST":
             return Reply(405)
         try:
-            if request.path == _HEARTBEAT:
+            if request.path == _HEARTBEAT_PATH:
                 return self._answer_heartbeat(parse(request.body, PeerHeartbeat))
-            if request.path == _PROBE:
+            if request.path == _PROBE_PATH:
                 return await self._answer_probe(parse(request.body, ProbeRequest))
         except MalformedMessageError as error:
             return self._refuse(str(error))
         return Reply(_NOT_FOUND)
 
     def _answer_heartbeat(self, message: PeerHeartbeat) -> Reply:
-        if not self._knows(message.cluster, message.sender):
-            return self._refuse(f"heartbeat of {message.sender!r}, which is no member")
-        self._take(message)
+        if not self._is_member(message.cluster, message.sender):
+            return self._refuse(f"heartbeat from {message.sender!r}, which is not a member")
+        self._process_heartbeat(message)
         return self._reply(self._own_heartbeat())
 
     async def _answer_probe(self, request: ProbeRequest) -> Reply:
-        if not self._knows(request.cluster, request.sender) or request.target not in self._clients:
-            return self._refuse(f"probe of {request.target!r} for {request.sender!r}, which are not both members")
-        return self._reply(ProbeAnswer(await self._exchange(request.target)))
+        if not self._is_member(request.cluster, request.sender) or request.target not in self._clients:
+            return self._refuse(
+                f"probe of {request.target!r} requested by {request.sender!r}, which are not both members"
+            )
+        return self._reply(ProbeAnswer(await self._exchange_heartbeats(request.target)))
 
-    def _knows(self, cluster: str, sender: str) -> bool:
+    def _is_member(self, cluster: str, sender: str) -> bool:
         return cluster == self._cluster and sender in self._clients
 
     def _refuse(self, reason: str) -> Reply:
-        """Answer 400. Each refusal is counted; the log gets one in `REFUSAL_LOG_INTERVAL_S` at the most."""
+        """Answer 400. Each refusal is counted; at most one per `REFUSAL_LOG_INTERVAL_S` is logged."""
         self._count_event("membership_refused")
         now = trio.current_time()
         if now - self._refusal_logged_at >= constants.REFUSAL_LOG_INTERVAL_S:
             self._refusal_logged_at = now
-            log_event(log, logging.WARNING, "membership_refused", reason=reason[:_LONGEST_REASON])
+            log_event(log, logging.WARNING, "membership_refused", reason=reason[:_MAX_LOGGED_REASON])
         return Reply(400, b"{}", kind="application/json")
 
     @staticmethod
     def _reply(message: PeerHeartbeat | ProbeAnswer) -> Reply:
         return Reply(200, encode(message), kind="application/json")
 
-    # --- what we send ---
+    # --- requests to other controllers ---
 
     def _own_heartbeat(self) -> PeerHeartbeat:
         self._sequence += 1
@@ -173,78 +175,79 @@
         incarnation = Incarnation(self._presence.process, self._refutations)
         return PeerHeartbeat(self._cluster, self._label, incarnation, self._sequence, suspects, self._leaving)
 
-    def _take(self, message: PeerHeartbeat, through: str | None = None) -> bool:
-        """Take in a heartbeat, directly or by a probe `through` another controller. If its sender suspects us,
-        the next heartbeat refutes that."""
+    def _process_heartbeat(self, message: PeerHeartbeat, through: str | None = None) -> bool:
+        """Process a heartbeat that came directly or, by an indirect probe, `through` another controller.
+
+        If its sender suspects this controller, the next heartbeat refutes that. False if the heartbeat is not new."""
         suspected = message.suspects.get(self._label)
         if suspected is not None and suspected >= Incarnation(self._presence.process, self._refutations):
             self._refutations += 1
             self._count_event("membership_refuted")
         now = trio.current_time()
-        before = self.view.peers[message.sender].status
-        taken = self._detector.record_heartbeat(message, now, self._clock.unpaused_time(now), through)
-        if taken and before in (Status.SUSPECTED, Status.CONFIRMED):
+        former_status = self.view.peers[message.sender].status
+        is_new = self._detector.record_heartbeat(message, now, self._clock.unpaused_time(now), through)
+        if is_new and former_status in (Status.SUSPECTED, Status.CONFIRMED):
             self._count_event("membership_cleared")
             evidence = self.view.peers[message.sender].evidence
             log_event(log, logging.INFO, "membership_cleared", peer=message.sender, evidence=evidence)
-        return taken
+        return is_new
 
-    async def _exchange(self, label: str) -> PeerHeartbeat | None:
-        """Send our heartbeat and take in the one it is answered with; None if there is none."""
+    async def _exchange_heartbeats(self, label: str) -> PeerHeartbeat | None:
+        """Send a heartbeat and process the one in the answer. Returns that one, or None without a valid answer."""
         try:
-            status, raw = await self._clients[label].request(
-                "POST", _HEARTBEAT, encode(self._own_heartbeat()), self._settings.probe_timeout_s
+            status, body = await self._clients[label].request(
+                "POST", _HEARTBEAT_PATH, encode(self._own_heartbeat()), self._settings.probe_timeout_s
             )
             if status == _NOT_FOUND:
                 self._detector.mark_without_heartbeats(label, trio.current_time())
-            answer = parse(raw, PeerHeartbeat) if status == 200 else None
+            answer = parse(body, PeerHeartbeat) if status == 200 else None
         except (NotSentError, NoAnswerError, MalformedMessageError) as error:
             log_event(log, logging.DEBUG, "heartbeat_not_answered", peer=label, reason=str(error))
             return None
         if answer is None or answer.sender != label or answer.cluster != self._cluster:
             return None
-        self._take(answer)
+        self._process_heartbeat(answer)
         return answer
 
-    async def _probe_through(self, helper: str, target: str) -> bool:
-        """Probe the target through another controller; True if the target answered it."""
+    async def _probe_indirectly(self, relay: str, target: str) -> bool:
+        """Probe the target through another controller. True if the target answered with a new heartbeat."""
         probe = ProbeRequest(self._cluster, self._label, target)
         try:
-            status, raw = await self._clients[helper].request(
-                "POST", _PROBE, encode(probe), 2 * self._settings.probe_timeout_s
+            status, body = await self._clients[relay].request(
+                "POST", _PROBE_PATH, encode(probe), 2 * self._settings.probe_timeout_s
             )
-            answer = parse(raw, ProbeAnswer) if status == 200 else ProbeAnswer()
+            answer = parse(body, ProbeAnswer) if status == 200 else ProbeAnswer()
         except (NotSentError, NoAnswerError, MalformedMessageError) as error:
-            log_event(log, logging.DEBUG, "probe_not_answered", peer=target, through=helper, reason=str(error))
+            log_event(log, logging.DEBUG, "probe_not_answered", peer=target, through=relay, reason=str(error))
             return False
         heard = answer.heard
         if heard is None or heard.sender != target or heard.cluster != self._cluster:
             return False
-        return self._take(heard, helper)
+        return self._process_heartbeat(heard, relay)
 
     # --- loops ---
 
     async def run(self) -> None:
-        """Send heartbeats, probe silent controllers and update their statuses until cancelled."""
+        """Send heartbeats, probe silent controllers and update statuses until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._presence.run)
             for label in self._clients:
                 nursery.start_soon(self._send_heartbeats, label)
-            nursery.start_soon(self._judge_for_ever, nursery)
+            nursery.start_soon(self._run_failure_detection, nursery)
 
     async def _send_heartbeats(self, label: str) -> None:
         while True:
             begun_at = trio.current_time()
-            await self._exchange(label)
+            await self._exchange_heartbeats(label)
             await trio.sleep_until(max(begun_at + self._settings.heartbeat_s, trio.current_time()))
 
-    async def _judge_for_ever(self, nursery: trio.Nursery) -> None:
+    async def _run_failure_detection(self, nursery: trio.Nursery) -> None:
         probed_at = float("-inf")
         while True:
             await trio.sleep(self._settings.heartbeat_s)
             now = trio.current_time()
             self._clock.tick(now)
-            self._judge(now)
+            self._update_statuses(now)
             if now - probed_at >= self._settings.probe_every_s:
                 probed_at = now
                 for label in self._detector.peers_to_probe():
@@ -252,33 +255,33 @@
                         self._probing.add(label)
                         nursery.start_soon(self._probe_round, label)
 
-    def _judge(self, now: float) -> None:
-        presences = {label: self._presence.of(label, now) for label in self._clients}
+    def _update_statuses(self, now: float) -> None:
+        presences = {label: self._presence.presence_of(label, now) for label in self._clients}
         for peer in self._detector.update_statuses(presences, now, self._clock.unpaused_time(now)):
-            self._record_judgement(peer)
+            self._record_status_change(peer)
 
-    def _record_judgement(self, peer: Peer) -> None:
+    def _record_status_change(self, peer: Peer) -> None:
         event = f"membership_{peer.status.value}"
         self._count_event(event)
         log_event(log, logging.INFO, event, peer=peer.label, evidence=peer.evidence)
 
     async def _probe_round(self, label: str) -> None:
-        """Probe a silent controller: directly first, then through all others that are alive, concurrently."""
+        """Probe a silent controller: first directly, then through all others that are alive, concurrently."""
         begun_at = trio.current_time()
         try:
-            if await self._exchange(label) is not None:
+            if await self._exchange_heartbeats(label) is not None:
                 return
-            found = False
+            answered = False
 
-            async def probe_through(helper: str) -> None:
-                nonlocal found
-                found |= await self._probe_through(helper, label)
+            async def probe_indirectly(relay: str) -> None:
+                nonlocal answered
+                answered |= await self._probe_indirectly(relay, label)
 
             async with trio.open_nursery() as nursery:
-                for helper in self.view.alive_labels():
-                    if helper != label:
-                        nursery.start_soon(probe_through, helper)
-            if not found:
+                for relay in self.view.alive_labels():
+                    if relay != label:
+                        nursery.start_soon(probe_indirectly, relay)
+            if not answered:
                 self._detector.record_failed_probe_round(label, begun_at)
         finally:
             self._probing.discard(label)
--- a/sorrelsill/membership/test_tracing.py
+++ b/sorrelsill/membership/test_tracing.py
@@ -1,4 +1,4 @@
-"""Handovers as OpenTelemetry traces."""
+"""Recording of handovers as OpenTelemetry traces."""
 
 import logging
 
@@ -14,7 +14,7 @@
     return Handover("n1", "n0", term, False, 100.0, 101.5, None, 104.0, 104.5)
 
 
-def test_a_handover_is_one_trace_whose_steps_follow_each_other() -> None:
+def test_handover_is_one_trace_with_consecutive_steps() -> None:
     exporter = InMemorySpanExporter()
     traces = HandoverTraces("n0", exporter, lambda: 1_000_000.0)
     traces.record(handover(), 110.0)
@@ -28,7 +28,7 @@
     assert [spans[name].start_time for name in steps] == [root.start_time, *ends[:-1]] and ends[-1] == root.end_time
 
 
-def test_the_list_for_operators_is_bounded() -> None:
+def test_list_of_recent_handovers_is_bounded() -> None:
     traces = HandoverTraces("n0", InMemorySpanExporter())
     for term in range(3 * constants.HANDOVERS_KEPT):
         traces.record(handover(term), 110.0)
@@ -36,7 +36,7 @@
     assert traces.recent[-1].term == 3 * constants.HANDOVERS_KEPT - 1
 
 
-def test_each_span_is_one_event_in_the_log(caplog: pytest.LogCaptureFixture) -> None:
+def test_each_span_is_one_log_event(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.INFO):
         HandoverTraces("n0").record(handover(), 110.0)
     lines = [message.split() for message in caplog.messages]
--- a/sorrelsill/membership/tracing.py
+++ b/sorrelsill/membership/tracing.py
@@ -1,4 +1,4 @@
-"""Handovers as OpenTelemetry traces: exported to the log as each ends, without a thread or a file."""
+"""Records handovers as OpenTelemetry traces. Spans are logged when they end, without a thread or a file."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 log = logging.getLogger(__name__)
 
-_NANOSECONDS = 1_000_000_000
+_NS_PER_S = 1_000_000_000
 
 
 class LogExporter(SpanExporter):
-    """Writes each span that has ended as one line."""
+    """Writes each ended span as one log event."""
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Write the spans."""
+        """Write one log event for each span."""
         for span in spans:
-            lasted_s = ((span.end_time or 0) - (span.start_time or 0)) / _NANOSECONDS
+            duration_s = ((span.end_time or 0) - (span.start_time or 0)) / _NS_PER_S
             trace_id = f"{span.context.trace_id:032x}" if span.context is not None else "?"
             attributes = dict(span.attributes or {})
-            log_event(log, logging.INFO, "trace", trace=trace_id, span=span.name, took_s=lasted_s, **attributes)
+            log_event(log, logging.INFO, "trace", trace=trace_id, span=span.name, took_s=duration_s, **attributes)
         return SpanExportResult.SUCCESS
 
 
 class HandoverTraces:
-    """A trace for each handover, and the last ones for operators."""
+    """Records a trace for each handover and keeps the most recent handovers for operators."""
 
     def __init__(
         self, label: str, exporter: SpanExporter | None = None, time_of_day: Callable[[], float] = time.time
@@ -49,13 +49,13 @@
         self.recent: deque[Handover] = deque(maxlen=constants.HANDOVERS_KEPT)
 
     def record(self, handover: Handover, now: float) -> None:
-        """The whole handover as a span, and under it one from step to step."""
+        """Record the handover as a root span with one child span per step."""
         self.recent.append(handover)
-        # Durations are those of the monotonic clock; the time of day only dates the trace.
+        # Durations come from the monotonic clock; the wall clock only sets the trace's position in time.
         offset_s = self._time_of_day() - now
 
-        def at(monotonic_s: float) -> int:
-            return int((monotonic_s + offset_s) * _NANOSECONDS)
+        def to_epoch_ns(monotonic_s: float) -> int:
+            return int((monotonic_s + offset_s) * _NS_PER_S)
 
         attributes: dict[str, Any] = {
             "former": handover.former,
@@ -63,11 +63,11 @@
             "term": handover.term,
             "planned": handover.planned,
         }
-        root = self._tracer.start_span("handover", start_time=at(handover.begun_at), attributes=attributes)
+        root = self._tracer.start_span("handover", start_time=to_epoch_ns(handover.begun_at), attributes=attributes)
         context = set_span_in_context(root)
-        before = handover.begun_at
+        previous_at = handover.begun_at
         for name, reached_at in handover.steps():
-            step = self._tracer.start_span(f"until {name}", context=context, start_time=at(before))
-            step.end(end_time=at(max(before, reached_at)))
-            before = max(before, reached_at)
-        root.end(end_time=at(handover.first_start_at))
+            step = self._tracer.start_span(f"until {name}", context=context, start_time=to_epoch_ns(previous_at))
+            step.end(end_time=to_epoch_ns(max(previous_at, reached_at)))
+            previous_at = max(previous_at, reached_at)
+        root.end(end_time=to_epoch_ns(handover.first_start_at))
