--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -256,7 +256,7 @@
             return reply or Reply(404)
         if request.method != "POST":
             return Reply(405)
-        return Reply(200, self.degraded_mode.answer(request.body), kind="application/json")
+        return Reply(200, self.degraded_mode.answer_promise_request(request.body), kind="application/json")
 
     def _count_event(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
@@ -265,7 +265,7 @@
         """Able to serve. If all lack the store, staying ready and answering 503 beats a refused connection."""
         if not self.watch_cache.loaded or self._draining:
             return False
-        return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.any_peer_failing()
+        return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.any_peer_store_failing()
 
     def state(self) -> ControllerState:
         """For operators: the state of this controller as it sees it."""
--- a/sorrelsill/peers/__init__.py
+++ b/sorrelsill/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Controller to controller: promises that let workers' leases go on while nobody can lead."""
+"""Promises between controllers, which allow worker leases to be renewed while no controller can lead."""
 
 from sorrelsill.peers.degraded_mode import DegradedMode
 
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -1,16 +1,17 @@
-"""Degraded mode: our extension for when no controller can reach the key-value store.
+"""Degraded mode: an extension of the protocol for the time when no controller can reach the key-value store.
 
-Then nobody can renew the leader's lease, so nobody may lead, and without answers the workers' leases would run out and
-all tasks be killed. So controllers promise each other for a few seconds to neither acquire the key nor act
-as leader. A controller promises only if it cannot reach the store itself. Whoever holds such promises
-from *all* members may answer heartbeats with the fencing token the worker already has and with no commands: this
-renews leases and does nothing else. Nothing is started or declared lost meanwhile, and whoever leads
-next counts every silent worker's lease from the end of the promises it knows of.
+During such an outage the leader's lease cannot be renewed, so no controller may lead. Without answers to heartbeats the
+worker leases would expire and all tasks would be killed. Controllers therefore promise each other not to acquire the
+leader key and not to act as leader for a few seconds. A controller gives a promise only if it cannot reach the store
+itself. A controller that holds promises from *all* members may answer heartbeats with the fencing token that the worker
+already has and without commands, which renews the lease and does nothing else. Meanwhile no task is started or declared
+lost, and the next leader counts the lease of each silent worker from the end of the promises that it knows of.
 
 Leases are renewed only as far as all cancellations are certain to be known (`jobs/cancellations.py`), so controllers
-tell each other what they know with each promise.
+exchange the cancellations they know with each promise.
 
-A fresh process may have promised before it died, so it waits one promise out before it acquires."""
+A process may have given a promise before it crashed, so after a restart it waits for the duration of one promise before
+it acquires the key."""
 
 from __future__ import annotations
 
@@ -35,7 +36,7 @@
 
 
 class DegradedMode:
-    """Promises between controllers that all lack the key-value store."""
+    """Exchanges promises with the other controllers while none of them can reach the key-value store."""
 
     def __init__(
         self,
@@ -47,59 +48,59 @@
         on_promised: Callable[[float], None] = lambda until: None,
         on_cancelled: Callable[[list[str]], None] = lambda job_ids: None,
     ) -> None:
-        """`on_promised` is told until when leases may be renewed by others, `on_cancelled` which jobs a peer knows to
-        be cancelled that we did not know of."""
+        """`on_promised` is called with the time until which other controllers may renew leases, `on_cancelled` with the
+        cancelled jobs that a peer reported and that were not known here."""
         self._store = store
         self._cancellations = cancellations
         self._elector = elector
         self._clients = [make_client(member.addr) for member in members]
         self._labels = [member.label for member in members]
-        # By a peer's number among the members:
-        self._promises_end_at: dict[int, float] = {}  # until when its promise counts for us
-        self._failing_said_at: dict[int, float] = {}  # when it last said that it lacks the store too
+        # Both are keyed by the index of the peer in `members`.
+        self._promise_valid_until: dict[int, float] = {}  # until when a promise of the peer is relied on
+        self._reported_failing_at: dict[int, float] = {}  # when the peer last reported that it cannot reach the store
         self.on_promised = on_promised
         self._on_cancelled = on_cancelled
 
     def active(self) -> bool:
-        """Whether leases may be renewed right now: every member, ourselves included, has promised."""
+        """Whether leases may be renewed now: all members, including this one, are bound by a promise."""
         now = trio.current_time()
         if not self._clients:
             return self._elector.promised_until > now + constants.PROMISE_MARGIN_S
         return self._elector.promised_until > now and all(
-            self._promises_end_at.get(peer, _NEVER) > now for peer in range(len(self._clients))
+            self._promise_valid_until.get(peer, _NEVER) > now for peer in range(len(self._clients))
         )
 
-    def any_peer_failing(self) -> bool:
-        """Whether a peer that we can reach lacks the store as well: then it is not us alone."""
+    def any_peer_store_failing(self) -> bool:
+        """Whether a reachable peer cannot reach the store either, so the fault is not local to this controller."""
         now = trio.current_time()
-        return any(now - at < 3 * constants.PROMISE_EVERY_S for at in self._failing_said_at.values())
+        return any(now - at < 3 * constants.PROMISE_EVERY_S for at in self._reported_failing_at.values())
 
-    def _failing(self) -> bool:
+    def _is_store_failing(self) -> bool:
         return self._store.failing_for() >= constants.PROMISE_AFTER_S
 
-    def _promise(self) -> None:
-        """From now on, and for `PROMISE_S`, this controller neither acquires the key nor acts as leader."""
+    def _make_promise(self) -> None:
+        """For `PROMISE_S` from now, neither acquire the leader key nor act as leader."""
         until = trio.current_time() + constants.PROMISE_S
         self._elector.promised_until = max(self._elector.promised_until, until)
         self.on_promised(self._elector.promised_until)
 
-    def answer(self, body: bytes) -> bytes:
-        """A peer asks for a promise, and what we know of cancellations. It is told those whether it gets one or not."""
+    def answer_promise_request(self, body: bytes) -> bytes:
+        """Answer a peer that asks for a promise. The answer lists known cancellations even if no promise is given."""
         request = PromiseRequest.from_body(body)
-        failing = self._failing()
+        failing = self._is_store_failing()
         promised = request.promise and failing and not self._elector.acquiring
         if promised:
-            self._promise()
+            self._make_promise()
         known = self._cancellations.answer_peer(request.cancellations, trio.current_time())
         return PromiseAnswer(promised, failing, known).to_body()
 
     async def has_other_candidates(self, former: str) -> bool:
-        """Whether a controller of this version, other than the `former` leader, answers at this moment."""
+        """Whether a controller of this version other than the `former` leader answers now."""
         found = False
 
         async def ask(client: Client) -> None:
             nonlocal found
-            answer = await self._call(client, False, constants.ACQUIRE_DEFER_S)
+            answer = await self._send_request(client, False, constants.ACQUIRE_DEFER_S)
             if answer is not None and answer.has_known:
                 found = True
                 nursery.cancel_scope.cancel()
@@ -110,8 +111,8 @@
                     nursery.start_soon(ask, client)
         return found
 
-    async def _call(self, client: Client, promise: bool, timeout_s: float) -> PromiseAnswer | None:
-        """Ask a peer, for a promise or only for what it knows; None if there is no proper answer."""
+    async def _send_request(self, client: Client, promise: bool, timeout_s: float) -> PromiseAnswer | None:
+        """Ask a peer for a promise, or only for the cancellations it knows. None without a valid answer."""
         request = PromiseRequest(promise, self._cancellations.peer_request(trio.current_time()))
         try:
             status, body = await client.request("POST", "/promise", request.to_body(), timeout_s)
@@ -121,10 +122,10 @@
         return PromiseAnswer.from_body(body) if status == _OK else None
 
     async def run(self) -> None:
-        """Ask for promises for as long as the key-value store is missing."""
+        """Ask for promises while the key-value store cannot be reached."""
         while True:
-            if self._failing() and not self._elector.acquiring:
-                self._promise()
+            if self._is_store_failing() and not self._elector.acquiring:
+                self._make_promise()
                 async with trio.open_nursery() as nursery:
                     for peer, client in enumerate(self._clients):
                         nursery.start_soon(self._ask_promise, peer, client)
@@ -134,16 +135,16 @@
 
     async def _ask_promise(self, peer: int, client: Client) -> None:
         sent_at = trio.current_time()
-        answer = await self._call(client, True, constants.PEER_TIMEOUT_S)
+        answer = await self._send_request(client, True, constants.PEER_TIMEOUT_S)
         if answer is None:
             return
-        # Before its promise counts: what is renewed on it rests on what the peer knows.
-        learnt = self._cancellations.merge_peer_answer(peer, answer.known, sent_at, trio.current_time())
-        if learnt:
-            log_event(log, logging.INFO, "cancellations_learnt", peer=self._labels[peer], jobs=len(learnt))
-            self._on_cancelled(learnt)
+        # Merged before the promise takes effect: renewals that rely on the promise depend on these cancellations.
+        new_job_ids = self._cancellations.merge_peer_answer(peer, answer.known, sent_at, trio.current_time())
+        if new_job_ids:
+            log_event(log, logging.INFO, "cancellations_learnt", peer=self._labels[peer], jobs=len(new_job_ids))
+            self._on_cancelled(new_job_ids)
         if answer.failing:
-            self._failing_said_at[peer] = trio.current_time()
+            self._reported_failing_at[peer] = trio.current_time()
         if answer.promised:
-            # Counted from the send, and shorter than the promise: it ends here before it ends there.
-            self._promises_end_at[peer] = sent_at + constants.PROMISE_S - constants.PROMISE_MARGIN_S
+            # Counted from the sending of the request and reduced by a margin, so it expires here before it does there.
+            self._promise_valid_until[peer] = sent_at + constants.PROMISE_S - constants.PROMISE_MARGIN_S
--- a/sorrelsill/peers/messages.py
+++ b/sorrelsill/peers/messages.py
@@ -1,6 +1,6 @@
-"""The messages of `/promise` between controllers: JSON, read field by field.
+"""The JSON messages of `/promise` between controllers. Each field is decoded separately.
 
-The former version sends neither `back` nor `known`. What is missing or damaged proves nothing."""
+The previous version sends neither `back` nor `known`. A missing or invalid field is never taken as evidence."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 
 
 class PromiseRequest(msgspec.Struct, frozen=True):
-    """Asks a controller for a promise, or only for what it knows of cancellations."""
+    """Asks a controller for a promise, or only for the cancellations it knows."""
 
     promise: bool
-    cancellations: dict[str, Any]  # what is asked of cancellations, as `Cancellations.peer_request` makes it
+    cancellations: dict[str, Any]  # request for cancellations, from `Cancellations.peer_request`
 
     @classmethod
     def from_body(cls, body: bytes) -> PromiseRequest:
-        """Read a request; a body that is none asks for nothing."""
-        fields = _map_in(body) or {}
+        """Decode a request; an invalid body is an empty request."""
+        fields = _decode_map(body) or {}
         return cls(bool(fields.get("promise")), fields)
 
     def to_body(self) -> bytes:
-        """As it goes over the wire."""
+        """Encode as JSON."""
         return orjson.dumps({"promise": self.promise, **self.cancellations})
 
 
 class PromiseAnswer(msgspec.Struct, frozen=True):
-    """Whether the promise is given, and what its giver knows."""
+    """Whether the promise is given, and the cancellations that the answering controller knows."""
 
     promised: bool
-    failing: bool  # the giver cannot reach the key-value store either
-    known: Any  # of cancellations, as `Cancellations.answer_peer` makes it
-    has_known: bool = True  # False from the former version, which sends no such field
+    failing: bool  # the answering controller cannot reach the key-value store either
+    known: Any  # cancellations, from `Cancellations.answer_peer`
+    has_known: bool = True  # False for the previous version, which does not send the field
 
     @classmethod
     def from_body(cls, body: bytes) -> PromiseAnswer | None:
-        """Read an answer; None if the body is no JSON object."""
-        fields = _map_in(body)
+        """Decode an answer; None if the body is not a JSON object."""
+        fields = _decode_map(body)
         if fields is None:
             return None
         return cls(
@@ -46,11 +46,11 @@
         )
 
     def to_body(self) -> bytes:
-        """As it goes over the wire."""
+        """Encode as JSON."""
         return orjson.dumps({"promised": self.promised, "failing": self.failing, "known": self.known})
 
 
-def _map_in(body: bytes) -> dict[str, Any] | None:
+def _decode_map(body: bytes) -> dict[str, Any] | None:
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError:
