--- a/sorrelsill/membership/detector.py
+++ b/sorrelsill/membership/detector.py
@@ -5,11 +5,16 @@
                  ^----------|-----------|      a later heartbeat of the same or of a later process
                alive -> left                   it announced its shutdown; a later process makes it alive again
 
-A controller is suspected when it is silent for longer than its past heartbeat intervals explain. It is confirmed to be
-gone only if all of these hold as well: it has been suspected for `confirm_s`; a whole round of probes that began after
-the suspicion got no answer, neither directly nor indirectly through any other controller that answers; and according to
-a fresh watch cache its lease in the key-value store has ended. So an outage of the key-value store, a network partition
-between two controllers, or a refused connection alone never confirms a failure."""
+A controller is suspected when it is silent for longer than its past heartbeat intervals explain. Its failure is
+confirmed only if, in addition, all of these hold:
+
+- it has been suspected for `confirm_s`,
+- a whole round of probes that began after the suspicion got no answer, neither directly nor through any other
+  controller that answers,
+- according to a fresh watch cache, its lease in the key-value store has ended.
+
+So an outage of the key-value store, a network partition between two controllers, or a refused connection alone never
+confirms a failure."""
 
 from __future__ import annotations
 
@@ -115,13 +120,13 @@
         """Update the status of all controllers. Returns those whose status has changed."""
         changed = []
         for label, peer in self.view.peers.items():
-            updated = self._updated(peer, presences[label], now, unpaused_now)
+            updated = self._updated_peer(peer, presences[label], now, unpaused_now)
             if updated is not peer:
                 self.view = self.view.with_peer(updated)
                 changed.append(updated)
         return changed
 
-    def _updated(self, peer: Peer, presence: Presence, now: float, unpaused_now: float) -> Peer:
+    def _updated_peer(self, peer: Peer, presence: Presence, now: float, unpaused_now: float) -> Peer:
         evidence = self._evidence[peer.label]
         silence_s = evidence.intervals.silence_s(unpaused_now)
         if peer.status is Status.ALIVE and silence_s > self._suspicion_threshold_s(evidence):
