--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -102,7 +102,7 @@
                 self.membership.term_ended()
             return
         if self.membership is not None:
-            self.membership.term_began(term, self.elector.predecessor)
+            self.membership.term_began(term, self.elector.previous_leader)
         now = trio.current_time()
         timings = self.timings
         cluster = ClusterState(
@@ -121,7 +121,7 @@
         self.scheduler.reset()
         self._log_failover(cluster)
         for loop in ("place", "record", "fleet"):
-            self.watchdog.beat(loop)
+            self.watchdog.record_heartbeat(loop)
 
     def _log_failover(self, cluster: ClusterState) -> None:
         log_event(
@@ -146,7 +146,7 @@
             self.watch_cache,
             cluster,
             self.elector.valid,
-            on_fenced=lambda: self.elector.fenced(cluster.term + 1),
+            on_fenced=lambda: self.elector.observe_fencing_token(cluster.term + 1),
         )
 
     def _make_fleet(self, cluster: ClusterState) -> FleetManager:
@@ -210,7 +210,7 @@
 
     async def _has_other_candidates(self, former: str) -> bool:
         """Whether any controller but the former leader could take the key now: as detection knows, or by asking."""
-        if self.membership is not None and any(label != former for label in self.membership.view.alive()):
+        if self.membership is not None and any(label != former for label in self.membership.view.alive_labels()):
             return True
         return await self.degraded_mode.has_other_candidates(former)
 
@@ -256,7 +256,7 @@
             return reply or Reply(404)
         if request.method != "POST":
             return Reply(405)
-        return Reply(200, self.degraded_mode.answer(request.body), kind="application/json")
+        return Reply(200, self.degraded_mode.answer_promise_request(request.body), kind="application/json")
 
     def _count_event(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
@@ -265,7 +265,7 @@
         """Able to serve. If all lack the store, staying ready and answering 503 beats a refused connection."""
         if not self.watch_cache.loaded or self._draining:
             return False
-        return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.any_peer_failing()
+        return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.any_peer_store_failing()
 
     def state(self) -> ControllerState:
         """For operators: the state of this controller as it sees it."""
@@ -305,7 +305,7 @@
     async def _loop(self, name: str, step: Callable[[], Awaitable[None]], tick_s: float) -> None:
         """A leader's loop: an error is logged and the next round goes on; beats feed the watchdog."""
         while True:
-            self.watchdog.beat(name)
+            self.watchdog.record_heartbeat(name)
             try:
                 await step()
             except Exception:
@@ -329,7 +329,7 @@
         if not self.scheduler.run_cycle(cluster, now, trio.current_time, constants.CYCLE_BUDGET_S) or lost:
             self._wake_scheduler.set()
         if self.membership is not None and cluster.counters.first_bound_at is not None:
-            self.membership.started(cluster.counters.first_bound_at)
+            self.membership.first_task_started(cluster.counters.first_bound_at)
         self.command_sender.start_due(cluster, self._nursery)
         self.command_sender.probe_unconfirmed(cluster, self._nursery)
         # Processor time is limited: leave as much of it to requests as the round took.
