--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -100,7 +100,7 @@
         kept = 0.0 if self._optimise_latency else self._cluster.gang_headroom_cpus(self._latency_sensitive)
         if not kept:
             return GangCapacity({}, 0.0)
-        free = dict.fromkeys(self._cluster.catalog.zones, 0.0) | self._cluster.index.free.ordinary_cpus()
+        free = dict.fromkeys(self._cluster.catalog.zones, 0.0) | self._cluster.index.free.on_demand_cpus()
         for instance, machine_type in self._expected_on_demand():
             free[instance.zone] = free.get(instance.zone, 0.0) + machine_type.cpus
         return GangCapacity(free, kept)
@@ -117,7 +117,7 @@
         if not capacity.kept_cpus:
             return []
         zone = capacity.zone()
-        largest = self._cluster.largest_gang
+        largest = self._cluster.largest_gangs
         gangs = [spec for name in self._latency_sensitive if (spec := largest.get(name)) is not None]
         spec = max(gangs, key=lambda gang: (gang.cpus, gang.job_id))
         missing = math.ceil((capacity.kept_cpus - capacity.free_cpus[zone]) / max(spec.cpus, SMALLEST_AMOUNT))
--- a/sorrelsill/fleet/test_rebalancing.py
+++ b/sorrelsill/fleet/test_rebalancing.py
@@ -18,7 +18,7 @@
     cluster = ClusterState(1, 0.0, CATALOG, 11.5, 2.7)
     machines = []
     for number in range(count):
-        machine = cluster.machine(f"m{number}", "c8", "ab"[number % 2], False, 0.0)
+        machine = cluster.get_or_add_machine(f"m{number}", "c8", "ab"[number % 2], False, 0.0)
         machine.token_acknowledged = machine.reachable = machine.registered = True
         machine.images["img"] = 0.5
         machines.append(machine)
@@ -75,11 +75,11 @@
     room = FreeCapacity(cluster.index)
     for _ in range(300):
         machine = rng.choice(machines)
-        if rng.random() < 0.4 and machine.room_for(lesser.spec) and machine.name in cluster.machines:
+        if rng.random() < 0.4 and machine.has_room_for(lesser.spec) and machine.name in cluster.machines:
             cluster.bind(lesser, lesser.next_task() or 0, machine, 1.0)
         elif rng.random() < 0.5 and machine.attempts:
             attempt = rng.choice(list(machine.attempts.values()))
-            cluster.attempts.leave(attempt)
+            cluster.attempts.remove(attempt)
             cluster.unbind(attempt, 2.0)
         elif rng.random() < 0.9:
             machine.heartbeat_overdue = not machine.heartbeat_overdue
--- a/sorrelsill/placement/gang_headroom.py
+++ b/sorrelsill/placement/gang_headroom.py
@@ -27,7 +27,7 @@
     def update(self, cluster: ClusterState) -> None:
         """Compute again how much is kept, and in which zone."""
         self._kept_cpus = 0.0 if self._optimise_latency else cluster.gang_headroom_cpus(self._objectives.start_within_s)
-        self._free = cluster.index.free.ordinary_cpus() if self._kept_cpus else {}
+        self._free = cluster.index.free.on_demand_cpus() if self._kept_cpus else {}
         self._zone = max(sorted(self._free), key=lambda zone: self._free[zone], default="")
 
     def task_bound(self, spec: JobSpec, machine: Machine) -> None:
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -152,7 +152,7 @@
         while (index := job.next_task()) is not None:
             if cycle.out_of_time():
                 return _BindOutcome.OUT_OF_TIME
-            if job.trials_left() <= 0:
+            if job.new_starts_allowed() <= 0:
                 return _BindOutcome.TRIAL_PENDING
             if not self._quotas.allows(cycle.cluster, spec):
                 job.note(f"waiting: the limit of {spec.team} is reached")
--- a/sorrelsill/placement/test_job_queue.py
+++ b/sorrelsill/placement/test_job_queue.py
@@ -23,7 +23,7 @@
 
 def cluster_with_a_machine() -> ClusterState:
     cluster = ClusterState(1, 0.0, Catalog({"c8": MACHINE_TYPE}), 1e9, 2.7)
-    cluster.machine("m1", "c8", "a", False, 0.0)
+    cluster.get_or_add_machine("m1", "c8", "a", False, 0.0)
     return cluster
 
 
@@ -85,7 +85,7 @@
                 self.cluster.bind(each, index, machine, self.now)
             elif each.bound:
                 attempt = self.rng.choice(list(each.bound.values()))
-                self.cluster.attempts.leave(attempt)
+                self.cluster.attempts.remove(attempt)
                 self.cluster.unbind(attempt, self.now)
         if self.cluster.jobs and self.rng.random() < 0.4:
             self.cluster.end_job(self.rng.choice(list(self.cluster.jobs)))
--- a/sorrelsill/placement/test_scheduler.py
+++ b/sorrelsill/placement/test_scheduler.py
@@ -18,7 +18,7 @@
 def cluster_with(*machines: tuple[str, str, bool]) -> ClusterState:
     cluster = ClusterState(1, 0.0, Catalog({"c8": MACHINE_TYPE}), 11.5, 2.7)
     for name, zone, spot in machines:
-        machine = cluster.machine(name, "c8", zone, spot, 0.0)
+        machine = cluster.get_or_add_machine(name, "c8", zone, spot, 0.0)
         machine.token_acknowledged = machine.reachable = machine.registered = True
     return cluster
 
@@ -107,7 +107,7 @@
     assert index.ready.names() == {"m1", "m2"} and index.free.names() == {other} and index.idle.names() == {other}
     cluster.machines[other].draining = True  # without a call: the indices follow at once
     assert index.ready.names() == {full} and not index.free.names()
-    index.hold_image(cluster.machines[full], work.spec)
+    index.record_cached_image(cluster.machines[full], work.spec)
     assert index.holders("img").names() == {full}
     cluster.remove_machine(full, 3.0, "returned")
     assert not index.ready and not index.free and not index.holders("img") and index.idle.names() == {other}
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -72,7 +72,7 @@
         cluster.request_stop(attempt, "one too many")
         return
     job.bind(attempt)
-    cluster.job_changed(attempt.job_id)
+    cluster.mark_job_changed(attempt.job_id)
     cluster.pending_writes.record_due(attempt.job_id)
 
 
@@ -89,4 +89,4 @@
     """From now on its size is known."""
     cluster.attempts.count_unknown_task(attempt, -1)
     attempt.spec = job.spec
-    cluster.take_room(attempt)
+    cluster.allocate_resources(attempt)
--- a/sorrelsill/workers/allocations.py
+++ b/sorrelsill/workers/allocations.py
@@ -21,7 +21,7 @@
         machine.cpus += spec.cpus
         machine.gpus += spec.gpus
         machine.memory_gb += spec.memory_gb
-        self.by_team.take(spec)
+        self.by_team.add(spec)
         self._index.room_changed(machine)
 
     def release(self, machine: Machine, spec: JobSpec) -> None:
@@ -30,7 +30,7 @@
         machine.cpus = max(0.0, machine.cpus - spec.cpus)
         machine.gpus = max(0.0, machine.gpus - spec.gpus)
         machine.memory_gb = max(0.0, machine.memory_gb - spec.memory_gb)
-        self.by_team.give_back(spec)
+        self.by_team.subtract(spec)
         self._index.room_changed(machine)
 
     def clear(self, machine: Machine) -> None:
--- a/sorrelsill/workers/attempt_index.py
+++ b/sorrelsill/workers/attempt_index.py
@@ -17,19 +17,19 @@
         self.by_job: dict[str, dict[Attempt, None]] = {}
         self.machines_with_unknown_tasks: dict[str, Machine] = {}  # with tasks of jobs that are not known
 
-    def enter(self, attempt: Attempt) -> None:
+    def add(self, attempt: Attempt) -> None:
         """An attempt is on a machine, as far as is known."""
         attempt.machine.attempts[attempt.key] = attempt
         self.by_job.setdefault(attempt.job_id, {})[attempt] = None
         self.count_unknown_task(attempt, 1)
 
-    def leave(self, attempt: Attempt) -> None:
+    def remove(self, attempt: Attempt) -> None:
         """It is on no machine any more, nor named in heartbeats."""
         del attempt.machine.attempts[attempt.key]
-        mine = self.by_job.get(attempt.job_id)
-        if mine is not None:
-            mine.pop(attempt, None)
-            if not mine:
+        job_attempts = self.by_job.get(attempt.job_id)
+        if job_attempts is not None:
+            job_attempts.pop(attempt, None)
+            if not job_attempts:
                 del self.by_job[attempt.job_id]
         if not attempt.exited:
             self.count_unknown_task(attempt, -1)
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -55,7 +55,7 @@
         self._job_table = JobTable()
         self.jobs = self._job_table.jobs
         self.gangs = self._job_table.gangs
-        self.largest_gang = self._job_table.largest_gang
+        self.largest_gangs = self._job_table.largest_gangs
         self._machine_table = MachineTable(catalog, self.leases)
         self.machines = self._machine_table.machines
         self.machines_with_pending_commands = self._machine_table.with_pending_commands
@@ -90,7 +90,7 @@
 
     # --- jobs ---
 
-    def enter_job(self, job: Job) -> None:
+    def insert_job(self, job: Job) -> None:
         """Enter a live job."""
         spec = job.spec
         job.order = self.counters.next_job_order()
@@ -117,7 +117,7 @@
                 self.request_stop(attempt, "over")
         self.wake_scheduler = True
 
-    def job_changed(self, job_id: str) -> None:
+    def mark_job_changed(self, job_id: str) -> None:
         """Called wherever a job comes or ends, or what is done or bound of it changes."""
         self._job_table.mark_changed(job_id)
 
@@ -139,7 +139,7 @@
         self.machines_with_pending_commands[machine.name] = machine
         self.counters.task_bound(now)
         job.last_activity_at = now
-        self.job_changed(job.spec.job_id)
+        self.mark_job_changed(job.spec.job_id)
         if job.spec.image not in machine.images:
             machine.fetching.add(job.spec.image)
         log_attempt(
@@ -154,13 +154,13 @@
 
     def _attach(self, attempt: Attempt, job: Job) -> None:
         """Take room, limits and zones into account; `attempt.spec` is set already."""
-        self.attempts.enter(attempt)
-        self.take_room(attempt)
+        self.attempts.add(attempt)
+        self.allocate_resources(attempt)
         if attempt.index not in job.bound:
             job.bind(attempt)
-            self.job_changed(attempt.job_id)
+            self.mark_job_changed(attempt.job_id)
 
-    def take_room(self, attempt: Attempt) -> None:
+    def allocate_resources(self, attempt: Attempt) -> None:
         """Count an attempt whose size is known, on its machine and for its team."""
         assert attempt.spec is not None
         self._allocations.allocate(attempt.machine, attempt.spec)
@@ -181,7 +181,7 @@
         if job is not None and job.bound.get(attempt.index) is attempt:
             job.unbind(attempt, now, requeue)
             self.pending_writes.record_due(spec.job_id)
-            self.job_changed(spec.job_id)
+            self.mark_job_changed(spec.job_id)
         if machine.bound_count == 0:
             machine.idle_since = now
             machine.fetching.clear()
@@ -189,7 +189,7 @@
 
     def gang_headroom_cpus(self, classes: Iterable[str]) -> float:
         """CPUs for one more gang of each of these classes, as large as the largest seen."""
-        return self.largest_gang.headroom_cpus(classes)
+        return self.largest_gangs.headroom_cpus(classes)
 
     def release_all(self, machine: Machine, now: float, reason: str) -> None:
         """All that was on the machine is proved gone."""
@@ -197,7 +197,7 @@
             job = self.jobs.get(attempt.job_id)
             if job is not None and not attempt.exited and job.bound.get(attempt.index) is attempt:
                 job.note(f"task {attempt.index}: {reason} ({machine.name})")
-            self.attempts.leave(attempt)
+            self.attempts.remove(attempt)
             self.unbind(attempt, now)
         self._allocations.clear(machine)
 
@@ -210,7 +210,7 @@
         self.failover.recount()
         self.wake_scheduler = True
 
-    def machine(self, name: str, machine_type: str, zone: str, spot: bool, now: float) -> Machine:
+    def get_or_add_machine(self, name: str, machine_type: str, zone: str, spot: bool, now: float) -> Machine:
         """The machine of that name, made if it was not known."""
         machine = self.machines.get(name)
         if machine is None:
@@ -225,7 +225,7 @@
         machine = self.machines.pop(name, None)
         if machine is not None:
             self.release_all(machine, now, reason)
-            self.index.forget(machine)
+            self.index.remove_machine(machine)
         self._forget(name)
         self.tombstones.record_forever(name, now)
         self.confirm(name, reason, now)
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -65,7 +65,7 @@
         """Enter a live job; tasks of it that are on machines already are adopted."""
         job = Job(spec, done, rev, from_earlier_term, submitted, notes)
         job.accepted = accepted
-        self.enter_job(job)
+        self.insert_job(job)
         adoption.adopt_tasks_of(self, job)
         return job
 
--- a/sorrelsill/workers/failures.py
+++ b/sorrelsill/workers/failures.py
@@ -19,7 +19,7 @@
     machines: set[str] = field(default_factory=set)  # on which it failed since its last success
     blamed_machines: set[str] = field(default_factory=set)  # machines that its failures counted against
     failures: int = 0  # since its last success
-    trials: int = 0  # bursts of failures since its last success; tasks that fail together are one
+    failure_bursts: int = 0  # bursts of failures since its last success; tasks that fail together are one
     next_trial_at: float = float("-inf")
 
     def record_failure(self, machine: str, now: float) -> set[str]:
@@ -27,9 +27,9 @@
         self.machines.add(machine)
         self.failures += 1
         if now >= self.next_trial_at:
-            self.trials += 1
+            self.failure_bursts += 1
             self.next_trial_at = now + min(
-                constants.START_BACKOFF_MAX_S, constants.START_BACKOFF_S * 2.0 ** (self.trials - 1)
+                constants.START_BACKOFF_MAX_S, constants.START_BACKOFF_S * 2.0 ** (self.failure_bursts - 1)
             )
         return self._blame({machine}) if self.succeeded else set()
 
@@ -39,7 +39,7 @@
         blamed = self._blame(self.machines - {machine})
         self.machines.clear()
         self.failures = 0
-        self.trials = 0
+        self.failure_bursts = 0
         self.next_trial_at = float("-inf")
         return blamed
 
--- a/sorrelsill/workers/gangs.py
+++ b/sorrelsill/workers/gangs.py
@@ -40,8 +40,8 @@
         return
     if not cluster.failover.reconciled(job):
         return  # what is missing may be on a machine that was not heard yet
-    whole = len(tasks) == job.spec.task_count and len({a.attempt_number for a in tasks}) == 1
-    if whole and not any(a.stop_requested for a in tasks):
+    complete = len(tasks) == job.spec.task_count and len({a.attempt_number for a in tasks}) == 1
+    if complete and not any(a.stop_requested for a in tasks):
         return
     # Stopping at once is quicker than waiting until the others notice, and loses no more: a gang that lost a task falls
     # back to its last checkpoint anyway.
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -81,7 +81,7 @@
 
 
 def _machine_of(cluster: ClusterRecords, heartbeat: WorkerHeartbeat, now: float) -> Machine:
-    return cluster.machine(heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now)
+    return cluster.get_or_add_machine(heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now)
 
 
 def _is_current(machine: Machine, heartbeat: WorkerHeartbeat) -> bool:
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -74,7 +74,7 @@
         """The attempt is the one of its task from now on; if there was another, that loses its place."""
         former = self.bound.get(attempt.index)
         if former is not None:
-            self._leave_zone(former)
+            self._remove_from_zone(former)
         self.bound[attempt.index] = attempt
         zone = attempt.machine.zone
         self.zones[zone] = self.zones.get(zone, 0) + 1
@@ -82,12 +82,12 @@
     def unbind(self, attempt: Attempt, now: float, requeue: bool) -> None:
         """The attempt bound for its task is gone; with `requeue` the task is to be started again unless it is done."""
         del self.bound[attempt.index]
-        self._leave_zone(attempt)
+        self._remove_from_zone(attempt)
         self.last_activity_at = now
         if requeue and attempt.index not in self.done:
             heapq.heappush(self.requeued, attempt.index)
 
-    def _leave_zone(self, attempt: Attempt) -> None:
+    def _remove_from_zone(self, attempt: Attempt) -> None:
         zone = attempt.machine.zone
         self.zones[zone] = self.zones.get(zone, 1) - 1
 
@@ -105,7 +105,7 @@
             self.cursor += 1
         return None
 
-    def trials_left(self) -> int:
+    def new_starts_allowed(self) -> int:
         """How many more of its tasks may be started now: few, if it seems to fail wherever it is tried."""
         bound = len(self.bound)
         return constants.TRIAL_TASKS - bound if self.failures.is_suspect(bound) else self.spec.task_count
--- a/sorrelsill/workers/job_table.py
+++ b/sorrelsill/workers/job_table.py
@@ -12,7 +12,7 @@
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
         self.gangs: dict[str, Job] = {}  # the live jobs whose tasks run together
-        self.largest_gang = LargestGangs()
+        self.largest_gangs = LargestGangs()
         self._changed: dict[str, None] = {}  # jobs that came, changed or ended since the scheduler last asked
 
     def add(self, job: Job) -> None:
@@ -25,7 +25,7 @@
                 # Its tasks complete together; the version before this one recorded them one by one.
                 for index in range(spec.task_count):
                     job.done.add(index)
-            self.largest_gang.add(spec)
+            self.largest_gangs.add(spec)
         self.mark_changed(spec.job_id)
 
     def remove(self, job_id: str) -> Job | None:
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -20,7 +20,7 @@
 _T = TypeVar("_T")
 
 
-class _Condition(Generic[_T]):
+class _UsabilityField(Generic[_T]):
     """A field on which it depends whether a machine may be given work: a change of it updates the machine's `usable`,
     and through it the indices. Guards against a place in the code that changes the field and forgets the indices."""
 
@@ -34,12 +34,12 @@
         # There is none: a descriptor that only sets leaves reading to the instance, which costs no call. These fields
         # are read thousands of times a second, for each heartbeat.
         @overload
-        def __get__(self, machine: None, owner: type) -> _Condition[_T]: ...
+        def __get__(self, machine: None, owner: type) -> _UsabilityField[_T]: ...
 
         @overload
         def __get__(self, machine: Machine, owner: type) -> _T: ...
 
-        def __get__(self, machine: Machine | None, owner: type) -> _T | _Condition[_T]: ...
+        def __get__(self, machine: Machine | None, owner: type) -> _T | _UsabilityField[_T]: ...
 
     def __set__(self, machine: Machine, value: _T) -> None:
         if machine.__dict__[self._name] != value:
@@ -90,18 +90,18 @@
     """A machine and what is bound to it."""
 
     # It has shown our term as its highest fencing token: no older leader can command it.
-    token_acknowledged = _Condition(False)
-    reachable = _Condition(False)  # has shown in this incarnation that answers or commands reach it
-    registered = _Condition(False)  # its registry entry is committed
-    lease_expired = _Condition(False)  # its incarnation's lease has run out; only a later incarnation is believed
+    token_acknowledged = _UsabilityField(False)
+    reachable = _UsabilityField(False)  # has shown in this incarnation that answers or commands reach it
+    registered = _UsabilityField(False)  # its registry entry is committed
+    lease_expired = _UsabilityField(False)  # its incarnation's lease has run out; only a later incarnation is believed
     # It may hang or be cut off: no new work before its next heartbeat.
-    heartbeat_overdue = _Condition(False)
-    draining = _Condition(False)
-    returning = _Condition(False)
-    quarantined = _Condition(False)
+    heartbeat_overdue = _UsabilityField(False)
+    draining = _UsabilityField(False)
+    returning = _UsabilityField(False)
+    quarantined = _UsabilityField(False)
     # It holds tasks of jobs that are not known: how much room they take can't be told.
-    holds_tasks_of_unknown_size = _Condition(False)
-    spot_reclaim_at: _Condition[float | None] = _Condition(None)  # when the cloud reclaims it
+    holds_tasks_of_unknown_size = _UsabilityField(False)
+    spot_reclaim_at: _UsabilityField[float | None] = _UsabilityField(None)  # when the cloud reclaims it
 
     def __init__(
         self, name: str, idle_since: float = 0.0, on_usable_changed: Callable[[Machine], None] = _ignore
@@ -157,7 +157,7 @@
             self.usable = usable
             self._on_usable_changed(self)
 
-    def room_for(self, spec: JobSpec) -> bool:
+    def has_room_for(self, spec: JobSpec) -> bool:
         """Whether one more task of the job fits now."""
         return (
             self.capacity_cpus - self.cpus + AMOUNT_TOLERANCE >= spec.cpus
@@ -181,15 +181,15 @@
             and (spec.spot_allowed or not self.spot)
         )
 
-    def hold_image(self, image: str, size: float) -> list[str]:
-        """Guess the worker's cache: the most recently used images that fit. Returns those pushed out."""
+    def record_cached_image(self, image: str, size: float) -> list[str]:
+        """Guess the worker's cache: the most recently used images that fit. Returns those evicted."""
         self.fetching.discard(image)
         self.images[image] = size
         self.images.move_to_end(image)
-        out = []
+        evicted = []
         while sum(self.images.values()) > self.cache_gb and len(self.images) > 1:
-            out.append(self.images.popitem(last=False)[0])
-        return out
+            evicted.append(self.images.popitem(last=False)[0])
+        return evicted
 
 
-_DEFAULTS = {name: value.default for name, value in vars(Machine).items() if isinstance(value, _Condition)}
+_DEFAULTS = {name: value.default for name, value in vars(Machine).items() if isinstance(value, _UsabilityField)}
--- a/sorrelsill/workers/machine_index.py
+++ b/sorrelsill/workers/machine_index.py
@@ -31,7 +31,7 @@
         self._changed[machine.name] = machine
         if machine.usable:
             self.ready.add(machine)
-            self.free.put(machine)
+            self.free.update(machine)
         else:
             self.ready.discard(machine.name)
             self.free.discard(machine.name)
@@ -40,19 +40,19 @@
         """Its size, or what is bound to it, has changed."""
         self._changed[machine.name] = machine
         if machine.usable:
-            self.free.put(machine)
+            self.free.update(machine)
         if machine.bound_count:
             self.idle.discard(machine.name)
         else:
             self.idle.add(machine)
 
-    def forget(self, machine: Machine) -> None:
+    def remove_machine(self, machine: Machine) -> None:
         """The machine is gone."""
         self._changed[machine.name] = machine
         for machines in (self.ready, self.free, self.idle):
             machines.discard(machine.name)
         for image in machine.images:
-            self._drop_holder(machine, image)
+            self._remove_holder(machine, image)
         machine.images.clear()
 
     def take_changed(self) -> list[Machine]:
@@ -67,13 +67,13 @@
         """Machines that hold the image."""
         return self._holders.get(image, _NO_MACHINES)
 
-    def hold_image(self, machine: Machine, spec: JobSpec) -> None:
+    def record_cached_image(self, machine: Machine, spec: JobSpec) -> None:
         """A task with this image runs there, so the image is there, and others may have made way for it."""
         self._holders.setdefault(spec.image, MachineSet()).add(machine)
-        for image in machine.hold_image(spec.image, spec.image_gb):
-            self._drop_holder(machine, image)
+        for image in machine.record_cached_image(spec.image, spec.image_gb):
+            self._remove_holder(machine, image)
 
-    def _drop_holder(self, machine: Machine, image: str) -> None:
+    def _remove_holder(self, machine: Machine, image: str) -> None:
         holders = self._holders.get(image)
         if holders is not None:
             holders.discard(machine.name)
--- a/sorrelsill/workers/machine_sets.py
+++ b/sorrelsill/workers/machine_sets.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from sorrelsill.workers.machine import Machine
 
-_MICRO = 1_000_000  # CPUs are added up in millionths, as whole numbers: sums of fractions would drift
+_MICROS_PER_CPU = 1_000_000  # CPUs are added up in millionths, as whole numbers: sums of fractions would drift
 
 
 class MachineSet(Sequence["Machine"]):
@@ -59,13 +59,13 @@
         return iter(self._machines)
 
     @overload
-    def __getitem__(self, at: int) -> Machine: ...
+    def __getitem__(self, index: int) -> Machine: ...
 
     @overload
-    def __getitem__(self, at: slice) -> list[Machine]: ...
+    def __getitem__(self, index: slice) -> list[Machine]: ...
 
-    def __getitem__(self, at: int | slice) -> Machine | list[Machine]:
-        return self._machines[at]
+    def __getitem__(self, index: int | slice) -> Machine | list[Machine]:
+        return self._machines[index]
 
 
 class MachineUnion(Sequence["Machine"]):
@@ -83,27 +83,27 @@
         return chain.from_iterable(self._lists)
 
     @overload
-    def __getitem__(self, at: int) -> Machine: ...
+    def __getitem__(self, index: int) -> Machine: ...
 
     @overload
-    def __getitem__(self, at: slice) -> list[Machine]: ...
+    def __getitem__(self, index: slice) -> list[Machine]: ...
 
-    def __getitem__(self, at: int | slice) -> Machine | list[Machine]:
-        if isinstance(at, slice):
-            return list(self)[at]
-        return self.at_positions([at])[0]
+    def __getitem__(self, index: int | slice) -> Machine | list[Machine]:
+        if isinstance(index, slice):
+            return list(self)[index]
+        return self.at_positions([index])[0]
 
     def at_positions(self, positions: list[int]) -> list[Machine]:
         """The machines at these positions, which are in rising order, in one pass over the sets."""
         found: list[Machine] = []
         lists = iter(self._lists)
         current: list[Machine] = []
-        passed = 0  # machines in the sets before the current one
+        preceding = 0  # machines in the sets before the current one
         for position in positions:
-            while position - passed >= len(current):
-                passed += len(current)
+            while position - preceding >= len(current):
+                preceding += len(current)
                 current = next(lists)
-            found.append(current[position - passed])
+            found.append(current[position - preceding])
         return found
 
 
@@ -114,48 +114,48 @@
         self._classes = [MachineSet() for _ in range(ROOM_CLASSES)]
         self._class_of: dict[str, int] = {}  # by name
         self._counted: dict[str, tuple[str, int]] = {}  # ordinary machine -> its zone, and its millionths of free CPUs
-        self._ordinary: dict[str, int] = {}  # zone -> millionths of CPUs free on ordinary machines
+        self._on_demand: dict[str, int] = {}  # zone -> millionths of CPUs free on ordinary machines
 
-    def put(self, machine: Machine) -> None:
+    def update(self, machine: Machine) -> None:
         """The machine may be given work, and this is what is free on it now."""
         free = machine.capacity_cpus - machine.cpus
         if free <= AMOUNT_TOLERANCE:
             self.discard(machine.name)
             return
-        number = min(int(free + AMOUNT_TOLERANCE), ROOM_CLASSES - 1)
-        former = self._class_of.get(machine.name)
-        if former != number:
-            if former is not None:
-                self._classes[former].discard(machine.name)
-            self._classes[number].add(machine)
-            self._class_of[machine.name] = number
-        self._count(machine, free)
+        class_index = min(int(free + AMOUNT_TOLERANCE), ROOM_CLASSES - 1)
+        previous = self._class_of.get(machine.name)
+        if previous != class_index:
+            if previous is not None:
+                self._classes[previous].discard(machine.name)
+            self._classes[class_index].add(machine)
+            self._class_of[machine.name] = class_index
+        self._count_free_cpus(machine, free)
 
     def discard(self, name: str) -> None:
         """The machine is full, or may be given no work."""
-        number = self._class_of.pop(name, None)
-        if number is not None:
-            self._classes[number].discard(name)
-            self._uncount(name)
+        class_index = self._class_of.pop(name, None)
+        if class_index is not None:
+            self._classes[class_index].discard(name)
+            self._uncount_free_cpus(name)
 
-    def _count(self, machine: Machine, free: float) -> None:
+    def _count_free_cpus(self, machine: Machine, free: float) -> None:
         if machine.spot:
             return
-        self._uncount(machine.name)
-        amount = round(free * _MICRO)
+        self._uncount_free_cpus(machine.name)
+        amount = round(free * _MICROS_PER_CPU)
         self._counted[machine.name] = machine.zone, amount
-        self._ordinary[machine.zone] = self._ordinary.get(machine.zone, 0) + amount
+        self._on_demand[machine.zone] = self._on_demand.get(machine.zone, 0) + amount
 
-    def _uncount(self, name: str) -> None:
+    def _uncount_free_cpus(self, name: str) -> None:
         zone, amount = self._counted.pop(name, ("", 0))
         if amount:
-            self._ordinary[zone] -= amount
-            if not self._ordinary[zone]:
-                del self._ordinary[zone]
+            self._on_demand[zone] -= amount
+            if not self._on_demand[zone]:
+                del self._on_demand[zone]
 
-    def ordinary_cpus(self) -> dict[str, float]:
+    def on_demand_cpus(self) -> dict[str, float]:
         """CPUs free on machines that won't be reclaimed, by zone."""
-        return {zone: amount / _MICRO for zone, amount in self._ordinary.items()}
+        return {zone: amount / _MICROS_PER_CPU for zone, amount in self._on_demand.items()}
 
     def with_room(self, cpus: float) -> MachineUnion:
         """Machines that may have so many CPUs free; those that certainly have fewer are left out."""
--- a/sorrelsill/workers/machine_table.py
+++ b/sorrelsill/workers/machine_table.py
@@ -33,7 +33,7 @@
     def remove(self, machine: Machine) -> None:
         """The machine is known no more."""
         del self.machines[machine.name]
-        self.index.forget(machine)
+        self.index.remove_machine(machine)
 
     def forget_pending(self, name: str) -> None:
         """Nothing is to be done any more for a machine of that name."""
--- a/sorrelsill/workers/reported_tasks.py
+++ b/sorrelsill/workers/reported_tasks.py
@@ -53,7 +53,7 @@
     if attempt.task_id != status.task_id:
         log_event(log, logging.ERROR, "invalid_task_in_heartbeat", machine=machine.name, error=status.task_id[:80])
         return None
-    cluster.attempts.enter(attempt)
+    cluster.attempts.add(attempt)
     if status.phase != TaskPhase.EXITED:
         adopt_found(cluster, attempt)
     return attempt
@@ -74,12 +74,12 @@
         return
     attempt.phase = phase
     if phase is TaskPhase.WAITING and attempt.spec is not None:
-        cluster.index.hold_image(machine, attempt.spec)  # it has its image, and waits for the rest of its gang
+        cluster.index.record_cached_image(machine, attempt.spec)  # it has its image, and waits for the rest of its gang
     if phase is TaskPhase.RUNNING and attempt.running_since is None:
         attempt.running_since = now
         log_attempt(log, "runs", attempt, after_bind_s=now - attempt.created_at)
         if attempt.spec is not None:
-            cluster.index.hold_image(machine, attempt.spec)
+            cluster.index.record_cached_image(machine, attempt.spec)
             cluster.pending_writes.record_due(attempt.job_id)
 
 
@@ -93,5 +93,5 @@
             continue  # its direct start may still be executed, so its absence proves nothing
         if attempt.confirmed or (is_heartbeat and (attempt.exited or attempt.stop_requested)):
             # Cleared, vanished, or never started and no longer wanted: this newer heartbeat proves it.
-            cluster.attempts.leave(attempt)
+            cluster.attempts.remove(attempt)
             cluster.unbind(attempt, now)
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -51,7 +51,7 @@
         if job.done.add(done_index):
             job.unrecorded_parts.add(done_index // constants.PART_TASKS)
             cluster.pending_writes.record_due(job.spec.job_id)
-            cluster.job_changed(job.spec.job_id)
+            cluster.mark_job_changed(job.spec.job_id)
 
 
 def _explain(cluster: ClusterRecords, job: Job, attempt: Attempt, status: TaskStatus, now: float) -> None:
--- a/sorrelsill/workers/team_usage.py
+++ b/sorrelsill/workers/team_usage.py
@@ -23,25 +23,25 @@
     """Per team, what attempts that are bound to machines take, and the most that they took in this term."""
 
     def __init__(self) -> None:
-        self._now: dict[str, Resources] = {}
+        self._current: dict[str, Resources] = {}
         self._highest: dict[str, Resources] = {}
 
-    def take(self, spec: JobSpec) -> None:
+    def add(self, spec: JobSpec) -> None:
         """A task of the job is bound."""
-        had = self.of(spec.team)
-        now = self._now[spec.team] = Resources(had.cpus + spec.cpus, had.gpus + spec.gpus)
+        before = self.of(spec.team)
+        now = self._current[spec.team] = Resources(before.cpus + spec.cpus, before.gpus + spec.gpus)
         highest = self.highest(spec.team)
         if now.cpus > highest.cpus or now.gpus > highest.gpus:
             self._highest[spec.team] = now.at_least(highest)
 
-    def give_back(self, spec: JobSpec) -> None:
+    def subtract(self, spec: JobSpec) -> None:
         """A task of the job is proved gone."""
-        had = self.of(spec.team)
-        self._now[spec.team] = Resources(max(0.0, had.cpus - spec.cpus), max(0.0, had.gpus - spec.gpus))
+        before = self.of(spec.team)
+        self._current[spec.team] = Resources(max(0.0, before.cpus - spec.cpus), max(0.0, before.gpus - spec.gpus))
 
     def of(self, team: str) -> Resources:
         """What the team's attempts take now."""
-        return self._now.get(team, NOTHING)
+        return self._current.get(team, NOTHING)
 
     def highest(self, team: str) -> Resources:
         """The most that they took at a time in this term."""
--- a/sorrelsill/workers/test_failures.py
+++ b/sorrelsill/workers/test_failures.py
@@ -20,7 +20,7 @@
     history = FailureHistory()
     for number in range(100):
         history.record_failure(f"m{number}", 1.0)
-    assert history.trials == 1
+    assert history.failure_bursts == 1
     assert history.next_trial_at == 1.0 + constants.START_BACKOFF_S
 
 
--- a/sorrelsill/workers/test_machine_sets.py
+++ b/sorrelsill/workers/test_machine_sets.py
@@ -35,7 +35,7 @@
     for _ in range(500):
         one = rng.choice(machines)
         one.cpus = rng.choice([0.0, 0.3, 100.5, 150.0, 198.9, 199.9999999, 200.0])
-        free.put(one)
+        free.update(one)
         if rng.random() < 0.2:
             free.discard(one.name)
     known = [each for each in machines if each.name in free]
@@ -45,7 +45,7 @@
         # Sorted by whole CPUs up to the number of classes: what is offered in vain lacks less than one.
         assert all(each.capacity_cpus - each.cpus > min(cpus, 64.0) - 1.0 for each in known if each.name in offered)
     by_zone = {z: sum(m.capacity_cpus - m.cpus for m in known if m.zone == z and not m.spot) for z in "ab"}
-    assert {z: round(cpus, 3) for z, cpus in free.ordinary_cpus().items()} == {
+    assert {z: round(cpus, 3) for z, cpus in free.on_demand_cpus().items()} == {
         z: round(cpus, 3) for z, cpus in by_zone.items() if cpus
     }
 
@@ -53,7 +53,7 @@
 def test_a_union_reaches_each_machine_once() -> None:
     free = FreeMachines()
     for number in range(30):
-        free.put(machine(f"m{number}", 16.0, used=float(number % 16)))
+        free.update(machine(f"m{number}", 16.0, used=float(number % 16)))
     union = free.with_room(4.0)
     names = [union[at].name for at in range(len(union))]
     assert len(names) == len(set(names)) == sum(1 for number in range(30) if number % 16 <= 12)
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -351,7 +351,7 @@
     kind = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 5.0, ("a", "b"))
     cluster = ClusterState(1, 0.0, Catalog({"c8": kind}), 11.0, 3.0)
     for number in range(4):
-        machine = cluster.machine(f"m-{number}", "c8", "ab"[number % 2], False, 0.0)
+        machine = cluster.get_or_add_machine(f"m-{number}", "c8", "ab"[number % 2], False, 0.0)
         machine.token_acknowledged = machine.reachable = machine.registered = True
     aims = [Objective("wait", "ceremony", 8.0), Objective("deadline", "w", times=1.0)]
     scheduler = Scheduler([Team("red")], aims, random.Random(1), constants.CANDIDATE_SAMPLE)
@@ -365,7 +365,7 @@
     scheduler.run_cycle(cluster, 2.0, lambda: 0.0, 1.0)
     assert len(second.bound) == 4
     for attempt in list(second.bound.values()):
-        cluster.attempts.leave(attempt)
+        cluster.attempts.remove(attempt)
         cluster.unbind(attempt, 3.0)
     cluster.end_job("run-h")
     late = cluster.add_job(parse_spec(job("run-b", shards=4)), TaskSet(4), 5, False, 3.0, [])
