--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -1,10 +1,14 @@
-"""Workers: heartbeats, incarnations, commands, expired leases, and the leader's view of what may be running where.
+"""The leader's view of the workers: heartbeats, incarnations, commands, leases, and which tasks run where.
 
-From the bottom to the top: the wire's types (`messages`, `errors`); machines, attempts and jobs with their indices;
-the term's tables (`job_table`, `machine_table`, `allocations`, `term_counters`) and the records over them
-(`cluster_records`), which keep them consistent; what is done on events (`heartbeats`, `reported_tasks`, `task_exits`,
-`adoption`, `loss`, `stopping`, `gangs`, `commands`); `cluster_state`, which puts these behind one type; and the modules
-with I/O: `command_sender` and `machine_probes`, over `worker_connections`."""
+The layers, from lowest to highest:
+
+- message types and errors: `messages`, `errors`;
+- machines, attempts and jobs, with their indices;
+- the tables of one term: `job_table`, `machine_table`, `allocations`, `term_counters`;
+- `cluster_records`, which keeps these tables consistent with each other;
+- event handlers: `heartbeats`, `reported_tasks`, `task_exits`, `adoption`, `loss`, `stopping`, `gangs`, `commands`;
+- `cluster_state`, the single type through which the rest of the service uses all of these;
+- the modules that do I/O: `command_sender` and `machine_probes`, which use `worker_connections`."""
 
 from sorrelsill.workers.cluster_state import ClusterState
 from sorrelsill.workers.command_sender import CallLimits, CommandSender
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -1,5 +1,7 @@
-"""The leader's view of the cluster, as the rest of the service uses it: the records, and what is done to them when a
-heartbeat comes, a lease expires, a task has to stop or a task of an earlier leader is found. Pure: time is given."""
+"""The leader's view of the cluster, as the rest of the service uses it.
+
+Adds event handling to the records: heartbeats, expired leases, tasks to be stopped, and tasks found that an earlier
+leader started. No I/O; the caller passes the current time."""
 
 from __future__ import annotations
 
@@ -12,12 +14,12 @@
 
 
 class ClusterState(ClusterRecords):
-    """One term's view of jobs, machines and attempts."""
+    """The jobs, machines and attempts of one term, with the handlers of events."""
 
     def on_heartbeat(
         self, heartbeat: WorkerHeartbeat, now: float, acting: bool = True, jobs_fresh: bool = True
     ) -> list[Command] | None:
-        """Take a heartbeat in; the commands for the answer, or None if it must not be answered with 200.
+        """Process a heartbeat. Returns the commands for the response, or None if it must not be answered with 200.
 
         Raises FencedError if the worker has seen a higher fencing token."""
         commands = heartbeats.on_heartbeat(self, heartbeat, now, acting, jobs_fresh)
@@ -25,31 +27,33 @@
         return commands
 
     def on_command_response(self, heartbeat: WorkerHeartbeat, now: float) -> None:
-        """Take in a worker's state out of its answer to a direct call."""
+        """Process the worker's state that its response to a direct call contains."""
         heartbeats.on_command_response(self, heartbeat, now)
         self._watch_if_new(heartbeat.machine)
 
     def _watch_if_new(self, name: str) -> None:
-        """A message moves the machine's next check away, unless it makes the machine usable (which sets the timer
-        anew), so only a machine without a timer needs one."""
+        """Set the machine's lease timer if it has none.
+
+        An existing timer need not change: a message either postpones the machine's next check or makes the machine
+        usable, which resets the timer anyway."""
         machine = self.machines.get(name)
         if machine is not None:
             self.leases.watch_if_new(machine)
 
     def expire_leases(self, now: float) -> list[Machine]:
-        """Declare lost what has been silent for longer than the workers' lease. Returns those machines."""
+        """Declare machines lost that have been silent for longer than the workers' lease, and return them."""
         return loss.expire_leases(self, now)
 
     def hears_no_worker(self, now: float, limit: float) -> bool:
-        """Whether workers were heard in this term and all of them have been silent for `limit` seconds."""
+        """Whether workers sent heartbeats in this term, but none within the last `limit` seconds."""
         return loss.hears_no_worker(self, now, limit)
 
     def drain(self, now: float) -> None:
-        """Move work off machines that are about to be reclaimed."""
+        """Stop tasks on machines that the cloud provider is about to reclaim."""
         loss.drain(self, now)
 
     def stop(self, attempt: Attempt, reason: str, immediately: bool = False) -> None:
-        """Stop a task to make room or to drain; the tasks of a gang are stopped together."""
+        """Stop a task to free capacity or to drain its machine; the tasks of a gang are stopped together."""
         stopping.stop(self, attempt, reason, immediately)
 
     def add_job(
@@ -62,7 +66,7 @@
         notes: list[str],
         accepted: float = 0.0,
     ) -> Job:
-        """Enter a live job; tasks of it that are on machines already are adopted."""
+        """Add a live job, and adopt its tasks that are already on machines."""
         job = Job(spec, done, rev, from_earlier_term, submitted, notes)
         job.accepted = accepted
         self.insert_job(job)
@@ -70,7 +74,7 @@
         return job
 
     def add_ended_job(self, spec: JobSpec, done: TaskSet) -> None:
-        """Enter a job that was over before this term; its tasks on machines are stopped, and count until they are
-        gone."""
+        """Add a job that ended before this term. Its tasks on machines are stopped, and count toward its team's usage
+        until they are gone."""
         ended = self.failover.add_ended_job(spec, done)
         adoption.adopt_tasks_of_ended(self, ended)
--- a/sorrelsill/workers/errors.py
+++ b/sorrelsill/workers/errors.py
@@ -1,18 +1,18 @@
-"""Errors of this package."""
+"""Exceptions raised by this package."""
 
 from __future__ import annotations
 
 
 class WorkersError(Exception):
-    """Base class of the errors that this package raises."""
+    """Base class of this package's exceptions."""
 
 
 class InvalidHeartbeatError(WorkersError):
-    """The body is not a worker's heartbeat."""
+    """A request body could not be parsed as a worker's heartbeat."""
 
 
 class FencedError(WorkersError):
-    """A worker has seen a higher fencing token than ours: a later leader exists."""
+    """A worker has seen a higher fencing token than ours, so a newer leader exists."""
 
     def __init__(self, fencing_token: int) -> None:
         super().__init__(fencing_token)
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -1,4 +1,4 @@
-"""A live job as the leader sees it: which of its tasks are done, bound, or still to be started."""
+"""The leader's view of a live job: which of its tasks are done, bound, or still to be started."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Job:
-    """A live job as the leader sees it."""
+    """The state of a live job in this term."""
 
     __slots__ = (
         "accepted",
@@ -42,36 +42,36 @@
         self.spec = spec
         self.done = done
         self.rev = rev
-        self.from_earlier_term = from_earlier_term  # an earlier leader may have started tasks of it
+        self.from_earlier_term = from_earlier_term  # an earlier leader may have started some of its tasks
         self.submitted = now
-        self.last_activity_at = now  # when a task of it was last bound or ended
-        self.accepted = 0.0  # time of day of the submission, as recorded
+        self.last_activity_at = now  # when one of its tasks was last bound or ended
+        self.accepted = 0.0  # wall-clock time of the submission, from the job record
         self.notes = notes
         self.bound: dict[int, Attempt] = {}
         self.zones: dict[str, int] = {}
-        self.cursor = 0
+        self.cursor = 0  # every task below this index has been done or bound at some time
         self.requeued: list[int] = []
         self.failures = FailureHistory(succeeded=done.count > 0)
         self.avoid: dict[str, float] = {}
-        # Of its finished tasks, `PART_SHARDS` to a part, the parts that are not recorded yet.
+        # Indices of the parts of the finished-task set that are not stored yet; a part covers PART_TASKS tasks.
         self.unrecorded_parts: set[int] = set()
-        self.chunked = spec.task_count > constants.CHUNK_TASKS  # its finished tasks are kept beside its record
-        self.recorded_running = 0  # tasks that run, as the record says
+        self.chunked = spec.task_count > constants.CHUNK_TASKS  # its finished tasks are stored in keys of their own
+        self.recorded_running = 0  # running tasks according to the stored record
         self.recorded_at = now
         self.order = 0
 
     @property
     def waiting(self) -> int:
-        """Tasks that are neither done nor bound."""
+        """The number of tasks that are neither done nor bound; too low if some tasks are both."""
         return self.spec.task_count - self.done.count - len(self.bound)
 
     @property
     def unobserved_count(self) -> int:
-        """Tasks neither done nor bound; unlike `waiting` exact for those that are both."""
+        """The number of tasks neither done nor bound; unlike `waiting`, exact even if some tasks are both."""
         return self.spec.task_count - self.done.count - sum(1 for index in self.bound if index not in self.done)
 
     def bind(self, attempt: Attempt) -> None:
-        """The attempt is the one of its task from now on; if there was another, that loses its place."""
+        """Make the attempt the current one of its task, replacing any other."""
         former = self.bound.get(attempt.index)
         if former is not None:
             self._remove_from_zone(former)
@@ -80,7 +80,7 @@
         self.zones[zone] = self.zones.get(zone, 0) + 1
 
     def unbind(self, attempt: Attempt, now: float, requeue: bool) -> None:
-        """The attempt bound for its task is gone; with `requeue` the task is to be started again unless it is done."""
+        """Remove an attempt that is gone; with `requeue`, the task is queued to be started again unless it is done."""
         del self.bound[attempt.index]
         self._remove_from_zone(attempt)
         self.last_activity_at = now
@@ -92,7 +92,7 @@
         self.zones[zone] = self.zones.get(zone, 1) - 1
 
     def next_task(self) -> int | None:
-        """The lowest task that is neither done nor bound; it stays queued until it is bound."""
+        """The lowest requeued task or else the next one not started yet; it stays queued until it is bound."""
         while self.requeued:
             index = self.requeued[0]
             if index in self.done or index in self.bound:
@@ -106,16 +106,16 @@
         return None
 
     def new_starts_allowed(self) -> int:
-        """How many more of its tasks may be started now: few, if it seems to fail wherever it is tried."""
+        """How many more of its tasks may be started now; few if the job probably fails on every machine."""
         bound = len(self.bound)
         return constants.TRIAL_TASKS - bound if self.failures.is_suspect(bound) else self.spec.task_count
 
     def running(self) -> int:
-        """Tasks that make progress or save it. A task of a gang that waits for the others does not run."""
+        """The number of tasks that run or write a checkpoint; a gang's task that waits for its peers is not counted."""
         return sum(1 for a in self.bound.values() if a.phase in (TaskPhase.RUNNING, TaskPhase.CHECKPOINTING))
 
     def note(self, text: str) -> None:
-        """Tell its users why tasks stopped or wait; the newest notes are kept."""
+        """Add a note for its users on why tasks stopped or wait; only the newest notes are kept."""
         if not self.notes or self.notes[-1] != text:
             self.notes.append(text)
             del self.notes[: -constants.REASONS_KEPT]
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -1,7 +1,7 @@
-"""A machine as the leader knows it, and the attempts that are bound to it: the two refer to each other.
+"""The leader's view of a machine and of the attempts bound to it; one module, since the two refer to each other.
 
-A machine has its incarnation, what is bound to it, and whether it may be given work; an attempt is followed from the
-binding to the proof that it is gone."""
+A `Machine` holds its incarnation, its bound attempts, and whether new tasks may be placed on it. An `Attempt` is
+tracked from its binding until it is proved to be gone."""
 
 from __future__ import annotations
 
@@ -16,13 +16,15 @@
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
 
-AttemptKey = tuple[str, int]  # task and attempt number; a plain tuple, as each heartbeat looks up many
+AttemptKey = tuple[str, int]  # (task id, attempt number); a plain tuple for speed, since each heartbeat looks up many
 _T = TypeVar("_T")
 
 
 class _UsabilityField(Generic[_T]):
-    """A field on which it depends whether a machine may be given work: a change of it updates the machine's `usable`,
-    and through it the indices. Guards against a place in the code that changes the field and forgets the indices."""
+    """Descriptor for a field that determines whether new tasks may be placed on a machine.
+
+    Assigning a different value recomputes the machine's `usable` and updates the indices, so no code can change such a
+    field and leave the indices stale."""
 
     def __init__(self, default: _T) -> None:
         self.default = default
@@ -31,8 +33,8 @@
         self._name = name
 
     if TYPE_CHECKING:
-        # There is none: a descriptor that only sets leaves reading to the instance, which costs no call. These fields
-        # are read thousands of times a second, for each heartbeat.
+        # For the type checker only. Without __get__, a read goes straight to the instance's __dict__ and costs no
+        # function call; each heartbeat reads these fields, thousands of times a second.
         @overload
         def __get__(self, machine: None, owner: type) -> _UsabilityField[_T]: ...
 
@@ -48,7 +50,7 @@
 
 
 def _ignore(machine: Machine) -> None:
-    """For machines that stand in no index."""
+    """Default callback, for machines that are in no index."""
 
 
 @dataclass(slots=True, eq=False)
@@ -59,22 +61,23 @@
     index: int
     attempt_number: int
     machine: Machine
-    spec: JobSpec | None  # None: a task of a job that is over or unknown; it is only to be stopped
+    spec: JobSpec | None  # None if the job has ended or is unknown: the task can only be stopped
     created_at: float
     phase: TaskPhase = TaskPhase.SENT
-    reported_phase: str = ""  # the worker's word for it: the same word again tells nothing new
-    confirmed: bool = False  # the worker has named it
-    verified: bool = False  # on its machine for certain, and not a stale copy out of a late heartbeat
+    reported_phase: str = ""  # the phase as last reported by the worker, to skip repeated reports
+    confirmed: bool = False  # the worker has reported it
+    verified: bool = False  # certainly on its machine, not read from a stale, delayed heartbeat
     stop_requested: bool = False
     grace_period_s: float = 0.0
     running_since: float | None = None
     stop_reason: str = ""
     exited: bool = False
-    unanswered_starts: int = 0  # direct starts of it that are unanswered: they may still be executed
+    unanswered_starts: int = 0  # start commands sent directly and not answered; the worker may still execute them
     start_sent: bool = False
     stop_sent: bool = False
     clearable: bool = False
-    clear_after: float = float("-inf")  # a repeat of its direct start would run it again once it is cleared
+    # Not to be cleared earlier: a delayed duplicate of its direct start command would then run the task again.
+    clear_after: float = float("-inf")
     task_id: str = ""
 
     def __post_init__(self) -> None:
@@ -82,33 +85,35 @@
 
     @property
     def key(self) -> AttemptKey:
-        """Its task and attempt number, which no other attempt shares."""
+        """The task id and attempt number, which identify the attempt uniquely."""
         return self.task_id, self.attempt_number
 
 
 class Machine:
-    """A machine and what is bound to it."""
+    """A machine, its state as last reported, and the attempts bound to it."""
 
-    # It has shown our term as its highest fencing token: no older leader can command it.
+    # The worker has reported our term as its highest fencing token, so it rejects commands of older leaders.
     token_acknowledged = _UsabilityField(False)
-    reachable = _UsabilityField(False)  # has shown in this incarnation that answers or commands reach it
+    reachable = _UsabilityField(False)  # proved in this incarnation that responses or commands reach it
     registered = _UsabilityField(False)  # its registry entry is committed
-    lease_expired = _UsabilityField(False)  # its incarnation's lease has run out; only a later incarnation is believed
-    # It may hang or be cut off: no new work before its next heartbeat.
+    lease_expired = _UsabilityField(False)  # its incarnation's lease has expired; only a later incarnation is accepted
+    # The worker may hang or be partitioned: no new tasks before its next heartbeat.
     heartbeat_overdue = _UsabilityField(False)
     draining = _UsabilityField(False)
     returning = _UsabilityField(False)
     quarantined = _UsabilityField(False)
-    # It holds tasks of jobs that are not known: how much room they take can't be told.
+    # It runs tasks of unknown jobs, so its free capacity is unknown.
     holds_tasks_of_unknown_size = _UsabilityField(False)
-    spot_reclaim_at: _UsabilityField[float | None] = _UsabilityField(None)  # when the cloud reclaims it
+    spot_reclaim_at: _UsabilityField[float | None] = _UsabilityField(
+        None
+    )  # when the cloud provider reclaims the spot instance
 
     def __init__(
         self, name: str, idle_since: float = 0.0, on_usable_changed: Callable[[Machine], None] = _ignore
     ) -> None:
         self.name = name
         self._on_usable_changed = on_usable_changed
-        self.usable = False  # whether it may be given work
+        self.usable = False  # whether new tasks may be placed on it
         self.__dict__.update(_DEFAULTS)
         self.machine_type = ""
         self.zone = ""
@@ -116,31 +121,32 @@
         self.addr = ""
         self.incarnation = 0
         self.sequence_number = -1
-        # Of the last heartbeat; answers to direct calls are numbered in the same sequence.
+        # Of the last heartbeat; responses to direct calls are numbered in the same sequence.
         self.heartbeat_sequence_number = -1
         self.has_sent_heartbeat = False  # in this term
-        # When its last heartbeat came; before its first one in this term, when it was first met.
+        # Time of its last heartbeat, or, before the first one of this term, when it first became known.
         self.last_seen_at = float("-inf")
-        self.reachability_proved_at = float("-inf")  # when it last showed that answers or commands reach it
-        # Our fencing token may be known to it from an earlier incarnation: showing it does not prove that it hears us.
+        self.reachability_proved_at = float("-inf")  # when it last proved that responses or commands reach it
+        # It may know our fencing token from an earlier incarnation; reporting it then does not prove that our messages
+        # reach it.
         self.token_may_be_inherited = False
-        # Receipt of the first heartbeat since its incarnation has to acknowledge our token.
+        # Time of the first heartbeat since which its incarnation still has to acknowledge our fencing token.
         self.unacknowledged_since: float | None = None
-        self.lease_renewed_at: float | None = None  # receipt of the last heartbeat that we answered
-        # Its attempts are on it for certain: it named them with our term as its highest fencing token.
+        self.lease_renewed_at: float | None = None  # receipt time of the last heartbeat that we answered
+        # Its attempts certainly run on it: it reported them with our term as its highest fencing token.
         self.attempts_verified = False
         self.attempts: dict[AttemptKey, Attempt] = {}
-        self.bound_count = 0  # attempts that hold room on it
-        self.unknown_tasks = 0  # tasks on it of jobs that are over or unknown, not yet gone
-        self.cpus = self.gpus = self.memory_gb = 0.0  # in use
+        self.bound_count = 0  # attempts that have resources allocated on it
+        self.unknown_tasks = 0  # tasks of ended or unknown jobs that are still on it
+        self.cpus = self.gpus = self.memory_gb = 0.0  # allocated
         self.capacity_cpus = self.capacity_gpus = self.capacity_memory_gb = self.cache_gb = 0.0
         self.images: OrderedDict[str, float] = OrderedDict()
-        self.fetching: set[str] = set()  # images that tasks on it wait for
+        self.fetching: set[str] = set()  # images being pulled for tasks on it
         self.idle_since = idle_since
-        self.blamed_by_jobs: set[str] = set()  # jobs that failed here and succeeded elsewhere
+        self.blamed_by_jobs: set[str] = set()  # jobs that failed here and succeeded on another machine
 
     def update_usable(self) -> None:
-        """Work out anew whether the machine may be given work, and tell the indices of a change."""
+        """Recompute whether new tasks may be placed on the machine, and report a change to the indices."""
         usable = (
             self.token_acknowledged
             and self.reachable
@@ -158,7 +164,7 @@
             self._on_usable_changed(self)
 
     def has_room_for(self, spec: JobSpec) -> bool:
-        """Whether one more task of the job fits now."""
+        """Whether one more task of the job fits into the free capacity."""
         return (
             self.capacity_cpus - self.cpus + AMOUNT_TOLERANCE >= spec.cpus
             and self.capacity_memory_gb - self.memory_gb + AMOUNT_TOLERANCE >= spec.memory_gb
@@ -166,7 +172,7 @@
         )
 
     def large_enough_for(self, spec: JobSpec) -> bool:
-        """Whether a task would fit if the machine were empty."""
+        """Whether a task of the job would fit if the machine were empty."""
         return (
             self.capacity_cpus + AMOUNT_TOLERANCE >= spec.cpus
             and self.capacity_memory_gb + AMOUNT_TOLERANCE >= spec.memory_gb
@@ -174,7 +180,7 @@
         )
 
     def allows(self, spec: JobSpec) -> bool:
-        """Type, zone and kind as the job demands; the worker checks none of these."""
+        """Whether machine type, zone and spot status meet the job's constraints; the worker checks none of these."""
         return (
             (spec.machine_types is None or self.machine_type in spec.machine_types)
             and (spec.zone is None or self.zone == spec.zone)
@@ -182,7 +188,9 @@
         )
 
     def record_cached_image(self, image: str, size: float) -> list[str]:
-        """Guess the worker's cache: the most recently used images that fit. Returns those evicted."""
+        """Record a use of the image in the estimate of the worker's image cache, an LRU cache of `cache_gb`.
+
+        Returns the images evicted from the estimate."""
         self.fetching.discard(image)
         self.images[image] = size
         self.images.move_to_end(image)
