--- a/sorrelsill/workers/allocations.py
+++ b/sorrelsill/workers/allocations.py
@@ -1,4 +1,4 @@
-"""Resources allocated to bound attempts: on each machine, and for each team."""
+"""Resources allocated to bound attempts, per machine and per team."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Allocations:
-    """Every change of what is in use on a machine goes through here, so that machine, team and index agree."""
+    """All changes of the resources allocated on machines, which keep machine, team usage and index consistent."""
 
     def __init__(self, index: MachineIndex) -> None:
         self.by_team = BoundUsage()
         self._index = index
 
     def allocate(self, machine: Machine, spec: JobSpec) -> None:
-        """One more task of the job holds room on the machine."""
+        """Allocate the resources of one task of the job on the machine."""
         machine.bound_count += 1
         machine.cpus += spec.cpus
         machine.gpus += spec.gpus
@@ -25,7 +25,7 @@
         self._index.room_changed(machine)
 
     def release(self, machine: Machine, spec: JobSpec) -> None:
-        """One task less."""
+        """Release the resources of one task of the job on the machine."""
         machine.bound_count -= 1
         machine.cpus = max(0.0, machine.cpus - spec.cpus)
         machine.gpus = max(0.0, machine.gpus - spec.gpus)
@@ -34,6 +34,6 @@
         self._index.room_changed(machine)
 
     def clear(self, machine: Machine) -> None:
-        """Nothing is left on the machine: what rounding has left goes as well."""
+        """Reset the usage of a machine without attempts to zero, which removes remaining rounding errors."""
         machine.cpus = machine.gpus = machine.memory_gb = 0.0
         self._index.room_changed(machine)
--- a/sorrelsill/workers/attempt_events.py
+++ b/sorrelsill/workers/attempt_events.py
@@ -1,4 +1,4 @@
-"""Structured log lines about attempts, with the same fields everywhere."""
+"""Structured log events about attempts, all with the same base fields."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def log_attempt(log: logging.Logger, event: str, attempt: Attempt, /, **fields: object) -> None:
-    """Log at DEBUG what happens to an attempt."""
+    """Log an event of an attempt at level DEBUG."""
     if log.isEnabledFor(logging.DEBUG):
         log_event(
             log,
--- a/sorrelsill/workers/attempt_index.py
+++ b/sorrelsill/workers/attempt_index.py
@@ -1,4 +1,4 @@
-"""All attempts that are on machines as far as is known, by job, and machines with tasks of jobs that are not known."""
+"""Index of all attempts known to be on machines, by job, and of the machines with tasks of unknown jobs."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class AttemptIndex:
-    """Follows what is entered on machines and leaves them."""
+    """Updated whenever an attempt is added to a machine or removed from it."""
 
     def __init__(self) -> None:
-        # In the order in which they were entered, exited ones too. Guards against simulations of one seed that differ:
-        # a set goes by where its members lie in memory.
+        # Exited attempts included, in order of insertion. A set would iterate in order of memory addresses, so two
+        # simulations with the same seed would differ.
         self.by_job: dict[str, dict[Attempt, None]] = {}
-        self.machines_with_unknown_tasks: dict[str, Machine] = {}  # with tasks of jobs that are not known
+        self.machines_with_unknown_tasks: dict[str, Machine] = {}  # machines with tasks of unknown jobs
 
     def add(self, attempt: Attempt) -> None:
-        """An attempt is on a machine, as far as is known."""
+        """Add an attempt, both here and to its machine."""
         attempt.machine.attempts[attempt.key] = attempt
         self.by_job.setdefault(attempt.job_id, {})[attempt] = None
         self.count_unknown_task(attempt, 1)
 
     def remove(self, attempt: Attempt) -> None:
-        """It is on no machine any more, nor named in heartbeats."""
+        """Remove an attempt that is no longer on its machine, both here and from the machine."""
         del attempt.machine.attempts[attempt.key]
         job_attempts = self.by_job.get(attempt.job_id)
         if job_attempts is not None:
@@ -35,7 +35,9 @@
             self.count_unknown_task(attempt, -1)
 
     def count_unknown_task(self, attempt: Attempt, change: int) -> None:
-        """Tasks of jobs that are not known still run, and may be of any team."""
+        """Adjust the number of live tasks of unknown jobs on the attempt's machine; such tasks may belong to any team.
+
+        Without effect if the attempt's job is known."""
         if attempt.spec is not None:
             return
         machine = attempt.machine
@@ -47,13 +49,13 @@
             machine.holds_tasks_of_unknown_size = False
 
     def of_job(self, job_id: str) -> list[Attempt]:
-        """All attempts of a job that are on machines, exited ones too."""
+        """All attempts of a job that are on machines, including exited ones."""
         return list(self.by_job.get(job_id, ()))
 
     def alive(self, job_id: str) -> bool:
-        """Whether any attempt of the job may still be on a machine, one too many included."""
+        """Whether any attempt of the job may still run, including surplus attempts of the same task."""
         return any(not attempt.exited for attempt in self.by_job.get(job_id, ()))
 
     def unrecorded(self, job_id: str) -> list[Attempt]:
-        """Exited attempts whose result the next write of the record will hold."""
+        """Exited attempts whose results are to be in the next write of the job's record."""
         return [a for a in self.by_job.get(job_id, ()) if a.exited and not a.clearable]
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -1,11 +1,18 @@
-"""The leader's view of the cluster: jobs, machines, and the attempts bound to machines. Pure: no I/O, time is given.
+"""The leader's view of the cluster: jobs, machines, and the attempts bound to machines. No I/O; the caller passes the
+current time.
 
-The rule behind everything: an attempt is bound to (machine, incarnation) from before its start is first sent
-until it is *proved* gone. Proofs are: a heartbeat names it as exited; a heartbeat shows a later incarnation;
-a heartbeat lacks it and its start went only into answers to earlier heartbeats (which a worker
-executes before its next heartbeat or drops for good); the machine was returned or is listed as failed; or the
-worker's lease has expired since the last heartbeat that was answered. Silence short of that, or absence from
-the machine list, proves nothing. Bound attempts count toward team limits, zones and the machine's room."""
+The central invariant: an attempt is bound to (machine, incarnation) from before its start command is first sent until
+it is *proved* gone. Any of these is a proof:
+
+- a heartbeat reports it as exited;
+- a heartbeat shows a later incarnation;
+- a heartbeat lacks it, and its start command was sent only in responses to earlier heartbeats: a worker executes such
+  a command before its next heartbeat or never;
+- the machine was returned or is listed as failed;
+- the worker's lease has expired since the last heartbeat that was answered.
+
+A shorter silence, or absence from the machine list, proves nothing. Bound attempts count toward team limits, zones and
+the resources allocated on the machine."""
 
 from __future__ import annotations
 
@@ -32,7 +39,7 @@
 
 
 class ClusterRecords:
-    """One term's jobs, machines and attempts: the changes that concern more than one of them."""
+    """The jobs, machines and attempts of one term; makes the changes that involve more than one of them."""
 
     def __init__(
         self,
@@ -48,7 +55,9 @@
         self.started = now
         self.catalog = catalog
         self.loss_s = loss_s
-        self.peer_s = peer_s  # within this a gang's tasks notice that one is gone, and have to be stopped to checkpoint
+        # Time in seconds within which a gang's tasks notice that one of them is gone, and within which all of them
+        # have to be told to stop for a checkpoint to succeed.
+        self.peer_s = peer_s
         self.failover = FailoverReconciliation()
         self.leases = LeaseMonitor(now, loss_s, validity_s, overdue_s, self.failover)
         self.counters = TermCounters(term)
@@ -66,12 +75,12 @@
         self.bound_usage = self._allocations.by_team
         self.tombstones = Tombstones()
         self.pending_writes = PendingWrites()
-        self.last_heartbeat_at: float | None = None  # receipt of the last heartbeat of any worker in this term
+        self.last_heartbeat_at: float | None = None  # receipt time of the term's last heartbeat from any worker
         self.wake_scheduler = True
 
     @property
     def renewed_by_others(self) -> float:
-        """Up to when leases may have been renewed by any node."""
+        """The time until which any node may have renewed leases."""
         return self.leases.renewed_by_others
 
     @renewed_by_others.setter
@@ -79,11 +88,11 @@
         self.leases.renewed_by_others = until
 
     def team_use(self, team: str) -> TeamUse:
-        """All that may be running for a team. The one count that its limit is held against."""
+        """All resources that a team may be using. Its limit is checked against this figure only."""
         return TeamUse(self.bound_usage.of(team), self.unobserved(team))
 
     def unobserved(self, team: str) -> Resources:
-        """What tasks of a team may be using that are not bound here."""
+        """The resources that a team's tasks may be using without being bound in this term."""
         return self.failover.unobserved(
             team, self.jobs, self.catalog, self.attempts.machines_with_unknown_tasks.values()
         )
@@ -91,7 +100,7 @@
     # --- jobs ---
 
     def insert_job(self, job: Job) -> None:
-        """Enter a live job."""
+        """Insert a live job."""
         spec = job.spec
         job.order = self.counters.next_job_order()
         self._job_table.add(job)
@@ -100,7 +109,7 @@
         self.wake_scheduler = True
 
     def end_job(self, job_id: str) -> None:
-        """The job is over, as committed: none of its tasks may start, all have to go."""
+        """Remove a job whose end is committed: none of its tasks may start, and all that are left are stopped."""
         job = self._job_table.remove(job_id)
         self.pending_writes.record_not_due(job_id)
         if job is None:
@@ -118,21 +127,21 @@
         self.wake_scheduler = True
 
     def mark_job_changed(self, job_id: str) -> None:
-        """Called wherever a job comes or ends, or what is done or bound of it changes."""
+        """Record that a job was added or ended, or that its done or bound tasks changed."""
         self._job_table.mark_changed(job_id)
 
     def take_changed_jobs(self) -> list[str]:
-        """The jobs that have changed since this was last called; only the scheduler calls it."""
+        """Return the jobs changed since the last call. Only the scheduler may call it, as the list is cleared."""
         return self._job_table.take_changed()
 
     # --- binding ---
 
     def next_attempt_number(self) -> int:
-        """Grows within the term and across terms, so no attempt number is ever used twice for a task."""
+        """A number larger than all before, in this term and earlier ones, so none is used twice for a task."""
         return self.counters.next_attempt_number()
 
     def bind(self, job: Job, index: int, machine: Machine, now: float, attempt_number: int | None = None) -> Attempt:
-        """Bind a task to a machine; a gang's tasks are given the attempt number by which they find each other."""
+        """Bind a task to a machine. A gang's tasks share one attempt number, by which they find each other."""
         attempt = Attempt(job.spec.job_id, index, attempt_number or self.next_attempt_number(), machine, job.spec, now)
         attempt.verified = True
         self._attach(attempt, job)
@@ -153,7 +162,7 @@
         return attempt
 
     def _attach(self, attempt: Attempt, job: Job) -> None:
-        """Take room, limits and zones into account; `attempt.spec` is set already."""
+        """Record the attempt on its machine and for its team, job and zone; `attempt.spec` must be set."""
         self.attempts.add(attempt)
         self.allocate_resources(attempt)
         if attempt.index not in job.bound:
@@ -161,18 +170,18 @@
             self.mark_job_changed(attempt.job_id)
 
     def allocate_resources(self, attempt: Attempt) -> None:
-        """Count an attempt whose size is known, on its machine and for its team."""
+        """Count an attempt of a known job toward the usage of its machine and team."""
         assert attempt.spec is not None
         self._allocations.allocate(attempt.machine, attempt.spec)
 
     def unbind(self, attempt: Attempt, now: float, requeue: bool = True) -> None:
-        """The attempt is proved gone: give back what it held."""
+        """Release everything held by an attempt that is proved gone."""
         machine, spec = attempt.machine, attempt.spec
         if spec is None:
             return
         attempt.spec = None
         if self.failover.unconfirmed:
-            self.failover.recount()  # it may have been a stale copy, and the true one not observed
+            self.failover.recount()  # it may come from a stale message while the real one is unobserved
         self._allocations.release(machine, spec)
         ended = self.failover.ended.get(spec.job_id)
         if ended is not None and not attempt.verified:
@@ -188,11 +197,11 @@
         self.wake_scheduler = True
 
     def gang_headroom_cpus(self, classes: Iterable[str]) -> float:
-        """CPUs for one more gang of each of these classes, as large as the largest seen."""
+        """CPUs needed for one more gang of each of these classes, as large as the largest one seen."""
         return self.largest_gangs.headroom_cpus(classes)
 
     def release_all(self, machine: Machine, now: float, reason: str) -> None:
-        """All that was on the machine is proved gone."""
+        """Release all attempts of the machine, which are proved gone."""
         for attempt in list(machine.attempts.values()):
             job = self.jobs.get(attempt.job_id)
             if job is not None and not attempt.exited and job.bound.get(attempt.index) is attempt:
@@ -204,14 +213,14 @@
     # --- machines ---
 
     def set_catalog(self, catalog: Catalog) -> None:
-        """Machine types, and so the capacities of machines, are known anew."""
+        """Replace the catalog of machine types, and update the capacities of all machines by it."""
         self.catalog = catalog
         self._machine_table.set_catalog(catalog)
         self.failover.recount()
         self.wake_scheduler = True
 
     def get_or_add_machine(self, name: str, machine_type: str, zone: str, spot: bool, now: float) -> Machine:
-        """The machine of that name, made if it was not known."""
+        """Return the machine of that name; add it if it is not known yet."""
         machine = self.machines.get(name)
         if machine is None:
             machine = self._machine_table.add(name, now)
@@ -220,12 +229,12 @@
         return machine
 
     def remove_machine(self, name: str, now: float, reason: str) -> None:
-        """The machine was returned (answered 200), or is listed as failed. Machine names are never used again, so
-        whatever still comes under this one is a stale copy."""
+        """Remove a machine that was returned (answered with 200) or is listed as failed. Machine names are never
+        reused, so any later message under this name is stale."""
         machine = self.machines.pop(name, None)
         if machine is not None:
             self.release_all(machine, now, reason)
-            self.index.remove_machine(machine)
+            self.index.delete(machine)
         self._forget(name)
         self.tombstones.record_forever(name, now)
         self.confirm(name, reason, now)
@@ -233,7 +242,7 @@
         self.wake_scheduler = True
 
     def forget_machine(self, machine: Machine, now: float) -> None:
-        """Forget a machine that is lost and listed no more. Should it be alive, a later incarnation shows it."""
+        """Forget a machine that is lost and no longer listed. If it is alive, a later incarnation proves it."""
         self._machine_table.remove(machine)
         self._forget(machine.name)
         self.tombstones.record(machine.name, machine.incarnation, machine.sequence_number, now)
@@ -244,7 +253,7 @@
         self.pending_writes.registration_not_due(name)
 
     def confirm(self, name: str, proof: str, now: float) -> None:
-        """What an earlier leader may have left on the machine is known, or gone; `proof` says by what."""
+        """Record that all tasks an earlier leader may have left on the machine are known or gone, by this `proof`."""
         if not self.failover.confirm(name):
             return
         unconfirmed = len(self.failover.unconfirmed)
@@ -258,8 +267,8 @@
     # --- stopping ---
 
     def stop_one(self, attempt: Attempt, reason: str, immediately: bool, wait_s: float = 0.0) -> None:
-        """Stop one task, whatever becomes of the others; `wait_s` is the time in seconds that it may need on top of its
-        checkpoint."""
+        """Stop one task, regardless of others of its gang; `wait_s` is the time in seconds that it may need
+        in addition to its checkpoint."""
         if attempt.stop_requested or attempt.exited:
             return
         spec = attempt.spec
@@ -268,8 +277,8 @@
         self.request_stop(attempt, reason)
 
     def request_stop(self, attempt: Attempt, reason: str) -> None:
-        """The attempt has to go; its machine is sent a stop with the next commands. Every way to stop a task ends
-        here."""
+        """Mark the attempt to be stopped; the stop is sent with the next commands to its machine. Every path that stops
+        a task ends here."""
         attempt.stop_requested = True
         attempt.stop_reason = reason
         self.machines_with_pending_commands[attempt.machine.name] = attempt.machine
--- a/sorrelsill/workers/machine_index.py
+++ b/sorrelsill/workers/machine_index.py
@@ -1,7 +1,7 @@
-"""Indices of the machines: which may be given work, how much is free on them, who holds an image, which are idle.
+"""Indices of the machines: usable ones, by free CPUs, by cached image, and idle ones.
 
-Machines report when they begin or cease to be usable; whoever changes what is bound to a machine says so. So no part of
-the leader walks all machines to find the ones that it wants."""
+Machines report changes of their usability, and code that changes allocations reports these. The leader can therefore
+find machines without scanning all of them."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class MachineIndex:
-    """Kept for the machines that are known in this term."""
+    """Indices of the machines known in this term."""
 
     def __init__(self) -> None:
-        self.ready = MachineSet()  # machines that may be given work
-        self.free = FreeMachines()  # those of them with CPUs left
-        self.idle = MachineSet()  # machines that hold no room for any task, usable or not
-        self._changed: dict[str, Machine] = {}  # machines that changed since the demand was last worked out
-        self._holders: dict[str, MachineSet] = {}  # image -> machines that hold it, as far as is guessed
+        self.ready = MachineSet()  # machines on which new tasks may be placed
+        self.free = FreeMachines()  # those of them with free CPUs
+        self.idle = MachineSet()  # machines without allocations, usable or not
+        self._changed: dict[str, Machine] = {}  # machines changed since the demand was last computed
+        self._holders: dict[str, MachineSet] = {}  # image -> machines that have it cached, as estimated
 
     def usable_changed(self, machine: Machine) -> None:
-        """The machine begins or ceases to be one that may be given work."""
+        """Update the indices after a change of `machine.usable`."""
         self._changed[machine.name] = machine
         if machine.usable:
             self.ready.add(machine)
@@ -37,7 +37,7 @@
             self.free.discard(machine.name)
 
     def room_changed(self, machine: Machine) -> None:
-        """Its size, or what is bound to it, has changed."""
+        """Update the indices after a change of the machine's capacity or allocations."""
         self._changed[machine.name] = machine
         if machine.usable:
             self.free.update(machine)
@@ -46,8 +46,8 @@
         else:
             self.idle.add(machine)
 
-    def remove_machine(self, machine: Machine) -> None:
-        """The machine is gone."""
+    def delete(self, machine: Machine) -> None:
+        """Remove a machine from all indices."""
         self._changed[machine.name] = machine
         for machines in (self.ready, self.free, self.idle):
             machines.discard(machine.name)
@@ -56,7 +56,8 @@
         machine.images.clear()
 
     def take_changed(self) -> list[Machine]:
-        """The machines that have changed since this was last called; only the demand for machines calls it."""
+        """Return the machines changed since the last call. Only the demand computation may call it, as the list is
+        cleared."""
         changed = list(self._changed.values())
         self._changed.clear()
         return changed
@@ -64,11 +65,12 @@
     # --- images ---
 
     def holders(self, image: str) -> MachineSet:
-        """Machines that hold the image."""
+        """Machines that have the image cached."""
         return self._holders.get(image, _NO_MACHINES)
 
     def record_cached_image(self, machine: Machine, spec: JobSpec) -> None:
-        """A task with this image runs there, so the image is there, and others may have made way for it."""
+        """Record that a task uses its image on the machine, so that the image is cached there and may have evicted
+        others."""
         self._holders.setdefault(spec.image, MachineSet()).add(machine)
         for image in machine.record_cached_image(spec.image, spec.image_gb):
             self._remove_holder(machine, image)
@@ -80,8 +82,8 @@
             if not holders:
                 del self._holders[image]
 
-    # --- room ---
+    # --- free capacity ---
 
     def with_room(self, spec: JobSpec) -> MachineSet | MachineUnion:
-        """Machines that may be given work and may have the CPUs for a task of the job."""
+        """Usable machines that may have enough free CPUs for a task of the job."""
         return self.free.with_room(spec.cpus) if spec.cpus > 0 else self.ready
--- a/sorrelsill/workers/machine_table.py
+++ b/sorrelsill/workers/machine_table.py
@@ -1,4 +1,4 @@
-"""The machines of a term, and the lists of those with something to do."""
+"""The machines of one term, and those that have pending commands or a reclaim notice."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 
 
 class MachineTable:
-    """The known machines by name; keeps the index and the timers of the leases in step with them."""
+    """The known machines by name; keeps the machine index and the lease timers consistent with them."""
 
     def __init__(self, catalog: Catalog, leases: LeaseMonitor) -> None:
         self._catalog = catalog
         self.machines: dict[str, Machine] = {}
-        self.with_pending_commands: dict[str, Machine] = {}  # may have commands that were not sent yet
+        self.with_pending_commands: dict[str, Machine] = {}  # may have commands not sent yet
         self.with_reclaim_notice: dict[str, Machine] = {}
         self.index = MachineIndex()
         self._leases = leases
 
     def add(self, name: str, now: float) -> Machine:
-        """Enter a machine of which nothing is known but its name."""
+        """Add a machine of which only the name is known."""
         machine = self.machines[name] = Machine(name, now, self._usable_changed)
         self.index.room_changed(machine)
         return machine
 
     def identify(self, machine: Machine, machine_type: str, zone: str, spot: bool) -> None:
-        """The machine's type is known now, and its capacity by it."""
+        """Set the machine's type, zone and spot status once they are known, and its capacity by its type."""
         machine.machine_type, machine.zone, machine.spot = machine_type, zone, spot
         self._apply_capacity(machine)
 
     def remove(self, machine: Machine) -> None:
-        """The machine is known no more."""
+        """Remove a machine."""
         del self.machines[machine.name]
-        self.index.remove_machine(machine)
+        self.index.delete(machine)
 
     def forget_pending(self, name: str) -> None:
-        """Nothing is to be done any more for a machine of that name."""
+        """Remove the machine from the lists of pending commands and reclaim notices."""
         self.with_pending_commands.pop(name, None)
         self.with_reclaim_notice.pop(name, None)
 
     def set_catalog(self, catalog: Catalog) -> None:
-        """Machine types, and so the capacities of machines, are known anew."""
+        """Replace the catalog of machine types, and update the capacities of all machines by it."""
         self._catalog = catalog
         for machine in self.machines.values():
             self._apply_capacity(machine)
@@ -59,5 +59,5 @@
         if self.machines.get(machine.name) is machine:
             self.index.usable_changed(machine)
             if machine.usable:
-                # It was overdue or new: its next check is nearer than that for a lease that expires.
+                # It was overdue or is new, so its next check is due earlier than the expiry of its lease.
                 self._leases.watch(machine)
