--- a/sorrelsill/workers/ended_jobs.py
+++ b/sorrelsill/workers/ended_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that are over while tasks of them may still run on machines that a new leader has not heard. Pure."""
+"""Ended jobs whose tasks may still run on machines from which a new leader has had no heartbeat yet. No I/O."""
 
 from __future__ import annotations
 
@@ -9,26 +9,28 @@
 
 
 class EndedJob:
-    """A job that is over, and which of its tasks may run unobserved. Every task is counted once: those on machines that
-    were heard are bound there like any other, with the size that its spec tells."""
+    """An ended job, and which of its tasks may still run unobserved.
+
+    Every task is counted once: tasks on machines that were heard from are bound there like any other, with the
+    resources of the job's spec."""
 
     __slots__ = ("_accounted", "spec")
 
     def __init__(self, spec: JobSpec, accounted: TaskSet) -> None:
         self.spec = spec
-        self._accounted = accounted  # tasks that are done, gone, or on a machine that was heard
+        self._accounted = accounted  # tasks that are done, gone, or on a machine that was heard from
 
     @property
     def unobserved_count(self) -> int:
-        """Tasks that may run on machines that were not heard."""
+        """The number of tasks that may run on machines that were not heard from."""
         return self.spec.task_count - self._accounted.count
 
     def mark_observed(self, index: int) -> None:
-        """The task is on a machine that was heard, so on no other."""
+        """Record that the task is on a machine that was heard from, and so on no other."""
         if 0 <= index < self.spec.task_count:
             self._accounted.add(index)
 
     def mark_unobserved(self, index: int) -> None:
-        """What was found was a stale copy out of a late heartbeat: the true task may be anywhere."""
+        """Undo `mark_observed` after a stale, delayed heartbeat: the task itself may be on any machine."""
         if 0 <= index < self.spec.task_count:
             self._accounted.discard(index)
--- a/sorrelsill/workers/largest_gangs.py
+++ b/sorrelsill/workers/largest_gangs.py
@@ -1,4 +1,4 @@
-"""The largest gang of each job class in this term: how much room is kept free for the next one is derived from it."""
+"""The largest gang of each job class in this term; it determines the headroom kept free for the next gang."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class LargestGangs:
-    """By job class, the gang with the most CPUs in all."""
+    """The gang with the most CPUs in total, by job class."""
 
     def __init__(self) -> None:
         self._by_class: dict[str, JobSpec] = {}
 
     def add(self, spec: JobSpec) -> None:
-        """A gang was submitted."""
+        """Take a submitted gang into account."""
         largest = self._by_class.get(spec.job_class)
         if largest is None or _total_cpus(largest) < _total_cpus(spec):
             self._by_class[spec.job_class] = spec
@@ -28,7 +28,7 @@
         return self._by_class.get(job_class)
 
     def headroom_cpus(self, classes: Iterable[str]) -> float:
-        """CPUs for one more gang of each of these classes, as large as the largest seen."""
+        """CPUs needed for one more gang of each of these classes, as large as the largest one seen."""
         largest = (self._by_class.get(name) for name in classes)
         return constants.GANG_HEADROOM * sum(_total_cpus(spec) for spec in largest if spec is not None)
 
--- a/sorrelsill/workers/machine_sets.py
+++ b/sorrelsill/workers/machine_sets.py
@@ -1,6 +1,6 @@
-"""Sets of machines that can be drawn from at random, and an index of machines by the room that is left on them. Pure.
+"""Sets of machines that support random sampling, and an index of machines by free CPUs. No I/O.
 
-The scheduler looks at a sample of the machines; these sets give it one without walking or copying the fleet."""
+The scheduler examines a sample of the machines; these sets provide one without iterating over or copying the fleet."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 if TYPE_CHECKING:
     from sorrelsill.workers.machine import Machine
 
-_MICROS_PER_CPU = 1_000_000  # CPUs are added up in millionths, as whole numbers: sums of fractions would drift
+_MICROS_PER_CPU = 1_000_000  # CPUs are summed as integers, as sums of floats would accumulate rounding errors
 
 
 class MachineSet(Sequence["Machine"]):
-    """Machines in no particular order: adding, removing and reaching the nth one take the same time however many."""
+    """Machines in no particular order, with insertion, removal and access by position in constant time."""
 
     __slots__ = ("_machines", "_positions")
 
@@ -26,13 +26,13 @@
         self._positions: dict[str, int] = {}  # by name
 
     def add(self, machine: Machine) -> None:
-        """Without effect if it is in the set."""
+        """Add a machine; without effect if it is in the set already."""
         if machine.name not in self._positions:
             self._positions[machine.name] = len(self._machines)
             self._machines.append(machine)
 
     def discard(self, name: str) -> None:
-        """The last machine takes the place of the one removed."""
+        """Remove a machine, if present. The last machine moves to its position."""
         position = self._positions.pop(name, None)
         if position is None:
             return
@@ -42,7 +42,7 @@
             self._positions[last.name] = position
 
     def at_positions(self, positions: list[int]) -> list[Machine]:
-        """The machines at these positions."""
+        """Return the machines at these positions."""
         return [self._machines[position] for position in positions]
 
     def names(self) -> set[str]:
@@ -69,7 +69,7 @@
 
 
 class MachineUnion(Sequence["Machine"]):
-    """Several disjoint sets as one, without a copy."""
+    """A view of several disjoint sets as one sequence, without copying."""
 
     __slots__ = ("_lists",)
 
@@ -94,7 +94,7 @@
         return self.at_positions([index])[0]
 
     def at_positions(self, positions: list[int]) -> list[Machine]:
-        """The machines at these positions, which are in rising order, in one pass over the sets."""
+        """Return the machines at these positions, which must be in ascending order, in one pass over the sets."""
         found: list[Machine] = []
         lists = iter(self._lists)
         current: list[Machine] = []
@@ -108,16 +108,16 @@
 
 
 class FreeMachines:
-    """Machines with CPUs left, by how many: what is too full for a task is never looked at."""
+    """Machines by their number of free CPUs, so that machines too full for a task are skipped."""
 
     def __init__(self) -> None:
         self._classes = [MachineSet() for _ in range(ROOM_CLASSES)]
         self._class_of: dict[str, int] = {}  # by name
-        self._counted: dict[str, tuple[str, int]] = {}  # ordinary machine -> its zone, and its millionths of free CPUs
-        self._on_demand: dict[str, int] = {}  # zone -> millionths of CPUs free on ordinary machines
+        self._counted: dict[str, tuple[str, int]] = {}  # on-demand machine -> zone, free CPUs in millionths
+        self._on_demand: dict[str, int] = {}  # zone -> free CPUs of on-demand machines, in millionths
 
     def update(self, machine: Machine) -> None:
-        """The machine may be given work, and this is what is free on it now."""
+        """Insert a usable machine, or update its entry after a change of its free CPUs."""
         free = machine.capacity_cpus - machine.cpus
         if free <= AMOUNT_TOLERANCE:
             self.discard(machine.name)
@@ -132,7 +132,7 @@
         self._count_free_cpus(machine, free)
 
     def discard(self, name: str) -> None:
-        """The machine is full, or may be given no work."""
+        """Remove a machine that is full or not usable any more."""
         class_index = self._class_of.pop(name, None)
         if class_index is not None:
             self._classes[class_index].discard(name)
@@ -154,11 +154,11 @@
                 del self._on_demand[zone]
 
     def on_demand_cpus(self) -> dict[str, float]:
-        """CPUs free on machines that won't be reclaimed, by zone."""
+        """Free CPUs on on-demand machines, which are not reclaimed, by zone."""
         return {zone: amount / _MICROS_PER_CPU for zone, amount in self._on_demand.items()}
 
     def with_room(self, cpus: float) -> MachineUnion:
-        """Machines that may have so many CPUs free; those that certainly have fewer are left out."""
+        """Machines that may have this many free CPUs, leaving out those that certainly have fewer."""
         return MachineUnion(self._classes[min(int(cpus), ROOM_CLASSES - 1) :])
 
     def names(self) -> set[str]:
--- a/sorrelsill/workers/pending_writes.py
+++ b/sorrelsill/workers/pending_writes.py
@@ -1,4 +1,4 @@
-"""What the leader has decided and the key-value store does not hold yet."""
+"""Decisions of the leader that are not written to the key-value store yet."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 @dataclass(slots=True)
 class PendingWrites:
-    """The writes that are due; each stays until it is committed."""
+    """The pending writes; each stays here until it is committed."""
 
-    records: set[str] = field(default_factory=set)  # jobs whose record has to be written
+    records: set[str] = field(default_factory=set)  # ids of jobs whose record has to be written
     registrations: dict[str, Machine] = field(default_factory=dict)  # machines whose registry entry has to be written
-    deregistrations: set[str] = field(default_factory=set)  # machines whose registry entries have to be deleted
+    deregistrations: set[str] = field(default_factory=set)  # names of machines whose registry entry has to be deleted
 
     def record_due(self, job_id: str) -> None:
-        """The job's record differs from what is stored."""
+        """Mark the job's record for writing, as it differs from the stored one."""
         self.records.add(job_id)
 
     def record_not_due(self, job_id: str) -> None:
-        """The job is over: its final record is stored already."""
+        """Unmark the record of a job that has ended: its final record is stored already."""
         self.records.discard(job_id)
 
     def registration_due(self, machine: Machine) -> None:
-        """The machine is not in the stored registry yet."""
+        """Mark a machine that is not in the stored registry yet for registration."""
         self.registrations[machine.name] = machine
 
     def registration_not_due(self, name: str) -> None:
-        """The machine is forgotten before it was registered."""
+        """Unmark a machine that was removed before it was registered."""
         self.registrations.pop(name, None)
 
     def deregistration_due(self, name: str) -> None:
-        """The machine holds no work of ours any more, so its registry entry has to go."""
+        """Mark the registry entry of a machine that holds no tasks of ours any more for deletion."""
         self.deregistrations.add(name)
--- a/sorrelsill/workers/team_usage.py
+++ b/sorrelsill/workers/team_usage.py
@@ -1,4 +1,4 @@
-"""What teams use: amounts, and the sums over the attempts that are bound to machines. Pure."""
+"""Resource usage of teams, and its sums over the attempts bound to machines. No I/O."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 
 class TeamUse(NamedTuple):
-    """What a team may be using at a moment, each task counted once."""
+    """The resources that a team may be using; each task is counted once."""
 
     bound: Resources  # by attempts bound to machines
-    unobserved: Resources  # at the most, by tasks that an earlier leader started and that are not bound here
+    unobserved: Resources  # upper bound, by tasks that an earlier leader started and that are not bound in this term
 
     @property
     def total(self) -> Resources:
-        """All that may be in use."""
+        """The sum of bound and unobserved resources."""
         return self.bound.plus(self.unobserved)
 
 
 class BoundUsage:
-    """Per team, what attempts that are bound to machines take, and the most that they took in this term."""
+    """Resources of the attempts bound to machines, per team, and their maximum in this term."""
 
     def __init__(self) -> None:
         self._current: dict[str, Resources] = {}
         self._highest: dict[str, Resources] = {}
 
     def add(self, spec: JobSpec) -> None:
-        """A task of the job is bound."""
+        """Add one task of the job, which was bound."""
         before = self.of(spec.team)
         now = self._current[spec.team] = Resources(before.cpus + spec.cpus, before.gpus + spec.gpus)
         highest = self.highest(spec.team)
@@ -35,14 +35,14 @@
             self._highest[spec.team] = now.at_least(highest)
 
     def subtract(self, spec: JobSpec) -> None:
-        """A task of the job is proved gone."""
+        """Subtract one task of the job, which is proved gone."""
         before = self.of(spec.team)
         self._current[spec.team] = Resources(max(0.0, before.cpus - spec.cpus), max(0.0, before.gpus - spec.gpus))
 
     def of(self, team: str) -> Resources:
-        """What the team's attempts take now."""
+        """Resources that the team's attempts use now."""
         return self._current.get(team, NOTHING)
 
     def highest(self, team: str) -> Resources:
-        """The most that they took at a time in this term."""
+        """The most CPUs and the most GPUs in use by the team's attempts at any time of this term."""
         return self._highest.get(team, NOTHING)
--- a/sorrelsill/workers/tombstones.py
+++ b/sorrelsill/workers/tombstones.py
@@ -1,7 +1,7 @@
-"""Machines that are gone, remembered so that late copies of their heartbeats are refused. Pure: time is given.
+"""Tombstones of removed machines, used to reject their delayed heartbeats. No I/O; the caller passes the current time.
 
-They are kept for as long as a message may be late, however many there are: with a fixed number, a large fleet's comings
-and goings would push out machines whose heartbeats may still be on their way."""
+A tombstone is kept for at least as long as a message can be delayed. With a limit on their number alone, the turnover
+of a large fleet would evict tombstones of machines whose heartbeats may still be in flight."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 @dataclass(frozen=True, slots=True)
 class _Tombstone:
-    incarnation: float  # the last one that is not believed any more
+    incarnation: float  # the last one to be rejected
     sequence_number: int
     recorded_at: float
 
 
 class Tombstones:
-    """The last message that is not believed any more, by machine, the oldest first."""
+    """The last message to be rejected of each removed machine, with the oldest tombstone first."""
 
     def __init__(self) -> None:
         self._by_machine: OrderedDict[str, _Tombstone] = OrderedDict()
 
     def record_forever(self, machine: str, now: float) -> None:
-        """The machine was returned or has failed. Names are never used again: whatever comes under it is a copy."""
+        """Reject all messages of a machine that was returned or failed. Names are never reused, so they are stale."""
         self.record(machine, float("inf"), 0, now)
 
     def record(self, machine: str, incarnation: float, sequence_number: int, now: float) -> None:
-        """Nothing up to this message is believed any more; a later incarnation shows that the machine is alive."""
+        """Reject messages up to and including this one; a later incarnation proves that the machine is alive."""
         self._by_machine[machine] = _Tombstone(incarnation, sequence_number, now)
         self._by_machine.move_to_end(machine)
         while len(self._by_machine) > constants.TOMBSTONES_KEPT:
@@ -39,7 +39,7 @@
             self._by_machine.popitem(last=False)
 
     def rejects(self, machine: str, incarnation: int, sequence_number: int) -> bool:
-        """Whether a message is from before the machine was gone."""
+        """Whether a message was sent before the machine was removed."""
         tombstone = self._by_machine.get(machine)
         if tombstone is None:
             return False
--- a/sorrelsill/workers/unschedulable.py
+++ b/sorrelsill/workers/unschedulable.py
@@ -1,4 +1,4 @@
-"""What found no room when it was last tried: the demand that machines are rented for."""
+"""Tasks for which the last scheduling attempt found no capacity: the demand for renting machines."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 @dataclass(slots=True)
 class UnschedulableDemand:
-    """A job with tasks that found no room; `limited` means that its team's limit stands in the way, `zone` is where
-    a gang that has to be in one zone lacks least."""
+    """A job with `count` tasks for which there was no capacity. `limited`: its team's limit prevents the start,
+    not a lack of machines. `zone`: for a gang that must run in one zone, the zone that lacks the least capacity."""
 
     job: Job
     count: int
