--- a/sorrelsill/workers/failures.py
+++ b/sorrelsill/workers/failures.py
@@ -1,8 +1,8 @@
-"""Decides whether a failed task is the fault of its job or of its machine. Pure: time is given.
+"""Attributes task failures to the job or to the machine. No I/O; the caller passes the current time.
 
-A job that was submitted with a mistake fails on every machine. A faulty machine fails the tasks of jobs that succeed
-elsewhere. So a failure counts against a machine only once its job has succeeded on another one, and a job that has
-failed on several machines without any success is tried one task at a time, at a falling pace."""
+A faulty job fails on every machine. On a faulty machine, tasks fail whose jobs succeed elsewhere. A failure therefore
+counts against a machine only once its job has succeeded on another one. A job that has failed on several machines
+without any success is retried one task at a time, with exponential backoff."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 @dataclass(slots=True)
 class FailureHistory:
-    """The failures of one job in the present term, and what they say about it."""
+    """The failures of one job in the current term, and whether they are probably its own fault."""
 
-    succeeded: bool = False  # a task of it has completed, or a replica has run for long enough
-    machines: set[str] = field(default_factory=set)  # on which it failed since its last success
-    blamed_machines: set[str] = field(default_factory=set)  # machines that its failures counted against
+    succeeded: bool = False  # one of its tasks has completed, or a replica has run for REPLICA_PROOF_S
+    machines: set[str] = field(default_factory=set)  # machines on which it failed since its last success
+    blamed_machines: set[str] = field(default_factory=set)  # machines against which its failures counted
     failures: int = 0  # since its last success
-    failure_bursts: int = 0  # bursts of failures since its last success; tasks that fail together are one
+    failure_bursts: int = 0  # since its last success; failures before the next retry is due count as one burst
     next_trial_at: float = float("-inf")
 
     def record_failure(self, machine: str, now: float) -> set[str]:
-        """Record a failed task. Returns the machines that this failure counts against."""
+        """Record a failed task. Returns the machines against which this failure counts."""
         self.machines.add(machine)
         self.failures += 1
         if now >= self.next_trial_at:
@@ -34,7 +34,7 @@
         return self._blame({machine}) if self.succeeded else set()
 
     def record_success(self, machine: str) -> set[str]:
-        """Record a success. Returns the machines that the failures before it now count against."""
+        """Record a success. Returns the machines against which the earlier failures now count."""
         self.succeeded = True
         blamed = self._blame(self.machines - {machine})
         self.machines.clear()
@@ -44,11 +44,11 @@
         return blamed
 
     def is_suspect(self, others: int) -> bool:
-        """Whether the job itself is probably at fault; `others` of its tasks have not failed yet."""
+        """Whether the job itself is probably at fault; `others` is the number of its tasks that have not failed."""
         return len(self.machines) >= constants.SUSPECT_MACHINES and self.failures >= others
 
     def _blame(self, machines: set[str]) -> set[str]:
-        # A job that blames many machines is no reliable witness: only some of its tasks may be at fault.
+        # A job with failures on many machines is no reliable evidence against them: some of its tasks may be faulty.
         if len(self.blamed_machines | machines) > constants.BLAMED_MACHINES_MAX:
             return set()
         self.blamed_machines |= machines
--- a/sorrelsill/workers/gangs.py
+++ b/sorrelsill/workers/gangs.py
@@ -1,9 +1,10 @@
-"""Gangs: jobs whose tasks run together or not at all. Pure decisions on the leader's cluster state.
+"""Gangs: jobs whose tasks run all together or not at all. Decisions on the leader's cluster state, without I/O.
 
-All tasks of one start share an attempt number, and no number is used for a second start: where a task is missing
-the rest are stopped, and the whole starts anew once every task of the attempt is proved gone. The protocol would let a
-replacement of the same number complete a gang that has not begun; that number would then stand on two machines, and
-the proofs of the cluster state rest on it standing on one. What a new start costs is measured in docs/results.md."""
+All tasks of one start of a gang share an attempt number, and no number is used for a second start. If a task is
+missing, the others are stopped, and the gang is restarted once every task of the attempt is proved gone. The protocol
+would allow a replacement task with the same number to complete a gang that has not started to run. But a task's
+attempt could then be on two machines, and the proofs of the cluster state require that it is on one. The measured cost
+of a restart is in docs/results.md."""
 
 from __future__ import annotations
 
@@ -22,7 +23,7 @@
 
 
 def enforce_gang_completeness(cluster: ClusterRecords) -> None:
-    """Gangs that are not complete any more, or that somebody began to stop, and what has to be done about the rest."""
+    """Stop the remaining tasks of gangs that are incomplete or that an earlier leader has begun to stop."""
     for job in cluster.gangs.values():
         if job.bound and job.done.count < job.spec.task_count:
             _enforce(cluster, job)
@@ -33,24 +34,24 @@
     if all(a.stop_requested for a in tasks):
         return
     if any(a.phase == TaskPhase.CHECKPOINTING for a in tasks):
-        # A leader before us began to stop it in order and did not reach all tasks: stopped in time they checkpoint
-        # together, and the gang has made no progress since the first was stopped.
+        # An earlier leader began an orderly stop and did not reach all tasks. If the others are stopped in time, all
+        # tasks checkpoint together; the gang has made no progress since the first was stopped.
         log_event(log, logging.INFO, "stop_of_gang_continued", job=job.spec.job_id)
         stop_gang(cluster, job, "stopped by an earlier leader", False)
         return
     if not cluster.failover.reconciled(job):
-        return  # what is missing may be on a machine that was not heard yet
+        return  # the missing task may be on a machine that was not heard from yet
     complete = len(tasks) == job.spec.task_count and len({a.attempt_number for a in tasks}) == 1
     if complete and not any(a.stop_requested for a in tasks):
         return
-    # Stopping at once is quicker than waiting until the others notice, and loses no more: a gang that lost a task falls
-    # back to its last checkpoint anyway.
+    # Stopping the tasks immediately is faster than waiting until they notice, and loses no additional work: a gang that
+    # lost a task restarts from its last checkpoint anyway.
     for attempt in tasks:
         cluster.stop_one(attempt, "its group is not whole", True)
 
 
 def all_machines_reachable(job: Job) -> bool:
-    """Whether all machines of the gang will most likely get a command at once."""
+    """Whether a command will most likely reach all machines of the gang without delay."""
     return all(
         a.machine.token_acknowledged
         and a.machine.reachable
@@ -61,7 +62,7 @@
 
 
 def can_checkpoint(job: Job) -> bool:
-    """An orderly stop needs all tasks running and all of them stopped within a moment of each other."""
+    """Whether the gang can be stopped with a checkpoint: all tasks run and can be stopped at nearly the same time."""
     return (
         job.spec.checkpoint_interval_s > 0
         and len(job.bound) == job.spec.task_count
@@ -71,7 +72,7 @@
 
 
 def stop_gang(cluster: ClusterRecords, job: Job, reason: str, immediately: bool) -> None:
-    """Stop a gang: with a checkpoint, so that its progress is kept, if all can be reached; else at once."""
+    """Stop a gang, with a checkpoint to keep its progress if all its tasks can be reached, else immediately."""
     checkpointing = any(a.phase == TaskPhase.CHECKPOINTING for a in job.bound.values())
     can_keep_progress = can_checkpoint(job) or (checkpointing and job.spec.checkpoint_interval_s > 0)
     orderly = not immediately and can_keep_progress
@@ -80,9 +81,10 @@
 
 
 def gang_must_leave(job: Job, remaining_s: float) -> bool:
-    """Whether a gang has to leave a machine that is reclaimed in `remaining_s` seconds. One that does not run yet goes
-    at once, one that can checkpoint as late as is safe; if one of its machines can't be reached, that is not begun
-    before the last moment, as it would only cost the progress until then."""
+    """Whether a gang must be stopped now, as one of its machines is reclaimed in `remaining_s` seconds.
+
+    A gang that does not run yet is stopped immediately, and one that can checkpoint as late as is safe. If one of its
+    machines is unreachable, it is stopped at the last moment, as an earlier stop would only lose progress."""
     if not any(a.running_since is not None for a in job.bound.values()):
         return True
     if can_checkpoint(job):
@@ -91,7 +93,7 @@
 
 
 def gang_loss(job: Job, now: float) -> float:
-    """Seconds of work, of all its tasks together, that stopping one of them throws away."""
+    """Cost in seconds of stopping one task: the run time lost by all tasks of the gang, plus the restart overhead."""
     return sum(now - a.running_since for a in job.bound.values() if a.running_since is not None) + (
         constants.PREEMPT_BASE_S * len(job.bound)
     )
