--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -49,7 +49,7 @@
         demands = [
             self._demand_of(item, count, now)
             for item in self._state.unschedulable()
-            if not item.limited and (count := self._tasks_to_rent_for(item, now)) > 0
+            if not item.quota_limited and (count := self._tasks_to_rent_for(item, now)) > 0
         ]
         demands += self._service_headroom_demands()
         demands += self._gang_headroom_demands()
--- a/sorrelsill/fleet/retained_headroom.py
+++ b/sorrelsill/fleet/retained_headroom.py
@@ -20,7 +20,7 @@
         # A gang that waits needs several machines at once. Guards against each machine rented for it being returned
         # as idle before the next one is up.
         self._waiting_gangs = [
-            (item.job.spec, item.zone) for item in unschedulable if item.job.spec.is_gang and not item.limited
+            (item.job.spec, item.zone) for item in unschedulable if item.job.spec.is_gang and not item.quota_limited
         ]
         self._gangs = demand.gang_headroom()
         # Computed only if a machine could be returned, since it walks all of them.
--- a/sorrelsill/placement/gang_scheduler.py
+++ b/sorrelsill/placement/gang_scheduler.py
@@ -45,7 +45,7 @@
     def schedule(self, cycle: SchedulingCycle, job: Job) -> None:
         """Bind all tasks at once, under one attempt number, or none: nothing is bound before all have a machine."""
         cluster, now, spec = cycle.cluster, cycle.now, job.spec
-        if job.bound or cluster.attempts.alive(spec.job_id):
+        if job.bound or cluster.attempts.has_live_attempts(spec.job_id):
             return  # the former attempts are ending; their room and their zone are not free before
         if not self._quotas.allows(cluster, spec, job.waiting):
             self._unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -13,7 +13,7 @@
 from sorrelsill.model import Priority
 from sorrelsill.placement import gang_placement
 from sorrelsill.placement.victims import VictimSet
-from sorrelsill.workers import Attempt, ClusterState, Job, Machine, gang_loss
+from sorrelsill.workers import Attempt, ClusterState, Job, Machine, gang_stop_cost
 
 if TYPE_CHECKING:
     from sorrelsill.model import JobSpec
@@ -255,7 +255,7 @@
 def _preemption_cost_s(cluster: ClusterState, attempt: Attempt, now: float) -> float:
     """Seconds of work lost; for a gang, by all of its tasks."""
     gang = cluster.gangs.get(attempt.job_id)
-    return gang_loss(gang, now) if gang is not None else _lost_work(attempt, now)
+    return gang_stop_cost(gang, now) if gang is not None else _lost_work(attempt, now)
 
 
 def _lost_work(attempt: Attempt, now: float) -> float:
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -129,7 +129,7 @@
     def _schedule_job(self, cycle: SchedulingCycle, job: Job) -> bool:
         """False if the cycle's time budget is used up before all tasks of the job were considered."""
         self.unschedulable.pop(job.spec.job_id, None)
-        if not cycle.cluster.failover.reconciled(job) or job.failures.next_trial_at > cycle.now:
+        if not cycle.cluster.failover.reconciled(job) or job.failures.next_retry_at > cycle.now:
             return True
         if job.spec.is_gang:
             self._gangs.schedule(cycle, job)
--- a/sorrelsill/workers/__init__.py
+++ b/sorrelsill/workers/__init__.py
@@ -13,7 +13,7 @@
 from sorrelsill.workers.cluster_state import ClusterState
 from sorrelsill.workers.command_sender import CallLimits, CommandSender
 from sorrelsill.workers.errors import FencedError, InvalidHeartbeatError, WorkersError
-from sorrelsill.workers.gangs import enforce_gang_completeness, gang_loss
+from sorrelsill.workers.gangs import enforce_gang_completeness, gang_stop_cost
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Attempt, Machine
 from sorrelsill.workers.machine_index import MachineIndex
@@ -46,7 +46,7 @@
     "FencedError",
     "WorkersError",
     "TeamUse",
-    "gang_loss",
+    "gang_stop_cost",
     "Command",
     "ExitCause",
     "HeartbeatResponse",
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -87,6 +87,6 @@
 
 def _take_room(cluster: ClusterRecords, attempt: Attempt, job: Job | EndedJob) -> None:
     """From now on its size is known."""
-    cluster.attempts.count_unknown_task(attempt, -1)
+    cluster.attempts.adjust_unknown_tasks(attempt, -1)
     attempt.spec = job.spec
     cluster.allocate_resources(attempt)
--- a/sorrelsill/workers/attempt_index.py
+++ b/sorrelsill/workers/attempt_index.py
@@ -21,7 +21,7 @@
         """Add an attempt, both here and to its machine."""
         attempt.machine.attempts[attempt.key] = attempt
         self.by_job.setdefault(attempt.job_id, {})[attempt] = None
-        self.count_unknown_task(attempt, 1)
+        self.adjust_unknown_tasks(attempt, 1)
 
     def remove(self, attempt: Attempt) -> None:
         """Remove an attempt that is no longer on its machine, both here and from the machine."""
@@ -32,9 +32,9 @@
             if not job_attempts:
                 del self.by_job[attempt.job_id]
         if not attempt.exited:
-            self.count_unknown_task(attempt, -1)
+            self.adjust_unknown_tasks(attempt, -1)
 
-    def count_unknown_task(self, attempt: Attempt, change: int) -> None:
+    def adjust_unknown_tasks(self, attempt: Attempt, change: int) -> None:
         """Adjust the number of live tasks of unknown jobs on the attempt's machine; such tasks may belong to any team.
 
         Without effect if the attempt's job is known."""
@@ -52,7 +52,7 @@
         """All attempts of a job that are on machines, including exited ones."""
         return list(self.by_job.get(job_id, ()))
 
-    def alive(self, job_id: str) -> bool:
+    def has_live_attempts(self, job_id: str) -> bool:
         """Whether any attempt of the job may still run, including surplus attempts of the same task."""
         return any(not attempt.exited for attempt in self.by_job.get(job_id, ()))
 
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -49,7 +49,7 @@
         loss_s: float,
         validity_s: float,
         overdue_s: float = float("inf"),
-        peer_s: float = 0.0,
+        gang_peer_s: float = 0.0,
     ) -> None:
         self.term = term
         self.started = now
@@ -57,7 +57,7 @@
         self.loss_s = loss_s
         # Time in seconds within which a gang's tasks notice that one of them is gone, and within which all of them
         # have to be told to stop for a checkpoint to succeed.
-        self.peer_s = peer_s
+        self.gang_peer_s = gang_peer_s
         self.failover = FailoverReconciliation()
         self.leases = LeaseMonitor(now, loss_s, validity_s, overdue_s, self.failover)
         self.counters = TermCounters(term)
@@ -266,7 +266,7 @@
 
     # --- stopping ---
 
-    def stop_one(self, attempt: Attempt, reason: str, immediately: bool, wait_s: float = 0.0) -> None:
+    def stop_attempt(self, attempt: Attempt, reason: str, immediately: bool, wait_s: float = 0.0) -> None:
         """Stop one task, regardless of others of its gang; `wait_s` is the time in seconds that it may need
         in addition to its checkpoint."""
         if attempt.stop_requested or attempt.exited:
--- a/sorrelsill/workers/failures.py
+++ b/sorrelsill/workers/failures.py
@@ -20,15 +20,15 @@
     blamed_machines: set[str] = field(default_factory=set)  # machines against which its failures counted
     failures: int = 0  # since its last success
     failure_bursts: int = 0  # since its last success; failures before the next retry is due count as one burst
-    next_trial_at: float = float("-inf")
+    next_retry_at: float = float("-inf")
 
     def record_failure(self, machine: str, now: float) -> set[str]:
         """Record a failed task. Returns the machines against which this failure counts."""
         self.machines.add(machine)
         self.failures += 1
-        if now >= self.next_trial_at:
+        if now >= self.next_retry_at:
             self.failure_bursts += 1
-            self.next_trial_at = now + min(
+            self.next_retry_at = now + min(
                 constants.START_BACKOFF_MAX_S, constants.START_BACKOFF_S * 2.0 ** (self.failure_bursts - 1)
             )
         return self._blame({machine}) if self.succeeded else set()
@@ -40,7 +40,7 @@
         self.machines.clear()
         self.failures = 0
         self.failure_bursts = 0
-        self.next_trial_at = float("-inf")
+        self.next_retry_at = float("-inf")
         return blamed
 
     def is_suspect(self, others: int) -> bool:
--- a/sorrelsill/workers/gangs.py
+++ b/sorrelsill/workers/gangs.py
@@ -47,7 +47,7 @@
     # Stopping the tasks immediately is faster than waiting until they notice, and loses no additional work: a gang that
     # lost a task restarts from its last checkpoint anyway.
     for attempt in tasks:
-        cluster.stop_one(attempt, "its group is not whole", True)
+        cluster.stop_attempt(attempt, "its group is not whole", True)
 
 
 def all_machines_reachable(job: Job) -> bool:
@@ -77,10 +77,10 @@
     can_keep_progress = can_checkpoint(job) or (checkpointing and job.spec.checkpoint_interval_s > 0)
     orderly = not immediately and can_keep_progress
     for attempt in list(job.bound.values()):
-        cluster.stop_one(attempt, reason, not orderly, cluster.peer_s if orderly else 0.0)
+        cluster.stop_attempt(attempt, reason, not orderly, cluster.gang_peer_s if orderly else 0.0)
 
 
-def gang_must_leave(job: Job, remaining_s: float) -> bool:
+def gang_must_stop(job: Job, remaining_s: float) -> bool:
     """Whether a gang must be stopped now, as one of its machines is reclaimed in `remaining_s` seconds.
 
     A gang that does not run yet is stopped immediately, and one that can checkpoint as late as is safe. If one of its
@@ -92,7 +92,7 @@
     return remaining_s <= constants.DRAIN_AHEAD_S
 
 
-def gang_loss(job: Job, now: float) -> float:
+def gang_stop_cost(job: Job, now: float) -> float:
     """Cost in seconds of stopping one task: the run time lost by all tasks of the gang, plus the restart overhead."""
     return sum(now - a.running_since for a in job.bound.values() if a.running_since is not None) + (
         constants.PREEMPT_BASE_S * len(job.bound)
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from sorrelsill import constants
-from sorrelsill.workers.gangs import gang_must_leave
+from sorrelsill.workers.gangs import gang_must_stop
 from sorrelsill.workers.stopping import stop
 
 if TYPE_CHECKING:
@@ -103,7 +103,7 @@
     rest just before the end."""
     remaining_s = reclaim_at - now
     if spec.is_gang and attempt.job_id in cluster.gangs:
-        return gang_must_leave(cluster.gangs[attempt.job_id], remaining_s)
+        return gang_must_stop(cluster.gangs[attempt.job_id], remaining_s)
     if attempt.running_since is None:
         return True
     if spec.checkpoint_interval_s > 0:
--- a/sorrelsill/workers/machine_sets.py
+++ b/sorrelsill/workers/machine_sets.py
@@ -113,8 +113,9 @@
     def __init__(self) -> None:
         self._classes = [MachineSet() for _ in range(ROOM_CLASSES)]
         self._class_of: dict[str, int] = {}  # by name
-        self._counted: dict[str, tuple[str, int]] = {}  # on-demand machine -> zone, free CPUs in millionths
-        self._on_demand: dict[str, int] = {}  # zone -> free CPUs of on-demand machines, in millionths
+        # On-demand machines only, in millionths of a CPU: machine -> (zone, free CPUs)
+        self._free_cpus_by_machine: dict[str, tuple[str, int]] = {}
+        self._free_cpus_by_zone: dict[str, int] = {}  # zone -> free CPUs, in the same unit
 
     def update(self, machine: Machine) -> None:
         """Insert a usable machine, or update its entry after a change of its free CPUs."""
@@ -143,19 +144,19 @@
             return
         self._uncount_free_cpus(machine.name)
         amount = round(free * _MICROS_PER_CPU)
-        self._counted[machine.name] = machine.zone, amount
-        self._on_demand[machine.zone] = self._on_demand.get(machine.zone, 0) + amount
+        self._free_cpus_by_machine[machine.name] = machine.zone, amount
+        self._free_cpus_by_zone[machine.zone] = self._free_cpus_by_zone.get(machine.zone, 0) + amount
 
     def _uncount_free_cpus(self, name: str) -> None:
-        zone, amount = self._counted.pop(name, ("", 0))
+        zone, amount = self._free_cpus_by_machine.pop(name, ("", 0))
         if amount:
-            self._on_demand[zone] -= amount
-            if not self._on_demand[zone]:
-                del self._on_demand[zone]
+            self._free_cpus_by_zone[zone] -= amount
+            if not self._free_cpus_by_zone[zone]:
+                del self._free_cpus_by_zone[zone]
 
     def on_demand_cpus(self) -> dict[str, float]:
         """Free CPUs on on-demand machines, which are not reclaimed, by zone."""
-        return {zone: amount / _MICROS_PER_CPU for zone, amount in self._on_demand.items()}
+        return {zone: amount / _MICROS_PER_CPU for zone, amount in self._free_cpus_by_zone.items()}
 
     def with_room(self, cpus: float) -> MachineUnion:
         """Machines that may have this many free CPUs, leaving out those that certainly have fewer."""
--- a/sorrelsill/workers/stopping.py
+++ b/sorrelsill/workers/stopping.py
@@ -20,4 +20,4 @@
     if gang is not None and gang.bound.get(attempt.index) is attempt:
         stop_gang(cluster, gang, reason, immediately)
         return
-    cluster.stop_one(attempt, reason, immediately)
+    cluster.stop_attempt(attempt, reason, immediately)
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -16,7 +16,7 @@
 
 def on_exit(cluster: ClusterRecords, attempt: Attempt, status: TaskStatus, now: float) -> None:
     """The worker says for the first time that the attempt has exited."""
-    cluster.attempts.count_unknown_task(attempt, -1)
+    cluster.attempts.adjust_unknown_tasks(attempt, -1)
     attempt.exited = True
     attempt.phase = TaskPhase.EXITED
     if status.known_exit_cause() is ExitCause.DONE:
@@ -85,7 +85,7 @@
     if failures.is_suspect(len(job.bound)):
         # The other machines are not to blame: avoiding them all would leave it waiting beside free room.
         job.avoid = {machine.name: job.avoid[machine.name]}
-        wait_s = max(0.0, failures.next_trial_at - now)
+        wait_s = max(0.0, failures.next_retry_at - now)
         job.note(f"failed on all {len(failures.machines)} machines tried; next try in {wait_s:.0f} s")
 
 
--- a/sorrelsill/workers/test_failures.py
+++ b/sorrelsill/workers/test_failures.py
@@ -10,8 +10,8 @@
     now = 0.0
     for number in range(8):
         assert history.record_failure(f"m{number}", now) == set()
-        pauses.append(history.next_trial_at - now)
-        now = history.next_trial_at
+        pauses.append(history.next_retry_at - now)
+        now = history.next_retry_at
     assert pauses == [2.0, 4.0, 8.0, 16.0, 32.0, 60.0, 60.0, 60.0]
     assert history.is_suspect(0)
 
@@ -21,7 +21,7 @@
     for number in range(100):
         history.record_failure(f"m{number}", 1.0)
     assert history.failure_bursts == 1
-    assert history.next_trial_at == 1.0 + constants.START_BACKOFF_S
+    assert history.next_retry_at == 1.0 + constants.START_BACKOFF_S
 
 
 def test_failures_count_against_machines_once_the_job_succeeds_elsewhere() -> None:
--- a/sorrelsill/workers/unschedulable.py
+++ b/sorrelsill/workers/unschedulable.py
@@ -9,10 +9,10 @@
 
 @dataclass(slots=True)
 class UnschedulableDemand:
-    """A job with `count` tasks for which there was no capacity. `limited`: its team's limit prevents the start,
+    """A job with `count` tasks for which there was no capacity. `quota_limited`: its team's limit prevents the start,
     not a lack of machines. `zone`: for a gang that must run in one zone, the zone that lacks the least capacity."""
 
     job: Job
     count: int
-    limited: bool = False
+    quota_limited: bool = False
     zone: str | None = None
