--- a/sorrelsill/workers/test_failures.py
+++ b/sorrelsill/workers/test_failures.py
@@ -1,22 +1,22 @@
-"""Whose fault a failed task is."""
+"""Attribution of task failures to the job or to machines."""
 
 from sorrelsill import constants
 from sorrelsill.workers.failures import FailureHistory
 
 
-def test_a_job_that_never_succeeds_accuses_no_machine_and_is_tried_ever_less() -> None:
+def test_a_job_that_never_succeeds_blames_no_machine_and_is_retried_with_backoff() -> None:
     history = FailureHistory()
-    pauses = []
+    backoffs_s = []
     now = 0.0
     for number in range(8):
         assert history.record_failure(f"m{number}", now) == set()
-        pauses.append(history.next_retry_at - now)
+        backoffs_s.append(history.next_retry_at - now)
         now = history.next_retry_at
-    assert pauses == [2.0, 4.0, 8.0, 16.0, 32.0, 60.0, 60.0, 60.0]
+    assert backoffs_s == [2.0, 4.0, 8.0, 16.0, 32.0, 60.0, 60.0, 60.0]
     assert history.is_suspect(0)
 
 
-def test_tasks_that_fail_together_are_one_trial() -> None:
+def test_tasks_that_fail_together_are_one_burst() -> None:
     history = FailureHistory()
     for number in range(100):
         history.record_failure(f"m{number}", 1.0)
@@ -38,14 +38,14 @@
     assert history.record_success("m1") == set()
 
 
-def test_a_job_that_accuses_many_machines_is_no_reliable_witness() -> None:
-    """Some of its tasks fail wherever they run, others succeed."""
+def test_failures_of_one_job_count_against_a_limited_number_of_machines() -> None:
+    """The job may have some tasks that fail on every machine while others succeed."""
     history = FailureHistory(succeeded=True)
-    accused = [history.record_failure(f"m{number}", float(number)) for number in range(10)]
-    assert sum(len(names) for names in accused) == constants.BLAMED_MACHINES_MAX
+    blamed = [history.record_failure(f"m{number}", float(number)) for number in range(10)]
+    assert sum(len(machines) for machines in blamed) == constants.BLAMED_MACHINES_MAX
 
 
-def test_a_job_whose_other_tasks_go_on_is_not_suspect() -> None:
+def test_a_job_whose_other_tasks_keep_running_is_not_suspect() -> None:
     history = FailureHistory()
     history.record_failure("m1", 0.0)
     history.record_failure("m2", 0.0)
--- a/sorrelsill/workers/test_job.py
+++ b/sorrelsill/workers/test_job.py
@@ -1,4 +1,4 @@
-"""A job's bound tasks and the zones they count in."""
+"""Binding and unbinding of a job's tasks, and its count of bound tasks per zone."""
 
 from sorrelsill.jobs import parse_spec
 from sorrelsill.model import TaskSet
@@ -6,34 +6,34 @@
 from tests.simulation import job
 
 
-def a_job() -> Job:
+def make_job() -> Job:
     spec = parse_spec(job("run-1"))
     return Job(spec, TaskSet(spec.task_count), 1, False, 0.0, [])
 
 
-def attempt_in(zone: str, of: Job, attempt_number: int) -> Attempt:
+def attempt_in(zone: str, live_job: Job, attempt_number: int) -> Attempt:
     machine = Machine(f"m-{zone}")
     machine.zone = zone
-    return Attempt(of.spec.job_id, 0, attempt_number, machine, of.spec, 0.0)
+    return Attempt(live_job.spec.job_id, 0, attempt_number, machine, live_job.spec, 0.0)
 
 
-def test_a_later_attempt_takes_the_place_of_the_former_one_in_its_zone_too() -> None:
-    bound = a_job()
-    former, later = attempt_in("a", bound, 1), attempt_in("b", bound, 2)
-    bound.bind(former)
-    assert bound.bound == {0: former} and bound.zones == {"a": 1}
-    bound.bind(later)
-    assert bound.bound == {0: later} and bound.zones == {"a": 0, "b": 1}
+def test_a_later_attempt_replaces_the_earlier_one_and_its_zone_count() -> None:
+    live_job = make_job()
+    earlier, later = attempt_in("a", live_job, 1), attempt_in("b", live_job, 2)
+    live_job.bind(earlier)
+    assert live_job.bound == {0: earlier} and live_job.zones == {"a": 1}
+    live_job.bind(later)
+    assert live_job.bound == {0: later} and live_job.zones == {"a": 0, "b": 1}
 
 
-def test_a_task_whose_attempt_is_gone_is_started_again_unless_it_is_done() -> None:
-    unbound = a_job()
-    unbound.cursor = unbound.spec.task_count  # all were started once
+def test_a_task_whose_attempt_is_gone_is_requeued_unless_it_is_done() -> None:
+    live_job = make_job()
+    live_job.cursor = live_job.spec.task_count  # all tasks have been started once
     for done in (False, True):
-        attempt = attempt_in("a", unbound, 1)
-        unbound.bind(attempt)
+        attempt = attempt_in("a", live_job, 1)
+        live_job.bind(attempt)
         if done:
-            unbound.done.add(0)
-        unbound.unbind(attempt, 5.0, requeue=True)
-        assert unbound.zones == {"a": 0} and unbound.last_activity_at == 5.0
-        assert unbound.next_task() == (None if done else 0)
+            live_job.done.add(0)
+        live_job.unbind(attempt, 5.0, requeue=True)
+        assert live_job.zones == {"a": 0} and live_job.last_activity_at == 5.0
+        assert live_job.next_task() == (None if done else 0)
--- a/sorrelsill/workers/test_machine_sets.py
+++ b/sorrelsill/workers/test_machine_sets.py
@@ -1,4 +1,4 @@
-"""Sets of machines that are drawn from while they change."""
+"""Sets of machines for random sampling, and the index of machines by free CPUs."""
 
 import random
 
@@ -7,28 +7,28 @@
 
 
 def machine(name: str, cpus: float, used: float = 0.0, zone: str = "a", spot: bool = False) -> Machine:
-    made = Machine(name)
-    made.capacity_cpus, made.cpus, made.zone, made.spot = cpus, used, zone, spot
-    return made
+    new_machine = Machine(name)
+    new_machine.capacity_cpus, new_machine.cpus, new_machine.zone, new_machine.spot = cpus, used, zone, spot
+    return new_machine
 
 
-def test_a_set_holds_what_was_added_and_not_removed_at_positions_without_gaps() -> None:
+def test_a_set_keeps_its_members_at_contiguous_positions() -> None:
     rng = random.Random(1)
     machines = {f"m{number}": machine(f"m{number}", 8.0) for number in range(50)}
-    drawn, expected = MachineSet(), set()
+    machine_set, expected = MachineSet(), set()
     for _ in range(2000):
         name = rng.choice(list(machines))
         if rng.random() < 0.5:
-            drawn.add(machines[name])
+            machine_set.add(machines[name])
             expected.add(name)
         else:
-            drawn.discard(name)
+            machine_set.discard(name)
             expected.discard(name)
-        assert drawn.names() == expected and len(drawn) == len(expected)
-        assert {drawn[at].name for at in range(len(drawn))} == expected
+        assert machine_set.names() == expected and len(machine_set) == len(expected)
+        assert {machine_set[position].name for position in range(len(machine_set))} == expected
 
 
-def test_machines_with_too_few_cpus_left_are_never_offered_and_all_others_are() -> None:
+def test_machines_with_too_few_free_cpus_are_left_out_and_all_others_offered() -> None:
     rng = random.Random(2)
     free = FreeMachines()
     machines = [machine(f"m{number}", 200.0, zone="ab"[number % 2], spot=number % 3 == 0) for number in range(60)]
@@ -42,7 +42,8 @@
     for cpus in (0.05, 0.5, 1.0, 1.1, 40.0, 99.5, 200.0):
         offered = {each.name for each in free.with_room(cpus)}
         assert {each.name for each in known if each.capacity_cpus - each.cpus + 1e-6 >= cpus} <= offered
-        # Sorted by whole CPUs up to the number of classes: what is offered in vain lacks less than one.
+        # Machines are classed by whole free CPUs up to the number of classes, so that one offered without enough free
+        # CPUs lacks less than one CPU.
         assert all(each.capacity_cpus - each.cpus > min(cpus, 64.0) - 1.0 for each in known if each.name in offered)
     by_zone = {z: sum(m.capacity_cpus - m.cpus for m in known if m.zone == z and not m.spot) for z in "ab"}
     assert {z: round(cpus, 3) for z, cpus in free.on_demand_cpus().items()} == {
@@ -50,11 +51,11 @@
     }
 
 
-def test_a_union_reaches_each_machine_once() -> None:
+def test_a_union_contains_each_machine_once() -> None:
     free = FreeMachines()
     for number in range(30):
         free.update(machine(f"m{number}", 16.0, used=float(number % 16)))
     union = free.with_room(4.0)
-    names = [union[at].name for at in range(len(union))]
+    names = [union[position].name for position in range(len(union))]
     assert len(names) == len(set(names)) == sum(1 for number in range(30) if number % 16 <= 12)
     assert [each.name for each in union] == names
--- a/sorrelsill/workers/test_tombstones.py
+++ b/sorrelsill/workers/test_tombstones.py
@@ -1,10 +1,10 @@
-"""Late copies of heartbeats of machines that are gone."""
+"""Rejection of delayed heartbeats of removed machines."""
 
 from sorrelsill import constants
 from sorrelsill.workers.tombstones import Tombstones
 
 
-def test_machines_that_are_gone_are_remembered_as_long_as_messages_may_be_late_however_many() -> None:
+def test_tombstones_are_kept_while_messages_may_be_delayed_regardless_of_their_number() -> None:
     tombstones = Tombstones()
     for number in range(20_000):
         tombstones.record_forever(f"m-{number}", number * constants.TOMBSTONE_S / 20_000)
@@ -13,7 +13,7 @@
     assert len(tombstones) == constants.TOMBSTONES_KEPT
 
 
-def test_a_later_session_of_a_machine_that_was_dropped_is_believed() -> None:
+def test_a_later_incarnation_of_a_forgotten_machine_is_accepted() -> None:
     tombstones = Tombstones()
     tombstones.record("m-1", 3, 40, 0.0)
     assert tombstones.rejects("m-1", 3, 40) and tombstones.rejects("m-1", 2, 99)
