--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -48,17 +48,17 @@
         self.accepted = 0.0  # wall-clock time of the submission, from the job record
         self.notes = notes
         self.bound: dict[int, Attempt] = {}
-        self.zones: dict[str, int] = {}
+        self.zones: dict[str, int] = {}  # zone -> number of bound tasks
         self.cursor = 0  # every task below this index has been done or bound at some time
-        self.requeued: list[int] = []
+        self.requeued: list[int] = []  # heap of tasks to be started again
         self.failures = FailureHistory(succeeded=done.count > 0)
-        self.avoid: dict[str, float] = {}
+        self.avoid: dict[str, float] = {}  # machine -> time until which no task of the job is placed on it
         # Indices of the parts of the finished-task set that are not stored yet; a part covers PART_TASKS tasks.
         self.unrecorded_parts: set[int] = set()
         self.chunked = spec.task_count > constants.CHUNK_TASKS  # its finished tasks are stored in keys of their own
         self.recorded_running = 0  # running tasks according to the stored record
         self.recorded_at = now
-        self.order = 0
+        self.order = 0  # position in the order in which the jobs of the term were added
 
     @property
     def waiting(self) -> int:
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -104,9 +104,8 @@
     quarantined = _UsabilityField(False)
     # It runs tasks of unknown jobs, so its free capacity is unknown.
     holds_tasks_of_unknown_size = _UsabilityField(False)
-    spot_reclaim_at: _UsabilityField[float | None] = _UsabilityField(
-        None
-    )  # when the cloud provider reclaims the spot instance
+    # When the cloud provider reclaims the spot instance; None without a reclaim notice.
+    spot_reclaim_at: _UsabilityField[float | None] = _UsabilityField(None)
 
     def __init__(
         self, name: str, idle_since: float = 0.0, on_usable_changed: Callable[[Machine], None] = _ignore
@@ -130,10 +129,10 @@
         # It may know our fencing token from an earlier incarnation; reporting it then does not prove that our messages
         # reach it.
         self.token_may_be_inherited = False
-        # Time of the first heartbeat since which its incarnation still has to acknowledge our fencing token.
+        # Receipt time of the first heartbeat while our fencing token was not acknowledged; None once it is.
         self.unacknowledged_since: float | None = None
         self.lease_renewed_at: float | None = None  # receipt time of the last heartbeat that we answered
-        # Its attempts certainly run on it: it reported them with our term as its highest fencing token.
+        # Its attempts are certainly on it: it reported them with our term as its highest fencing token.
         self.attempts_verified = False
         self.attempts: dict[AttemptKey, Attempt] = {}
         self.bound_count = 0  # attempts that have resources allocated on it
--- a/sorrelsill/workers/machine_sets.py
+++ b/sorrelsill/workers/machine_sets.py
@@ -46,7 +46,7 @@
         return [self._machines[position] for position in positions]
 
     def names(self) -> set[str]:
-        """For tests and checks."""
+        """The names of the machines in the set; for tests and consistency checks."""
         return set(self._positions)
 
     def __contains__(self, machine: object) -> bool:
@@ -163,7 +163,7 @@
         return MachineUnion(self._classes[min(int(cpus), ROOM_CLASSES - 1) :])
 
     def names(self) -> set[str]:
-        """For tests and checks."""
+        """The names of the machines in the index; for tests and consistency checks."""
         return set(self._class_of)
 
     def __contains__(self, name: object) -> bool:
