--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -73,7 +73,7 @@
         cluster.request_stop(attempt, "one too many")
         return
     job.bind(attempt)
-    cluster.job_changed(attempt.job_id)
+    cluster.mark_job_changed(attempt.job_id)
     cluster.pending_writes.record_due(attempt.job_id)
 
 
@@ -88,6 +88,6 @@
 
 def _allocate(cluster: ClusterRecords, attempt: Attempt, job: Job | EndedJob) -> None:
     """Give the attempt its job's spec, so that its size is known and counted."""
-    cluster.attempts.count_unknown_task(attempt, -1)
+    cluster.attempts.adjust_unknown_tasks(attempt, -1)
     attempt.spec = job.spec
-    cluster.take_room(attempt)
+    cluster.allocate_resources(attempt)
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -85,7 +85,7 @@
 
 
 def _get_or_add_machine(cluster: ClusterRecords, heartbeat: WorkerHeartbeat, now: float) -> Machine:
-    return cluster.machine(heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now)
+    return cluster.get_or_add_machine(heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, now)
 
 
 def _is_current(machine: Machine, heartbeat: WorkerHeartbeat) -> bool:
--- a/sorrelsill/workers/machine_sets.py
+++ b/sorrelsill/workers/machine_sets.py
@@ -1,6 +1,6 @@
-"""Sets of machines that can be drawn from at random, and an index of machines by the room that is left on them. Pure.
+"""Sets of machines that support random sampling, and an index of machines by free CPUs. No I/O.
 
-The scheduler looks at a sample of the machines; these sets give it one without walking or copying the fleet."""
+The scheduler examines a sample of the machines; these sets provide one without iterating over or copying the fleet."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 if TYPE_CHECKING:
     from sorrelsill.workers.machine import Machine
 
-_MICRO = 1_000_000  # CPUs are added up in millionths, as whole numbers: sums of fractions would drift
+_MICROS_PER_CPU = 1_000_000  # CPUs are summed as integers, as sums of floats would accumulate rounding errors
 
 
 class MachineSet(Sequence["Machine"]):
-    """Machines in no particular order: adding, removing and reaching the nth one take the same time however many."""
+    """Machines in no particular order, with insertion, removal and access by position in constant time."""
 
     __slots__ = ("_machines", "_positions")
 
@@ -26,13 +26,13 @@
         self._positions: dict[str, int] = {}  # by name
 
     def add(self, machine: Machine) -> None:
-        """Without effect if it is in the set."""
+        """Add a machine; without effect if it is in the set already."""
         if machine.name not in self._positions:
             self._positions[machine.name] = len(self._machines)
             self._machines.append(machine)
 
     def discard(self, name: str) -> None:
-        """The last machine takes the place of the one removed."""
+        """Remove a machine, if present. The last machine moves to its position."""
         position = self._positions.pop(name, None)
         if position is None:
             return
@@ -42,11 +42,11 @@
             self._positions[last.name] = position
 
     def at_positions(self, positions: list[int]) -> list[Machine]:
-        """The machines at these positions."""
+        """Return the machines at these positions."""
         return [self._machines[position] for position in positions]
 
     def names(self) -> set[str]:
-        """For tests and checks."""
+        """The names of the machines in the set; for tests and consistency checks."""
         return set(self._positions)
 
     def __contains__(self, machine: object) -> bool:
@@ -59,17 +59,17 @@
         return iter(self._machines)
 
     @overload
-    def __getitem__(self, at: int) -> Machine: ...
+    def __getitem__(self, index: int) -> Machine: ...
 
     @overload
-    def __getitem__(self, at: slice) -> list[Machine]: ...
+    def __getitem__(self, index: slice) -> list[Machine]: ...
 
-    def __getitem__(self, at: int | slice) -> Machine | list[Machine]:
-        return self._machines[at]
+    def __getitem__(self, index: int | slice) -> Machine | list[Machine]:
+        return self._machines[index]
 
 
 class MachineUnion(Sequence["Machine"]):
-    """Several disjoint sets as one, without a copy."""
+    """A view of several disjoint sets as one sequence, without copying."""
 
     __slots__ = ("_lists",)
 
@@ -83,86 +83,87 @@
         return chain.from_iterable(self._lists)
 
     @overload
-    def __getitem__(self, at: int) -> Machine: ...
+    def __getitem__(self, index: int) -> Machine: ...
 
     @overload
-    def __getitem__(self, at: slice) -> list[Machine]: ...
+    def __getitem__(self, index: slice) -> list[Machine]: ...
 
-    def __getitem__(self, at: int | slice) -> Machine | list[Machine]:
-        if isinstance(at, slice):
-            return list(self)[at]
-        return self.at_positions([at])[0]
+    def __getitem__(self, index: int | slice) -> Machine | list[Machine]:
+        if isinstance(index, slice):
+            return list(self)[index]
+        return self.at_positions([index])[0]
 
     def at_positions(self, positions: list[int]) -> list[Machine]:
-        """The machines at these positions, which are in rising order, in one pass over the sets."""
+        """Return the machines at these positions, which must be in ascending order, in one pass over the sets."""
         found: list[Machine] = []
         lists = iter(self._lists)
         current: list[Machine] = []
-        passed = 0  # machines in the sets before the current one
+        preceding = 0  # machines in the sets before the current one
         for position in positions:
-            while position - passed >= len(current):
-                passed += len(current)
+            while position - preceding >= len(current):
+                preceding += len(current)
                 current = next(lists)
-            found.append(current[position - passed])
+            found.append(current[position - preceding])
         return found
 
 
 class FreeMachines:
-    """Machines with CPUs left, by how many: what is too full for a task is never looked at."""
+    """Machines by their number of free CPUs, so that machines too full for a task are skipped."""
 
     def __init__(self) -> None:
         self._classes = [MachineSet() for _ in range(ROOM_CLASSES)]
         self._class_of: dict[str, int] = {}  # by name
-        self._counted: dict[str, tuple[str, int]] = {}  # ordinary machine -> its zone, and its millionths of free CPUs
-        self._ordinary: dict[str, int] = {}  # zone -> millionths of CPUs free on ordinary machines
+        # On-demand machines only, in millionths of a CPU: machine -> (zone, free CPUs)
+        self._free_cpus_by_machine: dict[str, tuple[str, int]] = {}
+        self._free_cpus_by_zone: dict[str, int] = {}  # zone -> free CPUs, in the same unit
 
-    def put(self, machine: Machine) -> None:
-        """The machine may be given work, and this is what is free on it now."""
+    def update(self, machine: Machine) -> None:
+        """Insert a usable machine, or update its entry after a change of its free CPUs."""
         free = machine.capacity_cpus - machine.cpus
         if free <= AMOUNT_TOLERANCE:
             self.discard(machine.name)
             return
-        number = min(int(free + AMOUNT_TOLERANCE), ROOM_CLASSES - 1)
-        former = self._class_of.get(machine.name)
-        if former != number:
-            if former is not None:
-                self._classes[former].discard(machine.name)
-            self._classes[number].add(machine)
-            self._class_of[machine.name] = number
-        self._count(machine, free)
+        class_index = min(int(free + AMOUNT_TOLERANCE), ROOM_CLASSES - 1)
+        previous = self._class_of.get(machine.name)
+        if previous != class_index:
+            if previous is not None:
+                self._classes[previous].discard(machine.name)
+            self._classes[class_index].add(machine)
+            self._class_of[machine.name] = class_index
+        self._count_free_cpus(machine, free)
 
     def discard(self, name: str) -> None:
-        """The machine is full, or may be given no work."""
-        number = self._class_of.pop(name, None)
-        if number is not None:
-            self._classes[number].discard(name)
-            self._uncount(name)
+        """Remove a machine that is full or not usable any more."""
+        class_index = self._class_of.pop(name, None)
+        if class_index is not None:
+            self._classes[class_index].discard(name)
+            self._uncount_free_cpus(name)
 
-    def _count(self, machine: Machine, free: float) -> None:
+    def _count_free_cpus(self, machine: Machine, free: float) -> None:
         if machine.spot:
             return
-        self._uncount(machine.name)
-        amount = round(free * _MICRO)
-        self._counted[machine.name] = machine.zone, amount
-        self._ordinary[machine.zone] = self._ordinary.get(machine.zone, 0) + amount
+        self._uncount_free_cpus(machine.name)
+        amount = round(free * _MICROS_PER_CPU)
+        self._free_cpus_by_machine[machine.name] = machine.zone, amount
+        self._free_cpus_by_zone[machine.zone] = self._free_cpus_by_zone.get(machine.zone, 0) + amount
 
-    def _uncount(self, name: str) -> None:
-        zone, amount = self._counted.pop(name, ("", 0))
+    def _uncount_free_cpus(self, name: str) -> None:
+        zone, amount = self._free_cpus_by_machine.pop(name, ("", 0))
         if amount:
-            self._ordinary[zone] -= amount
-            if not self._ordinary[zone]:
-                del self._ordinary[zone]
+            self._free_cpus_by_zone[zone] -= amount
+            if not self._free_cpus_by_zone[zone]:
+                del self._free_cpus_by_zone[zone]
 
-    def ordinary_cpus(self) -> dict[str, float]:
-        """CPUs free on machines that won't be reclaimed, by zone."""
-        return {zone: amount / _MICRO for zone, amount in self._ordinary.items()}
+    def on_demand_cpus(self) -> dict[str, float]:
+        """Free CPUs on on-demand machines, which are not reclaimed, by zone."""
+        return {zone: amount / _MICROS_PER_CPU for zone, amount in self._free_cpus_by_zone.items()}
 
     def with_room(self, cpus: float) -> MachineUnion:
-        """Machines that may have so many CPUs free; those that certainly have fewer are left out."""
+        """Machines that may have this many free CPUs, leaving out those that certainly have fewer."""
         return MachineUnion(self._classes[min(int(cpus), ROOM_CLASSES - 1) :])
 
     def names(self) -> set[str]:
-        """For tests and checks."""
+        """The names of the machines in the index; for tests and consistency checks."""
         return set(self._class_of)
 
     def __contains__(self, name: object) -> bool:
--- a/sorrelsill/workers/reported_tasks.py
+++ b/sorrelsill/workers/reported_tasks.py
@@ -56,7 +56,7 @@
     if attempt.task_id != status.task_id:
         log_event(log, logging.ERROR, "invalid_task_in_heartbeat", machine=machine.name, error=status.task_id[:80])
         return None
-    cluster.attempts.enter(attempt)
+    cluster.attempts.add(attempt)
     if status.phase != TaskPhase.EXITED:
         adopt_or_stop(cluster, attempt)
     return attempt
@@ -77,12 +77,12 @@
         return
     attempt.phase = phase
     if phase is TaskPhase.WAITING and attempt.spec is not None:
-        cluster.index.hold_image(machine, attempt.spec)  # the image is fetched; the task waits for its gang
+        cluster.index.record_cached_image(machine, attempt.spec)  # the image is fetched; the task waits for its gang
     if phase is TaskPhase.RUNNING and attempt.running_since is None:
         attempt.running_since = now
         log_attempt(log, "runs", attempt, after_bind_s=now - attempt.created_at)
         if attempt.spec is not None:
-            cluster.index.hold_image(machine, attempt.spec)
+            cluster.index.record_cached_image(machine, attempt.spec)
             cluster.pending_writes.record_due(attempt.job_id)
 
 
@@ -96,5 +96,5 @@
             continue  # its direct start may still be executed, so its absence proves nothing
         if attempt.confirmed or (is_heartbeat and (attempt.exited or attempt.stop_requested)):
             # Cleared, lost, or stopped before it was ever started: this newer message proves that it is gone.
-            cluster.attempts.leave(attempt)
+            cluster.attempts.remove(attempt)
             cluster.unbind(attempt, now)
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -17,7 +17,7 @@
 
 def on_exit(cluster: ClusterRecords, attempt: Attempt, status: TaskStatus, now: float) -> None:
     """Handle the first report that an attempt has exited."""
-    cluster.attempts.count_unknown_task(attempt, -1)
+    cluster.attempts.adjust_unknown_tasks(attempt, -1)
     attempt.exited = True
     attempt.phase = TaskPhase.EXITED
     if status.known_exit_cause() is ExitCause.DONE:
@@ -53,7 +53,7 @@
         if job.done.add(done_index):
             job.unrecorded_parts.add(done_index // constants.PART_TASKS)
             cluster.pending_writes.record_due(job.spec.job_id)
-            cluster.job_changed(job.spec.job_id)
+            cluster.mark_job_changed(job.spec.job_id)
 
 
 def _note_exit(cluster: ClusterRecords, job: Job, attempt: Attempt, status: TaskStatus, now: float) -> None:
@@ -89,7 +89,7 @@
         # The other machines are probably not at fault: if the job avoided them all, it would wait although there is
         # free capacity.
         job.avoid = {machine.name: job.avoid[machine.name]}
-        wait_s = max(0.0, failures.next_trial_at - now)
+        wait_s = max(0.0, failures.next_retry_at - now)
         job.note(f"failed on all {len(failures.machines)} machines tried; next try in {wait_s:.0f} s")
 
 
