--- a/sorrelsill/placement/__init__.py
+++ b/sorrelsill/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Which task goes to which machine, and what has to make room."""
+"""Task placement: assigns waiting tasks to machines and selects preemption victims."""
 
 from sorrelsill.placement.scheduler import Scheduler
 
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -90,7 +90,7 @@
         for how many tasks; `reservation_s` is how long the room is awaited beyond the grace period."""
         cluster, now, spec = cycle.cluster, cycle.now, job.spec
         if not self._may_preempt(job) and not (
-            self._borrowing_teams.any_other_than(spec.team) and self._objective_at_risk(cluster, job, now)
+            self._borrowing_teams.any_team_except(spec.team) and self._objective_at_risk(cluster, job, now)
         ):
             return 0
         wanted = min(
--- a/sorrelsill/placement/scheduling_cycle.py
+++ b/sorrelsill/placement/scheduling_cycle.py
@@ -1,4 +1,4 @@
-"""What the parts of the scheduler share during one scheduling cycle."""
+"""State that the components of the scheduler share during one scheduling cycle."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 
 @dataclass(slots=True)
 class SchedulingCycle:
-    """The state that the cycle works on, its time, and the job classes it found unschedulable."""
+    """The cluster state, the current time and the job classes already found unschedulable in this cycle."""
 
     cluster: ClusterState
     now: float
-    out_of_time: Callable[[], bool]  # whether the cycle's time budget is used up
-    machines: MachineSet  # those that may be given work
-    unschedulable_classes: set[Hashable] = field(default_factory=set)  # classes of jobs for which no machine has room
+    out_of_time: Callable[[], bool]  # returns whether the cycle's time budget is used up
+    machines: MachineSet  # usable machines
+    unschedulable_classes: set[Hashable] = field(
+        default_factory=set
+    )  # equivalence classes for which no machine has room
 
 
 def equivalence_class(spec: JobSpec) -> Hashable:
-    """Jobs of one class fit on the same machines."""
+    """Return the scheduling-equivalence class of a job: jobs of the same class fit on the same machines."""
     return spec.machine_types, spec.zone, spec.cpus, spec.gpus, spec.memory_gb, spec.spot_allowed
--- a/sorrelsill/placement/team_quotas.py
+++ b/sorrelsill/placement/team_quotas.py
@@ -1,4 +1,4 @@
-"""Teams' quotas and guarantees, as far as the scheduler enforces them. Pure."""
+"""Team quotas and guaranteed shares that the scheduler enforces. No I/O."""
 
 from __future__ import annotations
 
@@ -14,24 +14,26 @@
 
 
 class TeamQuotas:
-    """The quota of each team, and which teams borrow."""
+    """The quota of each team, and whether it is a borrowing team."""
 
     def __init__(self, teams: list[Team]) -> None:
         self._teams = {team.name: team for team in teams}
 
     def get(self, name: str) -> Team | None:
-        """The team of that name."""
+        """Return the team with that name, or None if there is none."""
         return self._teams.get(name)
 
     def allows(self, cluster: ClusterState, spec: JobSpec, tasks: int = 1) -> bool:
-        """Whether so many more tasks of the job keep its team within its quota: the one place where that is decided."""
+        """Return whether starting `tasks` more tasks of the job keeps its team within its quota. All quota checks are
+        made here."""
         team = self._teams.get(spec.team)
         if team is None:
             return False
         if not team.cpus_max and not team.gpus_max:
             return True
         use = cluster.team_use(spec.team)
-        # Called thousands of times a second while teams are at their quota: plain sums, no objects allocated.
+        # Called thousands of times per second while teams are at their quota, so it adds plain numbers instead of
+        # allocating Resources objects.
         cpus = use.bound.cpus + use.unobserved.cpus + spec.cpus * tasks
         gpus = use.bound.gpus + use.unobserved.gpus + spec.gpus * tasks
         allowed = (not team.cpus_max or cpus <= team.cpus_max + constants.AMOUNT_TOLERANCE) and (
@@ -44,7 +46,8 @@
         return allowed
 
     def is_borrower(self, name: str) -> bool:
-        """Teams without a guarantee borrow: they run on what nobody else needs."""
+        """Return whether the team is a borrowing team: it has no guaranteed share and runs on capacity that no other
+        team needs."""
         team = self._teams.get(name)
         return team is not None and not team.cpus and not team.gpus
 
--- a/sorrelsill/placement/victims.py
+++ b/sorrelsill/placement/victims.py
@@ -1,4 +1,4 @@
-"""Preemption victims on one machine."""
+"""The set of preemption victims on one machine."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VictimSet:
-    """Attempts whose end makes room on their machine, and the work that is lost with them."""
+    """Attempts on one machine whose eviction frees enough room, and the work lost by evicting them."""
 
     cost: float  # CPU seconds
     attempts: list[Attempt]
