--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -1,4 +1,4 @@
-"""Which machine a single task goes to: the best fit among a sample of those that may take it."""
+"""Selects the machine for a single task: the best fit among a random sample of feasible machines."""
 
 from __future__ import annotations
 
@@ -15,30 +15,31 @@
     from sorrelsill.placement.reservations import Reservations
     from sorrelsill.workers import ClusterState, Job, Machine, MachineSet, MachineUnion
 
-_FETCH_SHARED = 0.5  # ratio; of the weight of a missing image, where another task's fetch brings it
+_SHARED_FETCH_FACTOR = 0.5  # ratio; of FETCH_WEIGHT, where another task on the machine is fetching the image already
 
 
 class _MachineSampler:
-    """Random samples of machines until one is feasible. What was not feasible is not sampled again; after some failed
-    samples the remaining ones are listed and filtered, so that a feasible machine is always found."""
+    """Draws random samples of machines until one contains a feasible machine. Infeasible machines are not considered
+    again. After `DRAWS_BEFORE_LISTING` failed samples the remaining machines are listed and filtered, so a feasible
+    machine is always found if there is one."""
 
-    __slots__ = ("_failed_draws", "_image", "_machines", "_rejected", "_remaining")
+    __slots__ = ("_failed_samples", "_image", "_machines", "_rejected", "_remaining")
 
     def __init__(self, machines: MachineSet | MachineUnion, image: str | None = None) -> None:
-        self._machines = machines  # as they are at any time
-        self._image = image  # only machines that hold it
+        self._machines = machines  # a live set: it changes while the sampler is in use
+        self._image = image  # if set, only machines that hold this image
         self._rejected: set[str] = set()
         self._remaining: list[Machine] | None = None
-        self._failed_draws = 0
+        self._failed_samples = 0
 
     def feasible(self, rng: random.Random, sample: int, is_feasible: Callable[[Machine], bool]) -> list[Machine]:
-        """The feasible machines of a sample that has one at least; none if no machine is feasible."""
+        """Draw samples until one contains feasible machines, and return these; empty if no machine is feasible."""
         while self._remaining is None:
-            found = self._draw(rng, sample, is_feasible)
+            found = self._draw_sample(rng, sample, is_feasible)
             if found:
                 return found
-            self._failed_draws += 1
-            if self._failed_draws >= constants.DRAWS_BEFORE_LISTING or len(self._rejected) >= len(self._machines):
+            self._failed_samples += 1
+            if self._failed_samples >= constants.DRAWS_BEFORE_LISTING or len(self._rejected) >= len(self._machines):
                 self._remaining = [machine for machine in self._machines if machine.name not in self._rejected]
         while self._remaining:
             found = self._filter_remaining(self._remaining, rng, sample, is_feasible)
@@ -46,7 +47,7 @@
                 return found
         return []
 
-    def _draw(self, rng: random.Random, sample: int, is_feasible: Callable[[Machine], bool]) -> list[Machine]:
+    def _draw_sample(self, rng: random.Random, sample: int, is_feasible: Callable[[Machine], bool]) -> list[Machine]:
         found = []
         count = len(self._machines)
         for machine in self._machines.at_positions(sorted(rng.sample(range(count), min(sample, count)))):
@@ -61,14 +62,14 @@
     def _filter_remaining(
         self, remaining: list[Machine], rng: random.Random, sample: int, is_feasible: Callable[[Machine], bool]
     ) -> list[Machine]:
-        """The feasible machines of a sample of the remaining ones; the others of the sample are removed from these."""
+        """Return the feasible machines in a sample of `remaining`; remove the infeasible ones from `remaining`."""
         found = []
-        for at in sorted(rng.sample(range(len(remaining)), min(sample, len(remaining))), reverse=True):
-            machine = remaining[at]
+        for position in sorted(rng.sample(range(len(remaining)), min(sample, len(remaining))), reverse=True):
+            machine = remaining[position]
             if self._holds_image(machine) and is_feasible(machine):
                 found.append(machine)
             else:
-                remaining[at] = remaining[-1]
+                remaining[position] = remaining[-1]
                 remaining.pop()
         return found
 
@@ -77,23 +78,26 @@
 
 
 class CandidatePool:
-    """Machines that may take a job's tasks, those with its image first; the fleet is neither walked nor copied while
-    a sample has a feasible machine."""
+    """Machines that may take a job's tasks; those that hold its image are sampled first. As long as samples contain a
+    feasible machine, the list of all machines is neither iterated nor copied."""
 
-    __slots__ = ("current", "draws", "replicas")
+    __slots__ = ("last_chosen", "replicas_by_machine", "samplers")
 
     def __init__(self, cluster: ClusterState, spec: JobSpec) -> None:
-        roomy = cluster.index.with_room(spec)
+        with_room = cluster.index.with_room(spec)
         holders = cluster.index.holders(spec.image)
-        # The smaller set is sampled: of an image that all machines hold, most holders may be full.
-        warm = _MachineSampler(holders) if len(holders) <= len(roomy) else _MachineSampler(roomy, spec.image)
-        self.draws = (warm, _MachineSampler(roomy))
-        self.replicas: dict[str, int] | None = None  # machine -> replicas there, of a job that is to be spread out
-        self.current: Machine | None = None  # the last one chosen; its image serves all tasks that still fit
+        # Sample the smaller set: if all machines hold the image, most of them may be full.
+        holder_sampler = (
+            _MachineSampler(holders) if len(holders) <= len(with_room) else _MachineSampler(with_room, spec.image)
+        )
+        self.samplers = (holder_sampler, _MachineSampler(with_room))
+        # machine -> replicas on it; set only for jobs whose replicas are spread
+        self.replicas_by_machine: dict[str, int] | None = None
+        self.last_chosen: Machine | None = None  # reused while tasks fit: one image fetch serves them all
 
 
 class MachineChooser:
-    """Best fit for one task at a time."""
+    """Chooses the best-fitting machine for one task at a time."""
 
     def __init__(
         self,
@@ -109,55 +113,63 @@
         self._gang_headroom = gang_headroom
         self._rng = rng
         self._sample = sample
-        self._optimise_latency = optimise_latency  # latency, not cost: work that may use spot machines runs there last
+        # If set, spot machines are the last choice for tasks that may use them.
+        self._optimise_latency = optimise_latency
 
     def choose(self, job: Job, pool: CandidatePool, now: float) -> Machine | None:
-        """Best fit among a sample, first of the machines with the image; what is no longer feasible is filtered out.
-        Further tasks go where the last one went as long as they fit, since one fetch serves them all."""
-        if pool.replicas is None and self._spreads(job):
-            pool.replicas = {}
+        """Return the best-fitting feasible machine of a sample, or None. Machines that hold the image are tried first.
+        Unless replicas are spread, further tasks go to the last chosen machine while they fit: one image fetch serves
+        them all."""
+        if pool.replicas_by_machine is None and self._spreads(job):
+            pool.replicas_by_machine = {}
             for attempt in job.bound.values():
-                pool.replicas[attempt.machine.name] = pool.replicas.get(attempt.machine.name, 0) + 1
-        replicas = pool.replicas
-        if replicas is None and pool.current is not None and self.is_feasible(job, pool.current, now):
-            return pool.current
-        for draw in pool.draws:
-            feasible = draw.feasible(self._rng, self._sample, lambda machine: self.is_feasible(job, machine, now))
+                pool.replicas_by_machine[attempt.machine.name] = (
+                    pool.replicas_by_machine.get(attempt.machine.name, 0) + 1
+                )
+        replicas = pool.replicas_by_machine
+        if replicas is None and pool.last_chosen is not None and self.is_feasible(job, pool.last_chosen, now):
+            return pool.last_chosen
+        for sampler in pool.samplers:
+            feasible = sampler.feasible(self._rng, self._sample, lambda machine: self.is_feasible(job, machine, now))
             if feasible:
                 best = min(feasible, key=lambda machine: self._score(job, machine, replicas))
                 if replicas is not None:
                     replicas[best.name] = replicas.get(best.name, 0) + 1
-                pool.current = best
+                pool.last_chosen = best
                 return best
         return None
 
     def is_feasible(self, job: Job, machine: Machine, now: float) -> bool:
-        """Whether a task of the job may start on the machine now."""
+        """Return whether a task of the job may start on the machine now."""
         spec = job.spec
         if not machine.room_for(spec) or not machine.allows(spec) or not machine.usable:
             return False
         if not spec.may_add_in(machine.zone, job.zones):
             return False
-        # Without the reservation small tasks take what is freed piece by piece, and victims are evicted for nothing.
+        # Without reservations, small tasks would take room as preemption frees it, and the victims would be evicted in
+        # vain.
         return self._reservations.admits(job, machine, now) and self._gang_headroom.permits(job, machine, now)
 
     def _spreads(self, job: Job) -> bool:
-        """Replicas that should start within seconds go to many machines: each then holds the image for the next ones,
-        and one that fails takes few along. They fetch concurrently, so it takes no longer than on one machine."""
+        """Return whether the job's replicas are spread over many machines, as for latency-sensitive services. Each of
+        these machines then holds the image for later replicas, and a machine failure affects few replicas. The machines
+        fetch the image concurrently, so this takes no longer than a fetch on one machine."""
         return job.spec.is_service and self._objectives.is_latency_sensitive(job.spec.job_class)
 
     def _score(self, job: Job, machine: Machine, replicas: dict[str, int] | None) -> float:
-        """Lower is better: the image is there, the machine is left fuller, the zones stay even."""
+        """Score a machine; lower is better. Prefers machines that hold the image, have few CPUs left over and keep the
+        job balanced over the zones."""
         spec = job.spec
         score = (machine.capacity_cpus - machine.cpus - spec.cpus) / max(machine.capacity_cpus, 1e-9)
         if spec.image not in machine.images:
-            # Its own replicas' fetch is no reason to join them, or a new image would never reach more than one machine.
-            joins = spec.image in machine.fetching and not (replicas and replicas.get(machine.name))
-            score += constants.FETCH_WEIGHT * (_FETCH_SHARED if joins else 1.0)
+            # A fetch by the job's own replicas does not count: else a new image would never reach a second machine.
+            joins_fetch = spec.image in machine.fetching and not (replicas and replicas.get(machine.name))
+            score += constants.FETCH_WEIGHT * (_SHARED_FETCH_FACTOR if joins_fetch else 1.0)
         if replicas is not None:
             score += constants.SPREAD_WEIGHT * replicas.get(machine.name, 0)
-        # For cost spot machines go first, which leaves the on-demand ones to work that needs them. For latency a task
-        # lost with its spot machine makes its whole job late, so on-demand machines, paid for anyway, go first.
+        # When optimising for cost, spot machines are preferred: on-demand machines stay free for tasks that need them.
+        # When optimising for latency, on-demand machines are preferred, as they are paid for anyway and a task lost
+        # with a reclaimed spot machine delays its whole job.
         if spec.spot_allowed and machine.spot == self._optimise_latency:
             score += constants.SPOT_MISMATCH_WEIGHT
         return score + constants.ZONE_BALANCE_WEIGHT * job.zones.get(machine.zone, 0) / spec.task_count
