--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -84,13 +84,15 @@
     __slots__ = ("last_chosen", "replicas_by_machine", "samplers")
 
     def __init__(self, cluster: ClusterState, spec: JobSpec) -> None:
-        with_room = cluster.index.with_room(spec)
+        machines_with_room = cluster.index.with_room(spec)
         holders = cluster.index.holders(spec.image)
         # Sample the smaller set: if all machines hold the image, most of them may be full.
         holder_sampler = (
-            _MachineSampler(holders) if len(holders) <= len(with_room) else _MachineSampler(with_room, spec.image)
+            _MachineSampler(holders)
+            if len(holders) <= len(machines_with_room)
+            else _MachineSampler(machines_with_room, spec.image)
         )
-        self.samplers = (holder_sampler, _MachineSampler(with_room))
+        self.samplers = (holder_sampler, _MachineSampler(machines_with_room))
         # machine -> replicas on it; set only for jobs whose replicas are spread
         self.replicas_by_machine: dict[str, int] | None = None
         self.last_chosen: Machine | None = None  # reused while tasks fit: one image fetch serves them all
@@ -126,15 +128,19 @@
                 pool.replicas_by_machine[attempt.machine.name] = (
                     pool.replicas_by_machine.get(attempt.machine.name, 0) + 1
                 )
-        replicas = pool.replicas_by_machine
-        if replicas is None and pool.last_chosen is not None and self.is_feasible(job, pool.last_chosen, now):
+        replicas_by_machine = pool.replicas_by_machine
+        if (
+            replicas_by_machine is None
+            and pool.last_chosen is not None
+            and self.is_feasible(job, pool.last_chosen, now)
+        ):
             return pool.last_chosen
         for sampler in pool.samplers:
             feasible = sampler.feasible(self._rng, self._sample, lambda machine: self.is_feasible(job, machine, now))
             if feasible:
-                best = min(feasible, key=lambda machine: self._score(job, machine, replicas))
-                if replicas is not None:
-                    replicas[best.name] = replicas.get(best.name, 0) + 1
+                best = min(feasible, key=lambda machine: self._score(job, machine, replicas_by_machine))
+                if replicas_by_machine is not None:
+                    replicas_by_machine[best.name] = replicas_by_machine.get(best.name, 0) + 1
                 pool.last_chosen = best
                 return best
         return None
@@ -156,17 +162,19 @@
         fetch the image concurrently, so this takes no longer than a fetch on one machine."""
         return job.spec.is_service and self._objectives.is_latency_sensitive(job.spec.job_class)
 
-    def _score(self, job: Job, machine: Machine, replicas: dict[str, int] | None) -> float:
+    def _score(self, job: Job, machine: Machine, replicas_by_machine: dict[str, int] | None) -> float:
         """Score a machine; lower is better. Prefers machines that hold the image, have few CPUs left over and keep the
         job balanced over the zones."""
         spec = job.spec
         score = (machine.capacity_cpus - machine.cpus - spec.cpus) / max(machine.capacity_cpus, 1e-9)
         if spec.image not in machine.images:
             # A fetch by the job's own replicas does not count: else a new image would never reach a second machine.
-            joins_fetch = spec.image in machine.fetching and not (replicas and replicas.get(machine.name))
+            joins_fetch = spec.image in machine.fetching and not (
+                replicas_by_machine and replicas_by_machine.get(machine.name)
+            )
             score += constants.FETCH_WEIGHT * (_SHARED_FETCH_FACTOR if joins_fetch else 1.0)
-        if replicas is not None:
-            score += constants.SPREAD_WEIGHT * replicas.get(machine.name, 0)
+        if replicas_by_machine is not None:
+            score += constants.SPREAD_WEIGHT * replicas_by_machine.get(machine.name, 0)
         # When optimising for cost, spot machines are preferred: on-demand machines stay free for tasks that need them.
         # When optimising for latency, on-demand machines are preferred, as they are paid for anyway and a task lost
         # with a reclaimed spot machine delays its whole job.
--- a/sorrelsill/placement/gang_scheduler.py
+++ b/sorrelsill/placement/gang_scheduler.py
@@ -73,7 +73,7 @@
         places = [share.machine for share in placement.shares for _ in range(share.count)]
         for index, machine in enumerate(places):
             cluster.bind(job, index, machine, cycle.now, attempt_number)
-            self._gang_headroom.task_bound(spec, machine)
+            self._gang_headroom.deduct_task(spec, machine)
         log_event(
             log,
             logging.DEBUG,
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -169,8 +169,8 @@
             if misses_objective and self._preempt_on_warm_machines(cycle, job):
                 return _BindOutcome.NO_ROOM
             cycle.cluster.bind(job, index, machine, cycle.now)
-            self._gang_headroom.task_bound(spec, machine)
-            self._reservations.task_placed(spec.job_id, machine)
+            self._gang_headroom.deduct_task(spec, machine)
+            self._reservations.on_task_bound(spec.job_id, machine)
         return _BindOutcome.ALL_BOUND
 
     def _handle_unschedulable(self, cycle: SchedulingCycle, job: Job, limited: bool) -> None:
