--- a/sorrelsill/placement/gang_placement.py
+++ b/sorrelsill/placement/gang_placement.py
@@ -1,8 +1,9 @@
-"""Gang placement, which machines take a gang as a whole: pure decisions over machines that may take tasks of it.
+"""Gang placement: selects the machines for all tasks of a gang at once. No I/O.
 
-A task of a gang that waits for the others occupies its machine for nothing, so the whole gang is placed at once: by
-zone, with the image at hand, on few machines of one type, since the slowest sets the pace. Unlike single tasks it is
-placed on no sample: a sample of the machines that have room shows whether one task fits, not whether the rest does."""
+A gang task that waits for the others occupies its machine without making progress, so all tasks are placed at once: in
+one zone if the job demands it, preferably on machines that hold the image, and on few machines of one type, since the
+slowest task sets the pace of the gang. Unlike single tasks, gangs are placed on all machines with room, not on a
+sample: a sample shows whether one task fits, but not whether all of them do."""
 
 from __future__ import annotations
 
@@ -16,13 +17,14 @@
 from sorrelsill.placement.victims import VictimSet
 from sorrelsill.workers import Attempt, Machine
 
-# Victims on a machine that let so many more tasks in than fit, and their cost.
+# Returns the victims to evict so that the given number of tasks fits on the machine beyond those that fit now; None if
+# there are none.
 VictimSelector = Callable[[Machine, int], VictimSet | None]
 
 
 @dataclass(slots=True)
-class MachineShare:
-    """A machine and how many tasks of the gang it can take."""
+class MachineSlots:
+    """A machine and the number of gang tasks that it can take or is assigned."""
 
     machine: Machine
     count: int
@@ -30,169 +32,175 @@
 
 @dataclass(slots=True)
 class GangPlacement:
-    """Machines for a gang in one zone, or in any if it may be spread; `missing_tasks` find no room."""
+    """The machines for a gang in one zone, or in any zones (`zone` is None) if the gang may span zones."""
 
     zone: str | None
-    shares: list[MachineShare]
-    missing_tasks: int
-    needs_fetch: bool  # an image has to be fetched
+    machine_slots: list[MachineSlots]
+    missing_tasks: int  # tasks without room
+    needs_fetch: bool  # some machine has to fetch the image
 
 
 @dataclass(slots=True)
 class GangPreemption:
-    """A placement of the whole gang once its victims have ended."""
+    """A placement of the whole gang that becomes possible once the victims have ended."""
 
     cost: float  # CPU seconds
     placement: GangPlacement
     victims: list[Attempt]
 
 
-class _Drainable(NamedTuple):
-    """A machine and how many tasks of the gang it can take once all but its services have ended."""
+class _DrainedCapacity(NamedTuple):
+    """A machine and the number of gang tasks that it can take once all its tasks except services have ended."""
 
     tasks: int
-    spare_cpus: float  # free now, less one for each service
+    spare_cpus: float  # free now, minus one for each service task
     machine: Machine
 
 
-class _Candidate(NamedTuple):
-    """A machine with victims; lower cost goes first, then the name."""
+class _PreemptionCandidate(NamedTuple):
+    """A machine with preemption victims; sorted by cost, then by name."""
 
     cost: float
     name: str
     machine: Machine
 
 
-def task_capacity(machine: Machine, spec: JobSpec, gone: Iterable[Attempt] = ()) -> int:
-    """Tasks that fit on a machine, as it stands or once some others are gone."""
-    freed = [a.spec for a in gone if a.spec is not None]
-    fits = [float(spec.task_count)]
-    for have, want in (
-        (machine.capacity_cpus - machine.cpus + sum(s.cpus for s in freed), spec.cpus),
-        (machine.capacity_memory_gb - machine.memory_gb + sum(s.memory_gb for s in freed), spec.memory_gb),
-        (machine.capacity_gpus - machine.gpus + sum(s.gpus for s in freed), spec.gpus),
+def task_capacity(machine: Machine, spec: JobSpec, ended: Iterable[Attempt] = ()) -> int:
+    """Return how many tasks of the job fit on the machine once the attempts in `ended` have ended."""
+    ended_specs = [a.spec for a in ended if a.spec is not None]
+    limits = [float(spec.task_count)]
+    for available, required in (
+        (machine.capacity_cpus - machine.cpus + sum(s.cpus for s in ended_specs), spec.cpus),
+        (machine.capacity_memory_gb - machine.memory_gb + sum(s.memory_gb for s in ended_specs), spec.memory_gb),
+        (machine.capacity_gpus - machine.gpus + sum(s.gpus for s in ended_specs), spec.gpus),
     ):
-        if want > 0:
-            fits.append((have + constants.AMOUNT_TOLERANCE) / want)
-    return max(0, math.floor(min(fits)))
+        if required > 0:
+            limits.append((available + constants.AMOUNT_TOLERANCE) / required)
+    return max(0, math.floor(min(limits)))
 
 
 def find_placements(spec: JobSpec, machines: Iterable[Machine], zones: Iterable[str]) -> list[GangPlacement]:
-    """For each zone (one entry for all if the gang may be spread) the machines it would go to, best first."""
-    pools: dict[str | None, list[MachineShare]] = {z: [] for z in zones} if spec.one_zone else {None: []}
+    """Return a placement for each zone, or a single one for all zones if the gang may span zones, best first."""
+    slots_by_zone: dict[str | None, list[MachineSlots]] = {z: [] for z in zones} if spec.one_zone else {None: []}
     for machine in machines:
         count = task_capacity(machine, spec)
         if count > 0:
-            pools.setdefault(_zone_key(machine, spec), []).append(MachineShare(machine, count))
-    placements = [_fill_zone(spec, zone, shares) for zone, shares in pools.items()]
-    placements.sort(key=lambda each: (each.missing_tasks, each.needs_fetch, len(each.shares), each.zone or ""))
+            slots_by_zone.setdefault(_zone_key(machine, spec), []).append(MachineSlots(machine, count))
+    placements = [_fill_zone(spec, zone, machine_slots) for zone, machine_slots in slots_by_zone.items()]
+    placements.sort(key=lambda each: (each.missing_tasks, each.needs_fetch, len(each.machine_slots), each.zone or ""))
     return placements
 
 
-def _fill_zone(spec: JobSpec, zone: str | None, shares: list[MachineShare]) -> GangPlacement:
-    """Take the best machines of a zone until the gang fits."""
-    # Concurrent fetches share a machine's rate; a type that most of the room is on makes for an even pace.
+def _fill_zone(spec: JobSpec, zone: str | None, machine_slots: list[MachineSlots]) -> GangPlacement:
+    """Assign tasks to the best machines of a zone until all are placed or no machine is left."""
+    # Machine types with room for the whole gang are preferred: tasks on machines of one type run at an even pace.
     capacity_by_type: dict[str, int] = {}
-    for share in shares:
-        machine_type = share.machine.machine_type
-        capacity_by_type[machine_type] = capacity_by_type.get(machine_type, 0) + share.count
-    shares.sort(key=lambda share: _sort_key(share, spec, capacity_by_type))
-    taken: list[MachineShare] = []
-    in_zone: dict[str, int] = {}
+    for slots in machine_slots:
+        machine_type = slots.machine.machine_type
+        capacity_by_type[machine_type] = capacity_by_type.get(machine_type, 0) + slots.count
+    machine_slots.sort(key=lambda slots: _sort_key(slots, spec, capacity_by_type))
+    assigned: list[MachineSlots] = []
+    tasks_by_zone: dict[str, int] = {}
     missing_tasks = spec.task_count
-    for share in shares:
-        count = min(missing_tasks, share.count)
+    for slots in machine_slots:
+        count = min(missing_tasks, slots.count)
         if spec.spread_zones:
-            count = min(count, spec.zone_limit - in_zone.get(share.machine.zone, 0))
+            count = min(count, spec.zone_limit - tasks_by_zone.get(slots.machine.zone, 0))
         if count > 0:
-            taken.append(MachineShare(share.machine, count))
-            in_zone[share.machine.zone] = in_zone.get(share.machine.zone, 0) + count
+            assigned.append(MachineSlots(slots.machine, count))
+            tasks_by_zone[slots.machine.zone] = tasks_by_zone.get(slots.machine.zone, 0) + count
             missing_tasks -= count
         if not missing_tasks:
             break
-    needs_fetch = any(spec.image not in share.machine.images for share in taken)
-    return GangPlacement(zone, taken, missing_tasks, needs_fetch)
+    needs_fetch = any(spec.image not in slots.machine.images for slots in assigned)
+    return GangPlacement(zone, assigned, missing_tasks, needs_fetch)
 
 
 def _sort_key(
-    share: MachineShare, spec: JobSpec, capacity_by_type: dict[str, int]
+    slots: MachineSlots, spec: JobSpec, capacity_by_type: dict[str, int]
 ) -> tuple[float, bool, int, int, float]:
-    """Lower goes first: least to fetch, on-demand, one type for all, most tasks, least CPUs left over."""
-    machine, count = share.machine, min(share.count, spec.task_count)
+    """Sort key of a machine; lower is better. Prefers, in this order: fewest image fetches (concurrent fetches share
+    the machine's fetch rate), on-demand machines, a type with room for the whole gang, most tasks, fewest CPUs left
+    over."""
+    machine, count = slots.machine, min(slots.count, spec.task_count)
     fetches = 0.0 if spec.image in machine.images else 1.0 + len(machine.fetching - {spec.image})
-    enough = capacity_by_type[machine.machine_type] >= spec.task_count
-    left_over = machine.capacity_cpus - machine.cpus - count * spec.cpus
-    return fetches, machine.spot, 0 if enough else 1, -count, left_over
+    type_fits_gang = capacity_by_type[machine.machine_type] >= spec.task_count
+    leftover_cpus = machine.capacity_cpus - machine.cpus - count * spec.cpus
+    return fetches, machine.spot, 0 if type_fits_gang else 1, -count, leftover_cpus
 
 
 def find_preemption(
     spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine], select_victims: VictimSelector
 ) -> GangPreemption | None:
-    """The zone in which the cheapest victims let the whole gang in, and these victims; None if none do."""
-    candidates: dict[str | None, list[_Candidate]] = {}
+    """Return the cheapest preemption that makes room for the whole gang, or None if there is none."""
+    candidates: dict[str | None, list[_PreemptionCandidate]] = {}
     for machine in machines:
         victims = select_victims(machine, 1)
         if victims is not None:
-            candidates.setdefault(_zone_key(machine, spec), []).append(_Candidate(victims.cost, machine.name, machine))
+            candidates.setdefault(_zone_key(machine, spec), []).append(
+                _PreemptionCandidate(victims.cost, machine.name, machine)
+            )
     best: GangPreemption | None = None
     for placement in placements:
         cheapest_first = sorted(candidates.get(placement.zone, ()), key=lambda each: each[:2])
-        found = _complete(spec, placement, cheapest_first, select_victims)
+        found = _place_missing_tasks(spec, placement, cheapest_first, select_victims)
         if found is not None and (best is None or found.cost < best.cost):
             best = found
     return best
 
 
-def _complete(
-    spec: JobSpec, placement: GangPlacement, candidates: list[_Candidate], select_victims: VictimSelector
+def _place_missing_tasks(
+    spec: JobSpec, placement: GangPlacement, candidates: list[_PreemptionCandidate], select_victims: VictimSelector
 ) -> GangPreemption | None:
-    """Place the missing tasks on machines with victims; None if some still find no room."""
+    """Place the missing tasks of a placement on machines with victims; return None if some tasks still find no room."""
     missing_tasks, cost = placement.missing_tasks, 0.0
     victims: list[Attempt] = []
-    shares = list(placement.shares)
-    in_zone: dict[str, int] = {}
-    for share in shares:
-        in_zone[share.machine.zone] = in_zone.get(share.machine.zone, 0) + share.count
+    machine_slots = list(placement.machine_slots)
+    tasks_by_zone: dict[str, int] = {}
+    for slots in machine_slots:
+        tasks_by_zone[slots.machine.zone] = tasks_by_zone.get(slots.machine.zone, 0) + slots.count
     for _, _, machine in candidates:
-        most = missing_tasks
+        max_count = missing_tasks
         if spec.spread_zones:
-            most = min(most, spec.zone_limit - in_zone.get(machine.zone, 0))
-        # As many as may go there at once: each further machine is one more that may be slow or fail.
-        for count in range(most, 0, -1):
+            max_count = min(max_count, spec.zone_limit - tasks_by_zone.get(machine.zone, 0))
+        # Place as many tasks as possible on each machine: every further machine is one more that may be slow or fail.
+        for count in range(max_count, 0, -1):
             found = select_victims(machine, count)
             if found is not None:
                 missing_tasks -= count
                 cost += found.cost
                 victims += found.attempts
-                in_zone[machine.zone] = in_zone.get(machine.zone, 0) + count
-                shares.append(MachineShare(machine, count))
+                tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + count
+                machine_slots.append(MachineSlots(machine, count))
                 break
         if missing_tasks <= 0:
-            return GangPreemption(cost, GangPlacement(placement.zone, shares, 0, placement.needs_fetch), victims)
+            return GangPreemption(cost, GangPlacement(placement.zone, machine_slots, 0, placement.needs_fetch), victims)
     return None
 
 
 def _zone_key(machine: Machine, spec: JobSpec) -> str | None:
-    """The zone if the gang must stay in one; None, for all machines together, if it may be spread."""
+    """Return the machine's zone if the gang must run in one zone; None, common to all machines, if it may span
+    zones."""
     return machine.zone if spec.one_zone else None
 
 
 def machines_to_hold(spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine]) -> list[Machine]:
-    """Machines to hold for a gang that finds no room: in the zone that lacks least, those with most capacity that is
-    not a service's, until all would fit. None are held if even all of them would not do."""
-    by_zone: dict[str | None, list[_Drainable]] = {}
+    """Return the machines to hold for a gang that finds no room, or none if draining them would not make enough room.
+    The first zone in the order of `placements` where this is enough is taken; in it the machines with the most spare
+    CPUs are taken until the whole gang would fit."""
+    by_zone: dict[str | None, list[_DrainedCapacity]] = {}
     for machine in machines:
-        drainable = _drainable(machine, spec)
-        if drainable.tasks > 0:
-            by_zone.setdefault(_zone_key(machine, spec), []).append(drainable)
+        drained_capacity = _estimate_drained_capacity(machine, spec)
+        if drained_capacity.tasks > 0:
+            by_zone.setdefault(_zone_key(machine, spec), []).append(drained_capacity)
     for placement in placements:
         held: list[Machine] = []
         missing_tasks = spec.task_count
-        for drainable in sorted(
+        for drained_capacity in sorted(
             by_zone.get(placement.zone, ()), key=lambda each: (-each.spare_cpus, each.machine.name)
         ):
-            held.append(drainable.machine)
-            missing_tasks -= drainable.tasks
+            held.append(drained_capacity.machine)
+            missing_tasks -= drained_capacity.tasks
             if missing_tasks <= 0 or len(held) == constants.GANG_HOLD_MACHINES:
                 break
         if missing_tasks <= 0:
@@ -200,8 +208,8 @@
     return []
 
 
-def _drainable(machine: Machine, spec: JobSpec) -> _Drainable:
+def _estimate_drained_capacity(machine: Machine, spec: JobSpec) -> _DrainedCapacity:
     attempts = [attempt for attempt in machine.attempts.values() if attempt.spec is not None]
     ending = [attempt for attempt in attempts if attempt.spec is not None and not attempt.spec.is_service]
     spare_cpus = machine.capacity_cpus - machine.cpus - (len(attempts) - len(ending))
-    return _Drainable(task_capacity(machine, spec, ending), spare_cpus, machine)
+    return _DrainedCapacity(task_capacity(machine, spec, ending), spare_cpus, machine)
--- a/sorrelsill/placement/gang_scheduler.py
+++ b/sorrelsill/placement/gang_scheduler.py
@@ -1,4 +1,4 @@
-"""Binds gangs: all tasks of a gang in one scheduling cycle, or none."""
+"""Schedules gangs: binds all tasks of a gang in one scheduling cycle, or none."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class GangScheduler:
-    """Places gangs, preempts for them, or holds machines until a whole gang fits."""
+    """Binds gangs, preempts other work for them, or holds machines until a whole gang fits."""
 
     def __init__(
         self,
-        teams: TeamQuotas,
+        quotas: TeamQuotas,
         objectives: ServiceLevelObjectives,
         reservations: Reservations,
         gang_headroom: GangHeadroom,
@@ -34,32 +34,35 @@
         preemption: Preemption,
         unschedulable: dict[str, UnschedulableDemand],
     ) -> None:
-        self._quotas = teams
+        self._quotas = quotas
         self._objectives = objectives
         self._reservations = reservations
         self._gang_headroom = gang_headroom
         self._chooser = chooser
         self._preemption = preemption
-        self._unschedulable = unschedulable  # by job; the scheduler's
+        self._unschedulable = unschedulable  # by job id; shared with the scheduler
 
     def schedule(self, cycle: SchedulingCycle, job: Job) -> None:
-        """Bind all tasks at once, under one attempt number, or none: nothing is bound before all have a machine."""
+        """Bind all tasks of the gang under one attempt number, or none: nothing is bound before every task has a
+        machine."""
         cluster, now, spec = cycle.cluster, cycle.now, job.spec
         if job.bound or cluster.attempts.alive(spec.job_id):
-            return  # the former attempts are ending; their room and their zone are not free before
+            return  # earlier attempts are still ending; until then their room and zone are not free
         if not self._quotas.allows(cluster, spec, job.waiting):
             self._unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
             job.note(f"waiting: the limit of {spec.team} is reached")
             return
         equivalence = ("gang", equivalence_class(spec), spec.task_count)
         reservations = self._reservations
-        has_room_kept = reservations.has_reservation(spec.job_id) or reservations.holds_machines_for(spec.job_id)
-        if equivalence in cycle.unschedulable_classes and not has_room_kept:
+        has_reserved_machines = reservations.has_reservation(spec.job_id) or reservations.holds_machines_for(
+            spec.job_id
+        )
+        if equivalence in cycle.unschedulable_classes and not has_reserved_machines:
             self._unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, False, spec.zone)
             return
-        room = [m for m in cluster.index.with_room(spec) if self._chooser.is_feasible(job, m, now)]
+        machines_with_room = [m for m in cluster.index.with_room(spec) if self._chooser.is_feasible(job, m, now)]
         zones = [zone for zone in cluster.catalog.zones if spec.zone in (None, zone)]
-        placements = gang_placement.find_placements(spec, room, zones)
+        placements = gang_placement.find_placements(spec, machines_with_room, zones)
         if placements and not placements[0].missing_tasks:
             self._bind_gang(cycle, job, placements[0])
             return
@@ -70,8 +73,8 @@
     def _bind_gang(self, cycle: SchedulingCycle, job: Job, placement: GangPlacement) -> None:
         cluster, spec = cycle.cluster, job.spec
         attempt_number = cluster.next_attempt_number()
-        places = [share.machine for share in placement.shares for _ in range(share.count)]
-        for index, machine in enumerate(places):
+        machine_of_task = [slots.machine for slots in placement.machine_slots for _ in range(slots.count)]
+        for index, machine in enumerate(machine_of_task):
             cluster.bind(job, index, machine, cycle.now, attempt_number)
             self._gang_headroom.deduct_task(spec, machine)
         log_event(
@@ -80,7 +83,7 @@
             "gang_bound",
             job=spec.job_id,
             tasks=spec.task_count,
-            machines=len(placement.shares),
+            machines=len(placement.machine_slots),
             zone=placement.zone,
             waited_s=cycle.now - job.submitted,
             image="cold" if placement.needs_fetch else "held",
@@ -88,10 +91,10 @@
         self._reservations.release(spec.job_id)
 
     def _wait_for_gang_room(self, cycle: SchedulingCycle, job: Job, placements: list[GangPlacement]) -> None:
-        """Preempt for the whole gang, or hold machines for it, or tell the fleet what capacity it lacks."""
+        """Preempt for the whole gang, or hold machines for it; report capacity that is still missing to the fleet."""
         spec, now = job.spec, cycle.now
         if self._reservations.tasks_awaiting_room(spec.job_id, now):
-            return  # preempted room is awaited
+            return  # it awaits the room that was preempted for it
         if placements and not self._preemption.make_room_for_gang(cycle, job, placements):
             self._hold_machines_for_gang(cycle, job, placements)
         if self._reservations.tasks_awaiting_room(spec.job_id, now):
@@ -103,8 +106,9 @@
         )
 
     def _hold_machines_for_gang(self, cycle: SchedulingCycle, job: Job, placements: list[GangPlacement]) -> None:
-        """Hold machines for a gang, which drain until it fits; otherwise small tasks would take each gap for ever. A
-        latency-sensitive gang gets them at once, others once they are starved; few at a time, so that arrays go on."""
+        """Hold machines for a gang while their tasks drain; otherwise small tasks would take the room as it becomes
+        free, and the gang would never fit. Machines are held at once for latency-sensitive gangs, and for other gangs
+        once they are starved. No more are held once `GANG_HOLD_SHARE` of all machines are, so that arrays can go on."""
         spec, now, reservations = job.spec, cycle.now, self._reservations
         urgent = self._objectives.is_latency_sensitive(spec.job_class) or is_starved(job, now)
         if reservations.holds_machines_for(spec.job_id) or not urgent:
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -243,8 +243,8 @@
             return False
         until = now + self._evict(cluster, spec, found.victims, constants.PREEMPTION_WAIT_S)
         self._reservations.expect_room(spec.job_id, until, spec.task_count)
-        for share in found.placement.shares:
-            self._reservations.reserve(share.machine, spec.job_id, until)
+        for slots in found.placement.machine_slots:
+            self._reservations.reserve(slots.machine, spec.job_id, until)
         return True
 
 
