--- a/sorrelsill/placement/objectives.py
+++ b/sorrelsill/placement/objectives.py
@@ -1,4 +1,4 @@
-"""Service-level objectives of each class of jobs: when its tasks should start and its jobs be done. Pure."""
+"""Service-level objectives of each job class: how soon its tasks should start and its jobs finish. No I/O."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class NextObjective(NamedTuple):
-    """The next completion target of a job that can still be met, after how many missed ones."""
+    """The next completion target that a job can still meet, and the number of targets it can no longer meet."""
 
     missed: int
     at: float
 
 
 class ServiceLevelObjectives:
-    """The objectives by class of jobs."""
+    """The service-level objectives by job class."""
 
     def __init__(self, objectives: list[Objective]) -> None:
-        self._finish_within_s: dict[str, list[float]] = {}  # class -> seconds after submission of its objectives
-        self._deadline_factors: dict[str, list[float]] = {}  # class -> multiples of the deadline
-        self.start_within_s: dict[str, float] = {}  # class -> seconds within which its tasks should start
+        self._finish_within_s: dict[str, list[float]] = {}  # job class -> seconds after submission
+        self._deadline_factors: dict[str, list[float]] = {}  # job class -> multiples of the job's deadline
+        self.start_within_s: dict[str, float] = {}  # job class -> seconds within which tasks should start
         for objective in objectives:
             if not objective.job_class:
                 continue
@@ -33,7 +33,7 @@
                 self._deadline_factors.setdefault(objective.job_class, []).append(objective.times or 1.0)
 
     def completion_targets_s(self, job: Job) -> list[float]:
-        """Seconds after its submission at which the job should be done, earliest first."""
+        """Return the job's completion targets in seconds after its submission, earliest first."""
         spec = job.spec
         targets = list(self._finish_within_s.get(spec.job_class, []))
         if spec.deadline_s is not None:
@@ -41,7 +41,8 @@
         return sorted(targets)
 
     def next_objective(self, job: Job, now: float) -> NextObjective:
-        """A job that can meet none any more waits behind those that can."""
+        """Return the earliest completion target that the job can still meet. If it can meet none, all targets count as
+        missed, which orders it behind jobs that can still meet one, and `at` is the time of submission."""
         missed = 0
         for target_s in self.completion_targets_s(job):
             if job.submitted + target_s >= now + job.spec.expected_run_s:
@@ -50,5 +51,5 @@
         return NextObjective(missed, job.submitted)
 
     def is_latency_sensitive(self, job_class: str) -> bool:
-        """Whether the class is latency-sensitive: an objective names seconds within which its tasks should start."""
+        """Return whether the job class is latency-sensitive: it has an objective for the start of its tasks."""
         return job_class in self.start_within_s
--- a/sorrelsill/placement/order.py
+++ b/sorrelsill/placement/order.py
@@ -1,5 +1,6 @@
-"""Which job is served first: production, then starved jobs, then those covered by their team's guaranteed share, then
-by priority; among equals by objectives missed, then the least remaining work. Pure: time is given."""
+"""The order in which waiting jobs are scheduled: production jobs, then starved jobs, then jobs covered by their team's
+guaranteed share, then by priority; among equals by fewest missed objectives, then by least remaining work. No I/O;
+callers pass the current time."""
 
 from __future__ import annotations
 
@@ -11,28 +12,36 @@
 
 
 class Precedence(NamedTuple):
-    """Compared field by field; lower goes first."""
+    """Sort key of a waiting job; compared field by field, lower goes first."""
 
     below_production: bool
     not_starved: bool
     outside_guarantee: bool
     priority: int
     missed_objectives: int
-    work_left: float  # CPU seconds
+    remaining_work: float  # CPU seconds
     next_objective: float
 
 
 def precedence(job: Job, objectives: ServiceLevelObjectives, guaranteed: bool, now: float) -> Precedence:
-    """Where a waiting job stands in the order."""
+    """Return the sort key of a waiting job."""
     spec = job.spec
     objective = objectives.next_objective(job, now)
-    # The least work first: by their targets alone, in a burst all jobs share what capacity there is and all miss.
-    work = 0.0 if spec.is_service else (spec.task_count - job.done.count) * spec.cpus * spec.expected_run_s
+    # Least remaining work goes first: ordered by completion target alone, all jobs of a burst would share the
+    # capacity and all miss their targets.
+    remaining_work = 0.0 if spec.is_service else (spec.task_count - job.done.count) * spec.cpus * spec.expected_run_s
     return Precedence(
-        spec.priority > 0, not is_starved(job, now), not guaranteed, spec.priority, objective.missed, work, objective.at
+        spec.priority > 0,
+        not is_starved(job, now),
+        not guaranteed,
+        spec.priority,
+        objective.missed,
+        remaining_work,
+        objective.at,
     )
 
 
 def is_starved(job: Job, now: float) -> bool:
-    """Whether the job is starved: none of its tasks ran for so long that it must not be kept waiting any more."""
+    """Return whether the job is starved: it must not be kept waiting any longer, because it has no task on
+    a machine and none was bound or ended for `STARVATION_S`."""
     return not job.bound and now - job.last_activity_at > constants.STARVATION_S
