--- a/sorrelsill/placement/job_queue.py
+++ b/sorrelsill/placement/job_queue.py
@@ -1,7 +1,7 @@
-"""The waiting jobs in the order in which they are served, kept up to date by what changes. Pure: time is given.
+"""The queue of waiting jobs in scheduling order, updated incrementally. No I/O; callers pass the current time.
 
-A job moves when it changes, when the boundary of its team's guaranteed share passes it, or at a time at which its
-precedence changes by itself: an objective is missed, or the job is starved."""
+A job's position changes when the job changes, when its team's guaranteed share begins or ceases to cover it, or at a
+known time: when it can no longer meet an objective, or becomes starved."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
 
 
 class JobQueue:
-    """Live jobs with tasks that wait."""
+    """The live jobs that have waiting tasks, sorted by precedence."""
 
-    def __init__(self, objectives: ServiceLevelObjectives, guaranteed: set[str]) -> None:
+    def __init__(self, objectives: ServiceLevelObjectives, guaranteed_jobs: set[str]) -> None:
         self._objectives = objectives
-        self._guaranteed = guaranteed
+        self._guaranteed_jobs = guaranteed_jobs
         self._sorted: SortedList[_QueueKey] = SortedList()
-        self._keys: dict[str, _QueueKey] = {}  # by job
-        self._timers: Timers[str] = Timers()  # when the precedence of a job will change by itself
+        self._keys: dict[str, _QueueKey] = {}  # by job id
+        self._timers: Timers[str] = Timers()  # job id -> next time at which its precedence changes without an event
 
     def reset(self) -> None:
-        """A new term begins."""
+        """Clear all state at the start of a new term."""
         self._sorted.clear()
         self._keys.clear()
         self._timers.clear()
 
     def update(self, cluster: ClusterState, changed: Iterable[str], now: float) -> None:
-        """Take in jobs that were submitted, changed or have ended, and those whose precedence changes by now."""
+        """Update the positions of jobs that were submitted, changed or have ended, and of those whose timer is due."""
         for job_id in changed:
-            self._place(cluster.jobs.get(job_id), job_id, now)
-        due = []
-        while (moved := self._timers.pop_due(now)) is not None:
-            due.append(moved)
-        for job_id in due:
-            self._place(cluster.jobs.get(job_id), job_id, now)
+            self._update_position(cluster.jobs.get(job_id), job_id, now)
+        due_jobs = []
+        while (due_job := self._timers.pop_due(now)) is not None:
+            due_jobs.append(due_job)
+        for job_id in due_jobs:
+            self._update_position(cluster.jobs.get(job_id), job_id, now)
 
-    def _place(self, job: Job | None, job_id: str, now: float) -> None:
+    def _update_position(self, job: Job | None, job_id: str, now: float) -> None:
         former_key = self._keys.get(job_id)
         key: _QueueKey | None = None
         if job is not None and job.waiting > 0:
-            key = precedence(job, self._objectives, job_id in self._guaranteed, now), job.order, job_id
+            key = precedence(job, self._objectives, job_id in self._guaranteed_jobs, now), job.order, job_id
             self._set_timer(job, now)
         if key == former_key:
             return
@@ -60,18 +60,18 @@
             self._keys[job_id] = key
 
     def _set_timer(self, job: Job, now: float) -> None:
-        moments = [
+        change_times = [
             job.submitted + target_s - job.spec.expected_run_s
             for target_s in self._objectives.completion_targets_s(job)
         ]
         if not job.bound:
-            moments.append(job.last_activity_at + constants.STARVATION_S)
-        coming = [moment for moment in moments if moment >= now]
-        if coming:
-            self._timers.set_if_earlier(job.spec.job_id, min(coming))
+            change_times.append(job.last_activity_at + constants.STARVATION_S)
+        future_times = [change_time for change_time in change_times if change_time >= now]
+        if future_times:
+            self._timers.set_if_earlier(job.spec.job_id, min(future_times))
 
     def in_order(self) -> list[str]:
-        """The waiting jobs, the one to be served first in front."""
+        """Return the ids of the waiting jobs, the one to schedule first at the front."""
         return [job_id for _, _, job_id in self._sorted]
 
     def __len__(self) -> int:
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: which attempts of lower priority are evicted for a job, and which victims cost least."""
+"""Preemption: selects the attempts to evict for a job, those whose eviction costs least."""
 
 from __future__ import annotations
 
@@ -27,54 +27,57 @@
 
 
 class Preemption:
-    """Evicts victims, and reserves their machine for the preempting job until they have ended."""
+    """Evicts victims and reserves their machines for the preempting job until the victims have ended."""
 
     def __init__(
         self,
-        teams: TeamQuotas,
+        quotas: TeamQuotas,
         objectives: ServiceLevelObjectives,
         reservations: Reservations,
-        guaranteed: set[str],
+        guaranteed_jobs: set[str],
         borrowing_teams: BorrowingTeams,
         rng: random.Random,
     ) -> None:
-        self._quotas = teams
+        self._quotas = quotas
         self._objectives = objectives
         self._reservations = reservations
-        self._guaranteed = guaranteed  # jobs within their team's guarantee
+        self._guaranteed_jobs = guaranteed_jobs  # ids of jobs covered by their team's guaranteed share
         self._borrowing_teams = borrowing_teams
         self._rng = rng
 
     # --- eligible victims ---
 
     def _is_eligible_victim(self, job: Job, attempt: Attempt) -> bool:
-        """By higher priority, or to give a team its guaranteed share out of what another runs beyond its own."""
+        """Return whether the job may preempt the attempt. Either the attempt has lower priority, and the job may
+        preempt all such work or the attempt runs on borrowed capacity; or the job is covered by its team's guaranteed
+        share and the attempt's job, of another team, is not covered by its own."""
         victim = attempt.spec
         if victim is None or attempt.exited:
             return False
         if victim.priority > job.spec.priority and (
-            self._may_preempt(job) or self._runs_on_borrowed_capacity(victim, job.spec)
+            self._may_preempt_lower_priority(job) or self._runs_on_borrowed_capacity(victim, job.spec)
         ):
             return True
         return (
-            job.spec.job_id in self._guaranteed
+            job.spec.job_id in self._guaranteed_jobs
             and victim.team != job.spec.team
-            and victim.job_id not in self._guaranteed
+            and victim.job_id not in self._guaranteed_jobs
         )
 
-    def _may_preempt(self, job: Job) -> bool:
-        """Whether the job may preempt any work of lower priority: others wait, so that such work gets done as well."""
-        return job.spec.priority is Priority.PRODUCTION or job.spec.is_gang or job.spec.job_id in self._guaranteed
+    def _may_preempt_lower_priority(self, job: Job) -> bool:
+        """Return whether the job may preempt any work of lower priority. Other jobs wait instead, so that work of low
+        priority makes progress as well."""
+        return job.spec.priority is Priority.PRODUCTION or job.spec.is_gang or job.spec.job_id in self._guaranteed_jobs
 
     def _objective_at_risk(self, cluster: ClusterState, job: Job, now: float) -> bool:
-        """Whether the job would miss its next objective before a rented machine could help. Until then borrowing teams
-        keep their machines: guards against preempting for a job that can be in time without."""
+        """Return whether the job would miss its next objective if it waited for a rented machine. Work of borrowing
+        teams is not preempted for jobs that can meet their objective without it."""
         objective = self._objectives.next_objective(job, now)
         return objective.at > now and not can_wait_for_scale_out(job.spec, cluster.catalog, objective.at - now)
 
     def _runs_on_borrowed_capacity(self, victim: JobSpec, claimant: JobSpec) -> bool:
-        """Teams without a guarantee borrow what nobody else needs: guards against their arrays filling all machines
-        while work of others with a deadline waits."""
+        """Return whether the victim belongs to a borrowing team other than the claimant's. If it could not be
+        preempted, arrays of borrowing teams could fill all machines while jobs of other teams with a deadline wait."""
         return victim.team != claimant.team and self._quotas.is_borrower(victim.team)
 
     # --- single tasks ---
@@ -86,10 +89,11 @@
         machines: Sequence[Machine],
         reservation_s: float = constants.PREEMPTION_WAIT_S,
     ) -> int:
-        """Evict the cheapest victims that let waiting tasks in; their room is awaited before more are evicted. Returns
-        for how many tasks; `reservation_s` is how long the room is awaited beyond the grace period."""
+        """Evict the cheapest victims that make room for waiting tasks of the job; return the number of tasks. Nothing
+        is evicted for tasks that await preempted room already. The room is reserved for `reservation_s` seconds beyond
+        the longest grace period of the victims."""
         cluster, now, spec = cycle.cluster, cycle.now, job.spec
-        if not self._may_preempt(job) and not (
+        if not self._may_preempt_lower_priority(job) and not (
             self._borrowing_teams.any_team_except(spec.team) and self._objective_at_risk(cluster, job, now)
         ):
             return 0
@@ -103,23 +107,25 @@
         candidates = [found for m in sampled if (found := self._select_victims(cluster, job, m, now)) is not None]
         if not candidates and len(machines) > len(sampled):
             self._reservations.record_failed_search(search_class, now)
-        # Found on a measured day: a service submitted in a busy minute preempted gang after gang, each as a whole.
+        # Machines without gang victims go first: evicting one task stops its whole gang, and a service submitted under
+        # high load preempted one gang after the other.
         candidates.sort(
             key=lambda candidate: (any(a.job_id in cluster.gangs for a in candidate.attempts), candidate.cost)
         )
         return self._evict_cheapest(cluster, job, candidates, wanted, reservation_s, now)
 
     def _search_class(self, job: Job) -> Hashable:
-        """Jobs of one class find victims on the same machines."""
+        """Return the search class of a job: jobs of one class find victims on the same machines."""
         spec = job.spec
-        guaranteed = spec.job_id in self._guaranteed
+        guaranteed = spec.job_id in self._guaranteed_jobs
         return spec.priority, spec.team, guaranteed, spec.cpus, spec.memory_gb, spec.gpus, spec.spot_allowed
 
     def _sample_machines(self, job: Job, machines: Sequence[Machine], now: float) -> list[Machine]:
-        """A random sample of the machines that may have victims; all are considered only if hardly any has."""
+        """Return a random sample of the machines that may have victims. All machines are considered only if a first
+        sample contains none."""
         found: list[Machine] = []
-        for few in (4 * constants.PREEMPT_SAMPLE, len(machines)):
-            for machine in self._rng.sample(machines, min(few, len(machines))):
+        for sample_size in (4 * constants.PREEMPT_SAMPLE, len(machines)):
+            for machine in self._rng.sample(machines, min(sample_size, len(machines))):
                 if (
                     machine.bound_count
                     and machine.usable
@@ -129,7 +135,7 @@
                     found.append(machine)
                     if len(found) == constants.PREEMPT_SAMPLE:
                         break
-            if found or few >= len(machines):
+            if found or sample_size >= len(machines):
                 break
         return found
 
@@ -142,10 +148,10 @@
         reservation_s: float,
         now: float,
     ) -> int:
-        """Evict candidates, cheapest first, until enough tasks have room; returns for how many."""
+        """Evict candidates in the given order until `wanted` tasks have room; return the number of tasks with room."""
         spec = job.spec
         tasks_with_room = 0
-        zones = dict(job.zones)  # with what the room made in this cycle will add
+        zones = dict(job.zones)  # zone -> tasks of the job, including those that room is made for here
         for candidate in candidates:
             if tasks_with_room >= wanted:
                 break
@@ -161,7 +167,7 @@
 
     @staticmethod
     def _evict(cluster: ClusterState, spec: JobSpec, attempts: list[Attempt], reservation_s: float) -> float:
-        """Evict these for the job; returns for how many seconds their room is to be awaited."""
+        """Evict the attempts for the job; return for how many seconds to await their room."""
         wait_s = reservation_s
         for attempt in attempts:
             log_event(
@@ -173,21 +179,25 @@
                 machine=attempt.machine.name,
                 zone=attempt.machine.zone,
             )
-            cluster.stop(attempt, _reason(spec), immediately=spec.priority is Priority.PRODUCTION)
+            cluster.stop(attempt, _preemption_reason(spec), immediately=spec.priority is Priority.PRODUCTION)
             wait_s = max(wait_s, reservation_s + attempt.grace_period_s)
         return wait_s
 
     def _select_victims(
         self, cluster: ClusterState, job: Job, machine: Machine, now: float, count: int = 1
     ) -> VictimSet | None:
-        """The cheapest victims whose end lets `count` tasks of the job fit; None if none are found or needed."""
+        """Return the cheapest victims whose eviction makes room for `count` tasks of the job on the machine; None if
+        none are found or needed."""
         spec = job.spec
-        mine = _reason(spec)
-        if any(a.stop_requested and a.spec is not None and a.stop_reason == mine for a in machine.attempts.values()):
-            return None  # room is being made here for this job already
-        lack_cpus = spec.cpus * count - (machine.capacity_cpus - machine.cpus) - constants.AMOUNT_TOLERANCE
-        lack_gpus = spec.gpus * count - (machine.capacity_gpus - machine.gpus) - constants.AMOUNT_TOLERANCE
-        lack_memory = (
+        preemption_reason = _preemption_reason(spec)
+        if any(
+            a.stop_requested and a.spec is not None and a.stop_reason == preemption_reason
+            for a in machine.attempts.values()
+        ):
+            return None  # room is already being made here for this job
+        missing_cpus = spec.cpus * count - (machine.capacity_cpus - machine.cpus) - constants.AMOUNT_TOLERANCE
+        missing_gpus = spec.gpus * count - (machine.capacity_gpus - machine.gpus) - constants.AMOUNT_TOLERANCE
+        missing_memory_gb = (
             spec.memory_gb * count - (machine.capacity_memory_gb - machine.memory_gb) - constants.AMOUNT_TOLERANCE
         )
         eligible = [a for a in machine.attempts.values() if not a.stop_requested and self._is_eligible_victim(job, a)]
@@ -200,16 +210,16 @@
         )
         cost, chosen = 0.0, []
         for attempt in eligible:
-            if lack_cpus <= 0 and lack_gpus <= 0 and lack_memory <= 0:
+            if missing_cpus <= 0 and missing_gpus <= 0 and missing_memory_gb <= 0:
                 break
             victim = attempt.spec
             assert victim is not None
-            lack_cpus -= victim.cpus
-            lack_gpus -= victim.gpus
-            lack_memory -= victim.memory_gb
+            missing_cpus -= victim.cpus
+            missing_gpus -= victim.gpus
+            missing_memory_gb -= victim.memory_gb
             cost += _preemption_cost_s(cluster, attempt, now) * victim.cpus
             chosen.append(attempt)
-        if not chosen or lack_cpus > 0 or lack_gpus > 0 or lack_memory > 0:
+        if not chosen or missing_cpus > 0 or missing_gpus > 0 or missing_memory_gb > 0:
             return None
         return VictimSet(cost, chosen)
 
@@ -218,12 +228,12 @@
     def make_room_for_gang(
         self, cycle: SchedulingCycle, job: Job, placements: list[gang_placement.GangPlacement]
     ) -> bool:
-        """Evict victims if that lets the whole gang in; their machines are reserved until they have ended. Returns
-        whether any were evicted."""
+        """Evict victims if that makes room for the whole gang, and reserve its machines until the victims have ended.
+        Return whether any were evicted."""
         cluster, now, machines, spec = cycle.cluster, cycle.now, cycle.machines, job.spec
         if not any(machine.bound_count for machine in machines):
             return False
-        guaranteed = spec.job_id in self._guaranteed
+        guaranteed = spec.job_id in self._guaranteed_jobs
         search_class = ("gang", spec.priority, spec.team, guaranteed, spec.cpus, spec.task_count, spec.spot_allowed)
         if self._reservations.search_failed_recently(search_class, now):
             return False
@@ -234,8 +244,10 @@
             if m.bound_count and m.usable and m.allows(spec) and self._reservations.admits(job, m, now)
         ]
 
-        def select_victims(machine: Machine, more: int) -> VictimSet | None:
-            return self._select_victims(cluster, job, machine, now, gang_placement.task_capacity(machine, spec) + more)
+        def select_victims(machine: Machine, additional: int) -> VictimSet | None:
+            return self._select_victims(
+                cluster, job, machine, now, gang_placement.task_capacity(machine, spec) + additional
+            )
 
         found = gang_placement.find_preemption(spec, placements, eligible, select_victims)
         if found is None:
@@ -248,18 +260,18 @@
         return True
 
 
-def _reason(spec: JobSpec) -> str:
+def _preemption_reason(spec: JobSpec) -> str:
     return f"making room for {spec.job_id}"
 
 
 def _preemption_cost_s(cluster: ClusterState, attempt: Attempt, now: float) -> float:
-    """Seconds of work lost; for a gang, by all of its tasks."""
+    """Return the seconds of work lost by evicting the attempt; for a gang task, the loss of all tasks of the gang."""
     gang = cluster.gangs.get(attempt.job_id)
-    return gang_loss(gang, now) if gang is not None else _lost_work(attempt, now)
+    return gang_loss(gang, now) if gang is not None else _lost_work_s(attempt, now)
 
 
-def _lost_work(attempt: Attempt, now: float) -> float:
-    """Seconds of work that evicting the attempt loses."""
+def _lost_work_s(attempt: Attempt, now: float) -> float:
+    """Return the seconds of work lost by evicting a task that is not part of a gang."""
     if attempt.running_since is None or attempt.spec is None:
         return 0.0
     if attempt.spec.checkpoint_interval_s > 0:
