--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -1,6 +1,7 @@
-"""Scheduling cycles: each waiting task goes to the best fit among a few sampled machines, under a time budget.
+"""The scheduler: in each scheduling cycle, binds waiting tasks to the best fit among sampled machines.
 
-The order of jobs is that of `order.py`. A cycle that runs out of time is continued by the next one where it stopped."""
+Jobs are scheduled in the order defined in `order.py`. A cycle has a time budget; if it is used up, the next cycle
+continues with the job at which this one stopped."""
 
 from __future__ import annotations
 
@@ -28,17 +29,17 @@
 
 
 class _BindOutcome(enum.Enum):
-    """Why no further task of a job was bound in a scheduling cycle."""
+    """Why a scheduling cycle stopped binding tasks of a job."""
 
     ALL_BOUND = enum.auto()
     NO_ROOM = enum.auto()
-    QUOTA_EXCEEDED = enum.auto()  # the team's quota is used up
-    TRIAL_PENDING = enum.auto()  # a job that failed on every machine waits for the outcome of its trial tasks
+    QUOTA_EXCEEDED = enum.auto()  # another task would exceed the team's quota
+    TRIAL_PENDING = enum.auto()  # a job that failed on every machine tried waits for the results of its trial tasks
     OUT_OF_TIME = enum.auto()
 
 
 class Scheduler:
-    """Binds waiting tasks to machines, one scheduling cycle after the other."""
+    """Binds waiting tasks to machines in consecutive scheduling cycles."""
 
     def __init__(
         self,
@@ -66,10 +67,10 @@
             self._borrowing_teams,
             rng,
         )
-        self._cluster: ClusterState | None = None  # the one whose changes the queue follows
-        self._remaining: deque[str] = deque()  # jobs that the last cycle did not get to
-        self._warm_until: dict[str, float] = {}  # job -> until when room preempted on warm machines is awaited
-        self.unschedulable: dict[str, UnschedulableDemand] = {}  # by job; what the fleet may rent capacity for
+        self._cluster: ClusterState | None = None  # the cluster state that the queue was built from
+        self._remaining_jobs: deque[str] = deque()  # job ids still to be scheduled in this pass over the queue
+        self._warm_room_deadlines: dict[str, float] = {}  # job id -> end of the wait for room on warm machines
+        self.unschedulable: dict[str, UnschedulableDemand] = {}  # by job id; the fleet may rent capacity for it
         self._gangs = GangScheduler(
             self._quotas,
             self._objectives,
@@ -81,37 +82,38 @@
         )
 
     def reset(self) -> None:
-        """A new term begins."""
+        """Clear all state at the start of a new term."""
         self._cluster = None
-        self._remaining.clear()
+        self._remaining_jobs.clear()
         self._queue.reset()
         self._guaranteed_shares.reset()
         self._borrowing_teams.reset()
-        self._warm_until.clear()
+        self._warm_room_deadlines.clear()
         self._reservations.reset()
         self.unschedulable.clear()
 
     # --- scheduling cycle ---
 
     def run_cycle(self, cluster: ClusterState, now: float, clock: Callable[[], float], budget: float) -> bool:
-        """Bind what fits. `budget` is in seconds of `clock`; False if it ran out before all jobs were considered."""
-        begun = clock()
-        if not self._remaining:
+        """Run one scheduling cycle: bind the waiting tasks that fit. `budget` is in seconds, measured with `clock`.
+        Return False if it was used up before all jobs were considered; the next call then continues there."""
+        started_at = clock()
+        if not self._remaining_jobs:
             self._start_cycle(cluster, now)
         self._gang_headroom.update(cluster)
-        cycle = SchedulingCycle(cluster, now, lambda: clock() - begun > budget, cluster.index.ready)
-        while self._remaining:
-            job = cluster.jobs.get(self._remaining[0])
+        cycle = SchedulingCycle(cluster, now, lambda: clock() - started_at > budget, cluster.index.ready)
+        while self._remaining_jobs:
+            job = cluster.jobs.get(self._remaining_jobs[0])
             if job is not None and job.waiting > 0:
                 if not self._schedule_job(cycle, job):
                     return False
             elif job is not None:
                 self.unschedulable.pop(job.spec.job_id, None)
-            self._remaining.popleft()
+            self._remaining_jobs.popleft()
         return True
 
     def _start_cycle(self, cluster: ClusterState, now: float) -> None:
-        """Queue all waiting jobs again, in their order."""
+        """Update the queue and start a new pass over all waiting jobs, in scheduling order."""
         changed = cluster.take_changed_jobs()
         if self._cluster is not cluster:
             self._cluster = cluster
@@ -119,15 +121,15 @@
         moved_jobs = self._guaranteed_shares.update(cluster, changed)
         self._borrowing_teams.update(cluster, changed)
         self._queue.update(cluster, [*changed, *sorted(moved_jobs)], now)
-        self._remaining.extend(self._queue.in_order())
+        self._remaining_jobs.extend(self._queue.in_order())
         for job_id in changed:
             if job_id not in cluster.jobs:
                 self.unschedulable.pop(job_id, None)
-                self._warm_until.pop(job_id, None)
+                self._warm_room_deadlines.pop(job_id, None)
         self._reservations.expire(cluster, now)
 
     def _schedule_job(self, cycle: SchedulingCycle, job: Job) -> bool:
-        """False if the cycle's time budget is used up before all tasks of the job were considered."""
+        """Schedule the waiting tasks of a job; return False if the cycle's time budget was used up first."""
         self.unschedulable.pop(job.spec.job_id, None)
         if not cycle.cluster.failover.reconciled(job) or job.failures.next_trial_at > cycle.now:
             return True
@@ -144,7 +146,7 @@
     # --- single tasks ---
 
     def _bind_tasks(self, cycle: SchedulingCycle, job: Job) -> _BindOutcome:
-        """Bind tasks of a job, one after the other, until none is left or none may be bound."""
+        """Bind tasks of a job one by one until none is waiting or the next one cannot be bound."""
         spec = job.spec
         equivalence = equivalence_class(spec)
         unconstrained = not (spec.spread_zones or spec.one_zone or job.avoid)
@@ -174,9 +176,10 @@
         return _BindOutcome.ALL_BOUND
 
     def _handle_unschedulable(self, cycle: SchedulingCycle, job: Job, limited: bool) -> None:
-        """Record the tasks that fit nowhere as demand for the fleet, and preempt for them where that is allowed."""
+        """Record the tasks that fit on no machine as demand on the fleet, and preempt for them where allowed. `limited`
+        means that the team's quota is the reason."""
         if job.failures.is_suspect(len(job.bound)):
-            return  # it fails on every machine: nothing is rented or preempted for it
+            return  # it fails on every machine tried: no capacity is rented or preempted for it
         count = max(0, job.waiting - self._reservations.tasks_awaiting_room(job.spec.job_id, cycle.now))
         self.unschedulable[job.spec.job_id] = UnschedulableDemand(job, count, limited)
         if limited:
@@ -187,21 +190,21 @@
             self._reserve_for_starved_job(cycle, job)
 
     def _reserve_for_starved_job(self, cycle: SchedulingCycle, job: Job) -> None:
-        """Reserve one machine for a starved job until enough of it is free: small tasks of others would take each gap
-        for ever. For one job at a time."""
+        """Reserve one machine for a starved job until the job's tasks fit; otherwise small tasks of other jobs would
+        take the room as it becomes free. Only one starved job has a reservation at a time."""
         jobs, now = cycle.cluster.jobs, cycle.now
         if any(
             job_id in jobs and is_starved(jobs[job_id], now)
             for job_id in self._reservations.jobs_with_reservations(now)
         ):
             return
-        fitting = [machine for machine in cycle.machines if self._could_run_once_drained(job, machine, now)]
-        if fitting:
-            reserved = max(fitting, key=_cpus_without_arrays)
+        suitable_machines = [machine for machine in cycle.machines if self._could_run_once_drained(job, machine, now)]
+        if suitable_machines:
+            reserved = max(suitable_machines, key=_cpus_not_used_by_services)
             self._reservations.reserve(reserved, job.spec.job_id, now + constants.STARVED_RESERVATION_S)
 
     def _could_run_once_drained(self, job: Job, machine: Machine, now: float) -> bool:
-        """Whether the job could run on the machine once enough of it is free."""
+        """Return whether the job could run on the machine if the machine were drained."""
         spec = job.spec
         return (
             machine.allows(spec)
@@ -211,7 +214,8 @@
         )
 
     def _cold_start_misses_objective(self, cluster: ClusterState, job: Job, machine: Machine) -> bool:
-        """Whether fetching the image on this machine alone makes the start miss its class's objective."""
+        """Return whether the image fetch on this machine would by itself take longer than the objective of a production
+        job for the start of its tasks."""
         spec = job.spec
         within_s = self._objectives.start_within_s.get(spec.job_class)
         machine_type = cluster.catalog.machine_types.get(machine.machine_type)
@@ -225,17 +229,18 @@
         return spec.image_gb / machine_type.fetch_gb_per_s > within_s
 
     def _preempt_on_warm_machines(self, cycle: SchedulingCycle, job: Job) -> bool:
-        """Preempt on machines that hold the image already; True while that room is awaited. No other
-        room is awaited: on a measured day, room that had been freed elsewhere was refused again and again."""
+        """Preempt on warm machines (those that hold the image), once per job; return True while that room is awaited.
+        Room preempted on other machines is not awaited here: when it was, it was refused again and again after it had
+        become free."""
         job_id, now = job.spec.job_id, cycle.now
-        if job_id not in self._warm_until:
+        if job_id not in self._warm_room_deadlines:
             warm = cycle.cluster.index.holders(job.spec.image)
-            evicted_for = self._preemption.make_room(cycle, job, warm, constants.WARM_PREEMPTION_WAIT_S) if warm else 0
-            self._warm_until[job_id] = now + constants.WARM_PREEMPTION_WAIT_S if evicted_for else now
-        return now < self._warm_until[job_id]
+            room_made = self._preemption.make_room(cycle, job, warm, constants.WARM_PREEMPTION_WAIT_S) if warm else 0
+            self._warm_room_deadlines[job_id] = now + constants.WARM_PREEMPTION_WAIT_S if room_made else now
+        return now < self._warm_room_deadlines[job_id]
 
 
-def _cpus_without_arrays(machine: Machine) -> float:
-    """CPUs that are free or become free once the tasks other than services have ended."""
+def _cpus_not_used_by_services(machine: Machine) -> float:
+    """Return the CPUs that are free once all tasks except those of services have ended."""
     services = sum(a.spec.cpus for a in machine.attempts.values() if a.spec is not None and a.spec.is_service)
     return machine.capacity_cpus - machine.cpus - services
