--- a/sorrelsill/placement/test_job_queue.py
+++ b/sorrelsill/placement/test_job_queue.py
@@ -1,4 +1,4 @@
-"""The order of jobs and the guaranteed shares, kept current by changes, against both computed from scratch."""
+"""Tests that the incrementally updated job queue and guaranteed shares match a full recomputation."""
 
 import random
 
@@ -28,9 +28,9 @@
 
 
 def guaranteed_from_scratch(cluster: ClusterState) -> set[str]:
-    """All live jobs added up in the order of submission."""
+    """Add up the resources of all live jobs in order of submission; return the ids of the covered jobs."""
     used: dict[str, tuple[float, float]] = {}
-    inside = set()
+    covered = set()
     for each in sorted(cluster.jobs.values(), key=lambda j: j.submitted):
         spec, team = each.spec, TEAMS.get(each.spec.team)
         if team is None:
@@ -38,19 +38,19 @@
         cpus, gpus = used.get(team.name, (0.0, 0.0))
         used[team.name] = cpus + spec.cpus * spec.task_count, gpus + spec.gpus * spec.task_count
         if used[team.name][0] <= team.cpus + 1e-6 and used[team.name][1] <= team.gpus + 1e-6:
-            inside.add(spec.job_id)
-    return inside
+            covered.add(spec.job_id)
+    return covered
 
 
-def order_from_scratch(cluster: ClusterState, inside: set[str], now: float) -> list[str]:
-    """All waiting jobs sorted."""
+def order_from_scratch(cluster: ClusterState, covered: set[str], now: float) -> list[str]:
+    """Sort all waiting jobs by precedence."""
     waiting = [each for each in cluster.jobs.values() if each.waiting > 0]
-    waiting.sort(key=lambda each: precedence(each, OBJECTIVES, each.spec.job_id in inside, now))
+    waiting.sort(key=lambda each: precedence(each, OBJECTIVES, each.spec.job_id in covered, now))
     return [each.spec.job_id for each in waiting]
 
 
-class History:
-    """Random submissions, starts, ends and cancellations."""
+class ClusterFuzzer:
+    """Applies random submissions, task starts, task ends and job ends to a cluster state."""
 
     def __init__(self, seed: int) -> None:
         self.cluster = cluster_with_a_machine()
@@ -91,36 +91,34 @@
             self.cluster.end_job(self.rng.choice(list(self.cluster.jobs)))
 
 
-def test_the_order_and_the_guaranteed_shares_are_those_computed_from_scratch() -> None:
+def test_incremental_updates_match_full_recomputation() -> None:
     for seed in range(20):
-        history = History(seed)
+        fuzzer = ClusterFuzzer(seed)
         guaranteed_shares = GuaranteedShares(TEAMS)
         queue = JobQueue(OBJECTIVES, guaranteed_shares.guaranteed_jobs)
         for _ in range(150):
-            history.step()
-            changed = history.cluster.take_changed_jobs()
-            moved = guaranteed_shares.update(history.cluster, changed)
-            queue.update(history.cluster, [*changed, *moved], history.now)
-            assert guaranteed_shares.guaranteed_jobs == guaranteed_from_scratch(history.cluster)
-            assert queue.in_order() == order_from_scratch(
-                history.cluster, guaranteed_shares.guaranteed_jobs, history.now
-            )
-
-
-def test_a_starved_job_moves_without_any_event() -> None:
-    history = History(1)
+            fuzzer.step()
+            changed = fuzzer.cluster.take_changed_jobs()
+            changed_coverage = guaranteed_shares.update(fuzzer.cluster, changed)
+            queue.update(fuzzer.cluster, [*changed, *changed_coverage], fuzzer.now)
+            assert guaranteed_shares.guaranteed_jobs == guaranteed_from_scratch(fuzzer.cluster)
+            assert queue.in_order() == order_from_scratch(fuzzer.cluster, guaranteed_shares.guaranteed_jobs, fuzzer.now)
+
+
+def test_starved_job_moves_to_the_front_without_an_event() -> None:
+    fuzzer = ClusterFuzzer(1)
     spec = parse_spec(job("run-old", rank="best_effort", workload="other"))
-    history.cluster.add_job(spec, TaskSet(spec.task_count), 1, False, 0.0, [])
+    fuzzer.cluster.add_job(spec, TaskSet(spec.task_count), 1, False, 0.0, [])
     spec = parse_spec(job("run-new", rank="high", workload="other"))
-    history.cluster.add_job(spec, TaskSet(spec.task_count), 1, False, 70.0, [])
+    fuzzer.cluster.add_job(spec, TaskSet(spec.task_count), 1, False, 70.0, [])
     queue = JobQueue(OBJECTIVES, set())
-    queue.update(history.cluster, history.cluster.take_changed_jobs(), 70.0)
+    queue.update(fuzzer.cluster, fuzzer.cluster.take_changed_jobs(), 70.0)
     assert queue.in_order() == ["run-new", "run-old"]
-    queue.update(history.cluster, [], constants.STARVATION_S + 0.1)
+    queue.update(fuzzer.cluster, [], constants.STARVATION_S + 0.1)
     assert queue.in_order() == ["run-old", "run-new"]
 
 
-def test_one_job_more_costs_the_same_among_many_as_among_few() -> None:
+def test_cost_of_adding_a_job_does_not_grow_with_the_queue() -> None:
     def calls(jobs: int) -> int:
         cluster = cluster_with_a_machine()
         guaranteed_shares = GuaranteedShares(TEAMS)
--- a/sorrelsill/placement/test_scheduler.py
+++ b/sorrelsill/placement/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Which machine and which job first: the scheduler on a cluster state alone."""
+"""Tests of the scheduler on a cluster state alone: choice of machines, order of jobs, machine indices."""
 
 import random
 
@@ -40,15 +40,16 @@
     return [a.machine for a in job.bound.values()]
 
 
-def test_spot_machines_are_used_last_for_latency_and_first_for_cost() -> None:
+def test_spot_machines_are_last_choice_for_latency_and_first_for_cost() -> None:
     for optimise_latency in (True, False):
         cluster = cluster_with(("m1", "a", True), ("m2", "a", False))
         low = add(cluster, "run-1", shards=2, reclaimable=True)
         run_cycle(cluster, optimise_latency=optimise_latency)
-        assert {h.spot for h in machines_of(low)} == {not optimise_latency}
+        assert {machine.spot for machine in machines_of(low)} == {not optimise_latency}
 
 
-def test_the_least_work_goes_first_so_that_a_burst_does_not_make_all_late() -> None:
+def test_job_with_least_remaining_work_goes_first() -> None:
+    """Otherwise all jobs of a burst would share the capacity and finish late."""
     cluster = cluster_with(("m1", "a", False))
     large = add(cluster, "run-large", submitted=0.0, shards=50)
     small = add(cluster, "run-small", submitted=0.5, shards=3)
@@ -56,19 +57,19 @@
     assert len(small.bound) == 3 and len(large.bound) == 1
 
 
-def test_replicas_of_a_latency_sensitive_service_spread_and_tasks_of_an_array_share_a_fetch() -> None:
+def test_service_replicas_spread_and_array_tasks_share_an_image_fetch() -> None:
     machines = [(f"m{n}", "ab"[n % 2], False) for n in range(8)]
     cluster = cluster_with(*machines)
     service = add(cluster, "run-s", shape="standing", rank="prod", workload="live", shards=6, scatter=True)
     run_cycle(cluster)
-    assert len({h.name for h in machines_of(service)}) == 6
+    assert len({machine.name for machine in machines_of(service)}) == 6
     cluster = cluster_with(*machines)
     array = add(cluster, "run-a", shards=4)
     run_cycle(cluster)
-    assert len({h.name for h in machines_of(array)}) == 1
+    assert len({machine.name for machine in machines_of(array)}) == 1
 
 
-def test_a_machine_not_known_to_be_reachable_gets_no_work() -> None:
+def test_unreachable_machine_gets_no_work() -> None:
     cluster = cluster_with(("m1", "a", False))
     cluster.machines["m1"].reachable = False
     waiting = add(cluster, "run-a")
@@ -76,8 +77,8 @@
     assert not waiting.bound and scheduler.unschedulable["run-a"].count == 2
 
 
-def test_the_indices_agree_with_what_is_on_the_machines() -> None:
-    """What tasks of ended jobs take is counted toward every team until they are gone, whoever adopts them."""
+def test_indices_match_the_attempts_on_machines() -> None:
+    """Tasks of an ended job count toward their team's usage until they are gone from the machine."""
     cluster = cluster_with(("m1", "a", False), ("m2", "b", False))
     work = add(cluster, "run-a", shards=4)
     run_cycle(cluster)
@@ -97,15 +98,16 @@
     )
 
 
-def test_the_index_of_schedulable_machines_follows_their_state() -> None:
-    """A scheduling cycle does not look at all machines, so the index that it looks at has to be right."""
+def test_machine_index_follows_machine_state() -> None:
+    """Scheduling cycles read the index instead of iterating over all machines, so a stale index would hide machines or
+    select unusable ones."""
     cluster = cluster_with(("m1", "a", False), ("m2", "b", False))
     work = add(cluster, "run-a", shards=4)
     run_cycle(cluster)
     full, other = machines_of(work)[0].name, {"m1": "m2", "m2": "m1"}[machines_of(work)[0].name]
     index = cluster.index
     assert index.ready.names() == {"m1", "m2"} and index.free.names() == {other} and index.idle.names() == {other}
-    cluster.machines[other].draining = True  # without a call: the indices follow at once
+    cluster.machines[other].draining = True  # assigning the attribute updates the indices
     assert index.ready.names() == {full} and not index.free.names()
     index.hold_image(cluster.machines[full], work.spec)
     assert index.holders("img").names() == {full}
@@ -128,7 +130,7 @@
         ("quarantined", False),
     ],
 )
-def test_each_condition_takes_a_machine_out_of_the_indices_at_once(condition: str, schedulable: bool) -> None:
+def test_machine_condition_updates_the_indices_at_once(condition: str, schedulable: bool) -> None:
     cluster = cluster_with(("m1", "a", False))
     setattr(cluster.machines["m1"], condition, not schedulable)
     assert not cluster.index.ready and not cluster.index.free
@@ -136,7 +138,7 @@
     assert cluster.index.ready.names() == cluster.index.free.names() == {"m1"}
 
 
-def test_a_machine_to_be_reclaimed_or_of_a_new_size_is_indexed_again() -> None:
+def test_spot_reclaim_and_new_capacity_update_the_index() -> None:
     cluster = cluster_with(("m1", "a", False), ("m2", "a", False))
     cluster.machines["m1"].spot_reclaim_at = 30.0
     assert cluster.index.ready.names() == {"m2"}
@@ -146,9 +148,9 @@
     assert {m.name for m in cluster.index.with_room(spec)} == {"m2"}
 
 
-def test_a_scheduling_cycle_costs_no_more_on_three_times_as_many_machines() -> None:
-    """Counted in calls, so the verdict is the same every time: a cycle without waiting work, and one that binds one
-    small job, look only at the machines they sample."""
+def test_cycle_cost_does_not_grow_with_the_number_of_machines() -> None:
+    """A cycle without waiting work, and one that binds a few small jobs, examine only the machines they sample. Cost is
+    counted in function calls, so the result is deterministic."""
 
     def calls(machines: int, work: int) -> int:
         cluster = cluster_with(*((f"m{n}", "ab"[n % 2], False) for n in range(machines)))
