--- a/sorrelsill/placement/gang_scheduler.py
+++ b/sorrelsill/placement/gang_scheduler.py
@@ -106,7 +106,7 @@
         )
 
     def _hold_machines_for_gang(self, cycle: SchedulingCycle, job: Job, placements: list[GangPlacement]) -> None:
-        """Hold machines for a gang while their tasks drain; otherwise small tasks would take the room as it becomes
+        """Hold machines for a gang while they drain; otherwise small tasks would take the room as it becomes
         free, and the gang would never fit. Machines are held at once for latency-sensitive gangs, and for other gangs
         once they are starved. No more are held once `GANG_HOLD_SHARE` of all machines are, so that arrays can go on."""
         spec, now, reservations = job.spec, cycle.now, self._reservations
--- a/sorrelsill/placement/reservations.py
+++ b/sorrelsill/placement/reservations.py
@@ -1,5 +1,5 @@
 """Capacity reserved for a job until the job can use it: machines where victims were preempted for it, machines held
-for a gang while their tasks drain, and the number of its tasks that await preempted room. No I/O; callers pass the
+for a gang while they drain, and the number of its tasks that await preempted room. No I/O; callers pass the
 current time."""
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _GangHold:
-    """Holds a machine for a gang while its tasks drain; meanwhile only the gang itself and jobs of higher
-    priority may start tasks on it."""
+    """Holds a machine for a gang while the machine drains; meanwhile only the gang itself and jobs of higher priority
+    may start tasks on it."""
 
     job_id: str
     priority: int
@@ -40,9 +40,7 @@
         self._expected_room: dict[str, list[float]] = {}
         self._reserved: dict[str, _Reservation] = {}  # by machine name
         self._gang_holds: dict[str, _GangHold] = {}  # by machine name
-        self._failed_searches: dict[
-            Hashable, float
-        ] = {}  # search class -> time until which no victims are searched for
+        self._failed_searches: dict[Hashable, float] = {}  # search class -> end of the pause in its searches
 
     def reset(self) -> None:
         """Clear all state at the start of a new term."""
