--- a/sorrelsill/store/__init__.py
+++ b/sorrelsill/store/__init__.py
@@ -1,4 +1,4 @@
-"""The key-value store: a client under a rate budget, the names of our keys, and the watch cache that follows them."""
+"""Key-value store: a rate-limited client, the key layout, and a watch cache of the keys."""
 
 from sorrelsill.store.client import (
     AmbiguousError,
--- a/sorrelsill/store/client.py
+++ b/sorrelsill/store/client.py
@@ -1,6 +1,7 @@
-"""The client of the key-value store, which the platform calls the state service. Every call gives a result, or raises
-UnavailableError (certainly not carried out) or AmbiguousError (may have been carried out, or may yet be). Callers must
-treat these differently."""
+"""Client of the key-value store, which the platform calls the state service.
+
+Every call returns a result, or raises UnavailableError (certainly not executed) or AmbiguousError (may have been
+executed, or may still be executed later). Callers must treat these differently."""
 
 from __future__ import annotations
 
@@ -24,11 +25,11 @@
 
 
 class StoreError(Exception):
-    """A request to the store brought no result."""
+    """A request to the store returned no result."""
 
 
 class UnavailableError(StoreError):
-    """The request was certainly not carried out: refused, throttled or never sent."""
+    """The request was certainly not executed: refused, throttled or never sent."""
 
     def __init__(self, text: str, throttled: bool = False) -> None:
         super().__init__(text)
@@ -36,8 +37,8 @@
 
 
 class RefusedError(UnavailableError):
-    """The store will never carry it out as it is: a value or the whole is larger than it allows.
-    `limits_reduced`: by this we learnt of smaller limits."""
+    """The request exceeds a size limit of the store, for one value or for the whole request, so a retry cannot succeed.
+    `limits_reduced`: after this refusal the client applies smaller limits, so a smaller request may succeed."""
 
     def __init__(self, text: str, limits_reduced: bool) -> None:
         super().__init__(text)
@@ -45,31 +46,31 @@
 
 
 class AmbiguousError(StoreError):
-    """No proper answer: the request may have been carried out, or may yet be, minutes later."""
+    """No valid response: the request may have been executed, or may still be executed minutes later."""
 
 
 @dataclass(slots=True, frozen=True)
 class Compare:
-    """A key must have this revision; 0 means that it must not exist."""
+    """Condition of a transaction: the key has this revision. Revision 0 means that the key does not exist."""
 
     key: str
     rev: int
 
     def to_wire(self) -> dict[str, Any]:
-        """As the state service reads it."""
+        """Encodes it for the state service."""
         return {"k": self.key, "keyRev": self.rev}
 
 
 @dataclass(slots=True, frozen=True)
 class Put:
-    """Write a value, attached to a lease if one is named."""
+    """Writes a value. With a lease, the key is deleted when the lease ends."""
 
     key: str
     value: Any
     lease: int | None = None
 
     def to_wire(self) -> dict[str, Any]:
-        """As the state service reads it."""
+        """Encodes it for the state service."""
         out: dict[str, Any] = {"set": self.key, "value": self.value}
         if self.lease is not None:
             out["tenancy"] = self.lease
@@ -78,18 +79,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Delete:
-    """Remove a key."""
+    """Deletes a key."""
 
     key: str
 
     def to_wire(self) -> dict[str, Any]:
-        """As the state service reads it."""
+        """Encodes it for the state service."""
         return {"remove": self.key}
 
 
 @dataclass(slots=True)
 class TransactionResult:
-    """The outcome of a transaction: its revision, or the keys whose conditions failed."""
+    """Result of a transaction: `ok` and its revision, or the keys whose conditions failed."""
 
     ok: bool
     rev: int
@@ -97,21 +98,21 @@
 
 
 class VersionedValue(NamedTuple):
-    """The value of a key, and the revision at which it was written."""
+    """The value of a key and the revision at which it was written."""
 
     value: Any
     rev: int
 
 
 class ScanResult(NamedTuple):
-    """All keys with a prefix, and the revision from which later changes have to be followed."""
+    """All keys with a prefix, and the revision from which to watch for later changes."""
 
     entries: dict[str, VersionedValue]
     rev: int
 
 
 class WatchResult(NamedTuple):
-    """What changed up to a revision; `decode_change` reads each change."""
+    """The changes up to a revision, each to be decoded with `decode_change`."""
 
     rev: int
     changes: list[dict[str, Any]]
@@ -127,8 +128,8 @@
 
 
 def decode_change(raw: dict[str, Any]) -> KeyChange | None:
-    """One change of a watch's answer, None if it is of a sort that we don't know. Raises KeyError or TypeError if it is
-    damaged."""
+    """Decodes one change of a watch response. Returns None if its type is unknown. Raises KeyError or TypeError if it
+    is malformed."""
     if "set" in raw:
         return KeyChange(raw["set"], raw.get("value"), raw["keyRev"], True)
     if "remove" in raw:
@@ -137,7 +138,8 @@
 
 
 class KeyValueStore:
-    """Requests under a budget. Pings (`urgent`) never wait for it; what they use is taken from the rest."""
+    """Sends requests within a rate budget. Urgent requests (lease renewals) never wait for the budget, but the tokens
+    that they take delay the other requests."""
 
     def __init__(self, client: Client, limits: StateLimits, nodes: int) -> None:
         self._client = client
@@ -150,17 +152,19 @@
         self._nodes = max(1, nodes)
         self.writes = TokenBucket(1.0, 1.0)
         self.set_leading(False)
-        self.last_ok = trio.current_time()  # send time of the last request that was answered properly
+        # Send time of the latest request whose response showed that the store is reachable.
+        self.last_reachable_at = trio.current_time()
         self.failing_since: float | None = None
-        # Smaller limits come without notice. What costs nothing keeps to them from the start; the longest values and
-        # the rate only once the store has refused something.
+        # The store may switch to its announced smaller limits without notice. Applying the smaller transaction size
+        # from the start costs nothing. The smaller value size and write rate apply only after the store refuses or
+        # throttles a write.
         self.txn_ops = reduced.txn_ops
-        self.value_bytes = int(limits.value_kb * 1024 * constants.VALUE_SHARE)  # in force, as far as is known
+        self.value_bytes = int(limits.value_kb * 1024 * constants.VALUE_SHARE)  # the limit assumed to be in force
         self.reduced_value_bytes = int(reduced.value_kb * 1024 * constants.VALUE_SHARE)
-        self.refused = 0
+        self.refused = 0  # transactions refused as malformed or too large
 
     def set_leading(self, leading: bool) -> None:
-        """The leader writes most, so it gets the larger share of the store's write rate."""
+        """Sets this controller's share of the store's write rate. The leader writes most, so it gets the largest."""
         self._leading = leading
         share = (
             constants.LEADER_WRITE_SHARE if leading else (1 - constants.LEADER_WRITE_SHARE) / max(1, self._nodes - 1)
@@ -196,8 +200,8 @@
             self._note_failure(sent_at)
             raise AmbiguousError(str(error)) from None
         if status == 429:
-            # Throttled is not down: the store is there, others use the rate too.
-            self.last_ok = max(self.last_ok, sent_at)
+            # A throttled request shows that the store is reachable: other clients use the rate as well.
+            self.last_reachable_at = max(self.last_reachable_at, sent_at)
             self.requests.drain()
             raise UnavailableError("throttled", throttled=True)
         if status == 503:
@@ -206,7 +210,7 @@
         if status >= 500 or status in (408, 413) or not isinstance(answer, dict):
             self._note_failure(sent_at)
             raise AmbiguousError(f"the store answers {status}")
-        self.last_ok = max(self.last_ok, sent_at)
+        self.last_reachable_at = max(self.last_reachable_at, sent_at)
         self.failing_since = None
         return status, answer
 
@@ -215,13 +219,13 @@
             self.failing_since = at
 
     def failing_for(self) -> float:
-        """Seconds since the store was last there for us; 0 while it answers."""
+        """Seconds since the store was last known to be reachable; 0 if the latest request succeeded."""
         if self.failing_since is None:
             return 0.0
-        return trio.current_time() - max(self.failing_since, self.last_ok)
+        return trio.current_time() - max(self.failing_since, self.last_reachable_at)
 
     async def get(self, key: str) -> VersionedValue | None:
-        """None if the key does not exist."""
+        """Reads one key. Returns None if it does not exist."""
         status, answer = await self._call("GET", f"/kv/{key}")
         if status == 200:
             return VersionedValue(answer.get("value"), _int_field(answer, "keyRev"))
@@ -230,28 +234,29 @@
         raise AmbiguousError(f"the store answers {status} to a read")
 
     async def scan(self, prefix: str) -> ScanResult:
-        """All keys with a prefix, and the revision of the first page: later changes have to be followed."""
-        found: dict[str, VersionedValue] = {}
-        last = ""
+        """Reads all keys with a prefix, page by page. The result has the revision of the first page, since the store
+        may change between two pages; a watch from that revision covers these changes."""
+        entries: dict[str, VersionedValue] = {}
+        last_key = ""
         first_rev: int | None = None
         while True:
-            target = f"/kv?starts={prefix}&page={constants.KV_PAGE}" + (f"&from={last}" if last else "")
+            target = f"/kv?starts={prefix}&page={constants.KV_PAGE}" + (f"&from={last_key}" if last_key else "")
             status, answer = await self._call("GET", target)
             if status != 200 or not isinstance(answer.get("pairs"), list):
                 raise AmbiguousError(f"the store answers {status} to a list")
             if first_rev is None:
                 first_rev = _int_field(answer, "storeRev")
             for pair in answer["pairs"]:
-                last = pair["k"]
-                found[last] = VersionedValue(pair.get("value"), _int_field(pair, "keyRev"))
+                last_key = pair["k"]
+                entries[last_key] = VersionedValue(pair.get("value"), _int_field(pair, "keyRev"))
             if not answer.get("hasNext") or not answer["pairs"]:
-                return ScanResult(found, first_rev)
+                return ScanResult(entries, first_rev)
 
     async def commit(
         self, compares: list[Compare], writes: list[Put | Delete], urgent: bool = False
     ) -> TransactionResult:
-        """One compare-and-swap transaction: all writes are carried out, or none. Raises RefusedError, UnavailableError
-        or AmbiguousError."""
+        """Executes a compare-and-swap transaction: all writes or none. Raises RefusedError, UnavailableError or
+        AmbiguousError."""
         if urgent:
             self.writes.take(len(writes))
         elif writes:
@@ -261,25 +266,27 @@
             status, answer = await self._call("POST", "/multi", body, urgent=urgent)
         except UnavailableError as error:
             if error.throttled:
-                self._write_throttled(bool(writes))
+                self._on_throttled(bool(writes))
             raise
         if status == 200:
             return TransactionResult(True, _int_field(answer, "storeRev"))
         if status == 409:
             failed = [str(key) for key in answer.get("failed") or []]
             return TransactionResult(False, _int_field(answer, "storeRev"), failed)
-        raise self._refusal(status, answer.get("error"), writes)
+        raise self._make_refusal(status, answer.get("error"), writes)
 
-    def _write_throttled(self, with_writes: bool) -> None:
-        """Others use the rate too, or it was lowered."""
+    def _on_throttled(self, with_writes: bool) -> None:
+        """Empties the write budget. Either other clients use the rate as well, or the store lowered it, so a throttled
+        write also reduces the write rate."""
         self.writes.drain()
         if with_writes and self._reduced_write_rate < self._write_rate:
             log_event(log, logging.INFO, "store_write_rate_reduced", writes_per_s=self._reduced_write_rate)
             self._write_rate = self._reduced_write_rate
             self.set_leading(self._leading)
 
-    def _refusal(self, status: int, error: Any, writes: list[Put | Delete]) -> UnavailableError:
-        """400: malformed, too large or, for a put with a lease, that lease has ended. Either way nothing was done."""
+    def _make_refusal(self, status: int, error: Any, writes: list[Put | Delete]) -> UnavailableError:
+        """The error for a transaction that was not executed. Status 400 means that the request is malformed or too
+        large or, for a put with a lease, that the lease has ended."""
         text = f"the store answers {status}: {error}"
         if status != 400 or any(isinstance(write, Put) and write.lease is not None for write in writes):
             return UnavailableError(text)
@@ -292,25 +299,26 @@
         return RefusedError(text, limits_reduced)
 
     async def grant(self, ttl_s: float, timeout: float) -> int:
-        """A new lease; returns its number."""
+        """Creates a lease and returns its ID."""
         status, answer = await self._call("POST", "/grants", {"ttlMs": int(ttl_s * 1000)}, timeout=timeout, urgent=True)
         if status != 200:
             raise UnavailableError(f"the store answers {status} to a grant")
         return _int_field(answer, "tenancy")
 
     async def renew(self, lease: int, timeout: float) -> bool:
-        """True if the lease goes on, False if it has ended."""
+        """Renews a lease. Returns False if it has ended."""
         status, _ = await self._call("POST", f"/grants/{lease}/renew", {}, timeout=timeout, urgent=True)
         if status in (200, 404):
             return status == 200
         raise AmbiguousError(f"the store answers {status} to a renewal")
 
     async def revoke(self, lease: int, timeout: float) -> None:
-        """End a lease at once."""
+        """Ends a lease immediately."""
         await self._call("DELETE", f"/grants/{lease}", timeout=timeout, urgent=True)
 
     async def watch(self, prefix: str, since: int, hold_s: float, timeout: float) -> WatchResult | None:
-        """Changes after a revision, or None if that revision is too old to follow from."""
+        """Returns the changes after a revision, or None if the store no longer has the changes since that revision.
+        Without changes, the store holds the request for up to `hold_s` seconds."""
         hold = f"&holdMs={int(hold_s * 1000)}"
         status, answer = await self._call("GET", f"/follow?starts={prefix}&from={since}{hold}", timeout=timeout)
         if status == 410:
--- a/sorrelsill/store/ended_jobs.py
+++ b/sorrelsill/store/ended_jobs.py
@@ -1,4 +1,4 @@
-"""The last live records of jobs that ended recently, kept for a fixed time."""
+"""Keeps the last live records of jobs that ended recently, for a fixed time."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRecords:
-    """Jobs that ended recently."""
+    """Jobs that ended within a time window."""
 
-    records: list[tuple[str, Any]]  # job ids, and last live records
-    complete: bool  # none can be missing
+    records: list[tuple[str, Any]]  # job IDs and last live records
+    complete: bool  # no job that ended within the window is missing
 
 
 @dataclass(frozen=True, slots=True)
 class _EndedJob:
-    ended_at: float  # when its end was seen
+    ended_at: float  # when this process learnt of the end
     last_record: Any
 
 
 class RecentlyEndedJobs:
-    """A new leader counts the tasks of these toward their teams' limits, since a cancelled job may run
-    on for a while."""
+    """Remembers jobs that ended recently. A new leader counts their tasks toward the quotas of their teams, since the
+    tasks of a cancelled job may keep running for a while."""
 
     def __init__(self, keep_s: float) -> None:
-        """`keep_s`: how many seconds an end is remembered."""
+        """`keep_s`: seconds for which an ended job is kept."""
         self._keep_s = keep_s
         self._ended: OrderedDict[str, _EndedJob] = OrderedDict()  # oldest end first
 
@@ -34,18 +34,19 @@
         return job_id in self._ended
 
     def job_ids(self) -> list[str]:
-        """The jobs that are remembered, oldest end first."""
+        """IDs of the jobs kept, in the order in which they ended."""
         return list(self._ended)
 
     def add(self, job_id: str, last_record: Any, now: float) -> None:
-        """Remember an end that was seen now, and forget those whose time is over."""
+        """Adds a job that ended now, and drops those that ended more than `keep_s` seconds ago."""
         self._ended[job_id] = _EndedJob(now, last_record)
         self._ended.move_to_end(job_id)
         while now - next(iter(self._ended.values())).ended_at > self._keep_s:
             self._ended.popitem(last=False)
 
     def within(self, window_s: float, complete_since: float, now: float) -> EndedRecords:
-        """The jobs that ended within the last `window_s` seconds, given since when no end can have been missed."""
+        """The jobs that ended within the last `window_s` seconds. `complete_since`: time since which no end was
+        missed."""
         complete = now - window_s >= complete_since and window_s <= self._keep_s
         records = [(i, job.last_record) for i, job in self._ended.items() if now - job.ended_at <= window_s]
         return EndedRecords(records, complete)
--- a/sorrelsill/store/keys.py
+++ b/sorrelsill/store/keys.py
@@ -1,13 +1,14 @@
-"""The keys of the key-value store. All begin with `s/`, so that one watch sees everything:
+"""Key layout of the key-value store. All keys start with `s/`, so that one watch covers them all:
 
-s/leader       who leads, attached to the leader's lease
+s/leader       the current leader, attached to the leader's lease
 s/j/<uid>      a live job: specification, finished tasks, counts
-s/d/<uid>/<n>  finished tasks of a very large job, 16,384 to a key
-s/e/<uid>/<n>  the same, 4,096 to a key: only where the store refuses longer values
-s/f/<uid>      the final record of an ended job, kept for ever
-s/m/<part>     machines that may have been given work, those of one part in one map; a full part goes on in
-               s/m/<part>.1 and so on, and a machine may stand in more than one
-s/catalog      the machine types as last read
+s/d/<uid>/<n>  progress chunk: finished tasks of a very large job, 16,384 tasks per key
+s/e/<uid>/<n>  small progress chunk, 4,096 tasks per key; used only where the store refuses longer values
+s/f/<uid>      the final record of an ended job, never deleted
+s/m/<part>     machine registry: machines that may have been given work. A machine's name is hashed to a part, and
+               each part is one map. A full part continues in s/m/<part>.1, s/m/<part>.2 and so on; a machine may
+               have entries in more than one of these keys
+s/catalog      the machine types as last read from the cloud
 """
 
 from __future__ import annotations
@@ -24,21 +25,21 @@
 REGISTRY_PREFIX = "s/m/"
 CHUNK_PREFIX = "s/d/"
 SMALL_CHUNK_PREFIX = "s/e/"
-CHUNK_PREFIXES = (CHUNK_PREFIX, SMALL_CHUNK_PREFIX)  # of the same length
+CHUNK_PREFIXES = (CHUNK_PREFIX, SMALL_CHUNK_PREFIX)  # same length: job_of_chunk relies on it
 
 
 def job_key(job_id: str) -> str:
-    """The key of a live job."""
+    """The key of a live job's record."""
     return JOB_PREFIX + job_id
 
 
 def final_key(job_id: str) -> str:
-    """The key of an ended job."""
+    """The key of an ended job's final record."""
     return FINAL_PREFIX + job_id
 
 
 def chunk_key(job_id: str, number: int) -> str:
-    """The key of a progress chunk: some finished tasks of a very large job."""
+    """The key of a progress chunk, which holds finished tasks of a very large job."""
     return f"{CHUNK_PREFIX}{job_id}/{number}"
 
 
@@ -48,12 +49,12 @@
 
 
 def job_of_chunk(key: str) -> str:
-    """The job that a progress chunk of either size belongs to."""
+    """The ID of the job that a progress chunk of either size belongs to."""
     return key[len(CHUNK_PREFIX) :].partition("/")[0]
 
 
 def first_task_of_chunk(key: str) -> int | None:
-    """The first task that a progress chunk covers; None if the key ends in no number."""
+    """Index of the first task that a progress chunk covers, or None if the key does not end in a number."""
     number = key.rpartition("/")[2]
     if not number.isdecimal():
         return None
@@ -62,5 +63,6 @@
 
 
 def registry_key(machine: str) -> str:
-    """Machines share a few keys, so that hundreds that come or go together cost a few writes."""
+    """The first registry key for a machine. Machines share a small number of keys, so that adding or removing hundreds
+    of machines at once takes only a few writes."""
     return f"{REGISTRY_PREFIX}{zlib.crc32(machine.encode()) % constants.REGISTRY_PARTS:02d}"
