--- a/sorrelsill/store/test_watch_cache.py
+++ b/sorrelsill/store/test_watch_cache.py
@@ -1,4 +1,4 @@
-"""The watch cache: what comes late or out of order."""
+"""Watch cache: responses that arrive late or out of order, and recently ended jobs."""
 
 from typing import Any
 
@@ -10,7 +10,9 @@
 from tests.simulation import FakeNet, FakeStore
 
 
-def _follow(tell: Any) -> None:
+def _run(scenario: Any) -> None:
+    """Runs `scenario(watch_cache, fake)` with a watch cache that follows a simulated store."""
+
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             net, fake = FakeNet(nursery), FakeStore()
@@ -20,7 +22,7 @@
             )
             nursery.start_soon(watch_cache.run)
             nursery.start_soon(watch_cache.run_barriers)
-            await tell(watch_cache, fake)
+            await scenario(watch_cache, fake)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -32,27 +34,27 @@
     return fake.rev
 
 
-def test_a_late_answer_does_not_bring_back_what_was_removed_meanwhile() -> None:
-    """Found on a measured day: the leader's own record of a job was answered only after the job's cancellation had
-    been followed; the job came back to life in the leader's cluster state and its tasks ran on."""
+def test_late_write_response_does_not_restore_a_removed_job() -> None:
+    """Guards against tasks of a cancelled job running on: the store's response to the leader's write of the job's
+    record arrives after the cancellation was followed, and restores the job in the leader's cluster state."""
 
-    async def tell(watch_cache: WatchCache, fake: FakeStore) -> None:
-        key, heard = job_key("run-1"), []
+    async def scenario(watch_cache: WatchCache, fake: FakeStore) -> None:
+        key, notified = job_key("run-1"), []
         written = write(fake, key, {"n": 1})
         write(fake, key, None)
         await trio.sleep(1)
         assert watch_cache.loaded and watch_cache.job("run-1") is None
-        watch_cache.listeners.append(lambda k, value, rev: heard.append(k))
+        watch_cache.listeners.append(lambda k, value, rev: notified.append(k))
         watch_cache.apply_change(key, {"n": 1}, written, True)
-        assert watch_cache.job("run-1") is None and not heard
+        assert watch_cache.job("run-1") is None and not notified
 
-    _follow(tell)
+    _run(scenario)
 
 
-def test_answers_out_of_order_do_not_bring_back_what_was_removed_meanwhile() -> None:
-    """A barrier overtakes the watch; the watch's answer is older and lacks the removal."""
+def test_out_of_order_watch_response_does_not_restore_a_removed_job() -> None:
+    """A read barrier overtakes the watch: the response of the watch is older and does not include the removal."""
 
-    async def tell(watch_cache: WatchCache, fake: FakeStore) -> None:
+    async def scenario(watch_cache: WatchCache, fake: FakeStore) -> None:
         await trio.sleep(1)
         write(fake, job_key("run-1"), {"n": 1})
         older = WatchResult(fake.rev, [{"set": job_key("run-1"), "value": {"n": 1}, "keyRev": fake.rev}])
@@ -61,11 +63,11 @@
         watch_cache._apply_watch(older, trio.current_time())
         assert watch_cache.job("run-1") is None
 
-    _follow(tell)
+    _run(scenario)
 
 
-def test_what_ended_lately_is_told_only_if_none_can_be_missing() -> None:
-    async def tell(watch_cache: WatchCache, fake: FakeStore) -> None:
+def test_recently_ended_is_complete_only_if_no_end_was_missed() -> None:
+    async def scenario(watch_cache: WatchCache, fake: FakeStore) -> None:
         assert not watch_cache.recently_ended(10).complete
         write(fake, job_key("run-1"), {"n": 1})
         await trio.sleep(11)
@@ -76,13 +78,13 @@
         await trio.sleep(10)
         assert watch_cache.recently_ended(10) == EndedRecords([], complete=True)
 
-    _follow(tell)
+    _run(scenario)
 
 
-def test_ends_are_remembered_for_their_time_however_many_there_are() -> None:
-    """With a fixed number of them, the ends of a large fleet's jobs left a new leader in the dark."""
+def test_ended_jobs_are_kept_by_age_not_by_count() -> None:
+    """Guards against a limit by count: on a large fleet it drops jobs whose tasks a new leader still has to count."""
 
-    async def tell(watch_cache: WatchCache, fake: FakeStore) -> None:
+    async def scenario(watch_cache: WatchCache, fake: FakeStore) -> None:
         for number in range(6000):
             watch_cache.apply_change(job_key(f"run-{number}"), {"n": 0}, 10_000 + number, True)
         await trio.sleep(20)
@@ -94,27 +96,27 @@
         await trio.sleep(31)
         watch_cache.apply_change(job_key("run-x"), {"n": 0}, 30_000, True)
         watch_cache.apply_change(job_key("run-x"), None, 30_001, False)
-        assert watch_cache.ended_jobs.job_ids() == ["run-x"], "what is older takes no memory"
-        assert not watch_cache.recently_ended(31).complete, "nothing is said about more than is remembered"
+        assert watch_cache.ended_jobs.job_ids() == ["run-x"], "older entries are dropped"
+        assert not watch_cache.recently_ended(31).complete, "a window longer than ended jobs are kept is never complete"
 
-    _follow(tell)
+    _run(scenario)
 
 
-def test_a_removal_that_the_view_has_not_reached_yet_is_remembered() -> None:
-    """A job cancelled here, before the watch told of it, must not come back with a watch answer that was on its way.
-    Its tasks may run on for a while, so it counts as lately over all the same."""
+def test_removal_ahead_of_the_watch_is_remembered() -> None:
+    """A job that this process cancels before the watch returns its record must not be restored by a watch response
+    already in flight. Its tasks may keep running for a while, so it still counts as recently ended."""
 
-    async def tell(watch_cache: WatchCache, fake: FakeStore) -> None:
-        key, heard = job_key("run-1"), []
+    async def scenario(watch_cache: WatchCache, fake: FakeStore) -> None:
+        key, notified = job_key("run-1"), []
         await trio.sleep(1)
         accepted = write(fake, key, {"n": 1})
         older = WatchResult(accepted, [{"set": key, "value": {"n": 1}, "keyRev": accepted}])
-        watch_cache.listeners.append(lambda k, value, rev: heard.append((k, value)))
+        watch_cache.listeners.append(lambda k, value, rev: notified.append((k, value)))
         watch_cache.apply_change(key, None, accepted + 1, False)
         watch_cache._apply_watch(older, trio.current_time())
-        assert watch_cache.job("run-1") is None and (key, {"n": 1}) not in heard
+        assert watch_cache.job("run-1") is None and (key, {"n": 1}) not in notified
         assert watch_cache.ended_jobs.job_ids() == ["run-1"]
         write(fake, key, None)
         assert await watch_cache.read_barrier() and watch_cache.job("run-1") is None and not watch_cache._removed
 
-    _follow(tell)
+    _run(scenario)
--- a/sorrelsill/store/watch_cache.py
+++ b/sorrelsill/store/watch_cache.py
@@ -1,4 +1,5 @@
-"""The watch cache: a copy of our keys, kept warm on every controller, with a read barrier that proves it fresh."""
+"""Watch cache: an in-memory copy of the keys, kept up to date on every controller by a watch on the key-value store. A
+read barrier proves that the copy is up to date."""
 
 from __future__ import annotations
 
@@ -32,49 +33,50 @@
 
 
 class WatchCache:
-    """Live keys in memory; final records only in a bounded cache, since they are kept for ever."""
+    """Holds all live keys in memory. Final records are never deleted from the store, so only a bounded number of them
+    is cached."""
 
     def __init__(
         self,
         store: KeyValueStore,
         keep_ended_s: float,
         on_final: Callable[[str, Any], None] = lambda job_id, value: None,
-        more_prefixes: tuple[str, ...] = (),
+        extra_prefixes: tuple[str, ...] = (),
     ) -> None:
-        """`keep_ended_s`: how many seconds ended jobs are remembered. `on_final` is told of each final record as it is
-        learnt of; `more_prefixes` are keys to be read as well."""
-        self._prefixes = (JOB_PREFIX, *CHUNK_PREFIXES, REGISTRY_PREFIX, LEADER, CATALOG, *more_prefixes)
+        """`keep_ended_s`: seconds for which ended jobs are remembered. `on_final`: called with each final record that
+        this process learns of. `extra_prefixes`: prefixes of further keys to cache."""
+        self._prefixes = (JOB_PREFIX, *CHUNK_PREFIXES, REGISTRY_PREFIX, LEADER, CATALOG, *extra_prefixes)
         self._store = store
         self.keys: dict[str, VersionedValue] = {}
         self._final_records: OrderedDict[str, Any] = OrderedDict()
         self.ended_jobs = RecentlyEndedJobs(keep_ended_s)
-        self.complete_since = float("inf")  # no end since then can have been missed
-        self.followed_since = float("inf")  # every change since then was followed, final records included
-        # By job, so that a failover doesn't walk all keys for each.
+        self.complete_since = float("inf")  # since then no end of a job was missed
+        self.followed_since = float("inf")  # since then every change was followed, including final records
+        # By job, so that a failover does not iterate over all keys for each job.
         self._chunk_keys: dict[str, set[str]] = {}
         self.rev = 0  # every change up to this revision of the store is in the cache
         self.loaded = False
-        self.fresh_at = float("-inf")  # the cache holds everything committed before this moment
+        self.fresh_at = float("-inf")  # the cache holds every change committed before this time
         self.listeners: list[Listener] = []
         self._on_final = on_final
-        self._removed: dict[str, int] = {}  # keys removed at a revision that `rev` has not reached yet
+        self._removed: dict[str, int] = {}  # keys removed at a revision above `rev`
         self._barrier_interval_s = 1.0 / max(1.0, constants.BARRIER_RATE_OF_RPS * store.requests.rate * 3)
         self._last_barrier_at = float("-inf")
         self._barrier_waiters: list[trio.Event] = []
         self._barrier_requested = trio.Event()
 
-    # --- what the keys hold ---
+    # --- reading the cache ---
 
     def job(self, job_id: str) -> VersionedValue | None:
-        """The record of a live job and its revision."""
+        """The record of a live job and its revision, or None."""
         return self.keys.get(JOB_PREFIX + job_id)
 
     def jobs(self) -> list[tuple[str, Any, int]]:
-        """Names, records and revisions of all live jobs."""
+        """IDs, records and revisions of all live jobs."""
         return [(k[len(JOB_PREFIX) :], v, r) for k, (v, r) in self.keys.items() if k.startswith(JOB_PREFIX)]
 
     def chunks(self, job_id: str) -> list[tuple[int, Any]]:
-        """Finished tasks kept beside a job's record: from which task on, and their text."""
+        """The progress chunks of a job: the first task that each covers, and its value."""
         chunks = []
         for key in self.chunk_keys(job_id):
             first_task = first_task_of_chunk(key)
@@ -83,15 +85,16 @@
         return chunks
 
     def chunk_keys(self, job_id: str) -> list[str]:
-        """Keys of finished tasks kept beside a job's record."""
+        """The keys of a job's progress chunks."""
         return sorted(self._chunk_keys.get(job_id, ()))
 
     def jobs_with_orphaned_chunks(self) -> list[str]:
-        """Ended jobs that left such keys: their end had no room for the removal of all."""
+        """Ended jobs that still have progress chunks: the transaction that ended such a job was too small to delete all
+        of them."""
         return [job_id for job_id in self._chunk_keys if JOB_PREFIX + job_id not in self.keys]
 
     def registry_parts(self, machine: str) -> dict[str, tuple[dict[str, Any], int]]:
-        """The keys, with value and revision, in which a machine's entry may stand."""
+        """The registry keys that may hold a machine's entry, with value and revision."""
         key = base = registry_key(machine)
         parts: dict[str, tuple[dict[str, Any], int]] = {}
         while key in self.keys:
@@ -101,31 +104,32 @@
         return parts
 
     def registered_machines(self) -> list[tuple[str, Any]]:
-        """Machines that may hold work, and their entries as stored."""
+        """The machines that may have been given work, and their entries as stored."""
         parts = [v for k, (v, _) in self.keys.items() if k.startswith(REGISTRY_PREFIX) and isinstance(v, dict)]
         return [(name, value) for part in parts for name, value in part.items()]
 
     def leader(self) -> VersionedValue | None:
-        """The value of the leader key and its revision."""
+        """The value of the leader key and its revision, or None if there is no leader."""
         return self.keys.get(LEADER)
 
     def final(self, job_id: str) -> Any | None:
-        """The final record of a job, if it is remembered."""
+        """The final record of a job, or None if it is not cached."""
         return self._final_records.get(job_id)
 
     def remember_final(self, job_id: str, value: Any) -> None:
-        """Keep a final record in memory, and tell the listener of it."""
+        """Caches a final record and passes it to `on_final`."""
         self._final_records[job_id] = value
         self._on_final(job_id, value)
         while len(self._final_records) > constants.FINAL_CACHE:
             self._final_records.popitem(last=False)
 
-    # --- keeping it ---
+    # --- updating the cache ---
 
     def apply_change(self, key: str, value: Any, rev: int, present: bool) -> None:
-        """One change. Answers may come out of order, so an older one than what is known has no effect. Nor has one
-        that the cache has gone past already: the key may have been removed since. Found on a measured day: the answer
-        to a job's record came late, after its cancellation had been followed, and brought the job back to life."""
+        """Applies one change. Responses may arrive out of order, so a change that is older than the cached value has no
+        effect. Nor has a change at or below the revision of the cache, since the key may have been removed since then:
+        otherwise, a late response to the write of a job's record would bring the job back after its cancellation has
+        been followed."""
         if key.startswith(FINAL_PREFIX):
             if present:
                 self.remember_final(key[len(FINAL_PREFIX) :], value)
@@ -134,13 +138,14 @@
         if rev <= self.rev or current is not None and current.rev >= rev:
             return
         if self._removed.get(key, -1) >= rev:
-            # A job that was cancelled here before the watch told of it. Its tasks may run on for a while all the same.
+            # The job was cancelled by this process before the watch returned its record. Its tasks may still keep
+            # running for a while, so it is recorded as ended.
             if present and key.startswith(JOB_PREFIX) and key[len(JOB_PREFIX) :] not in self.ended_jobs:
                 self._record_end(key[len(JOB_PREFIX) :], value)
             return
         if not present:
-            # Found by reading: a job cancelled here before the watch told of it came back with a watch answer that was
-            # on its way, since nothing said that it had been removed after that.
+            # Without this, a watch response already in flight would bring back a job that this process cancelled
+            # before the watch returned its record.
             self._removed[key] = rev
         if present:
             self.keys[key] = VersionedValue(value, rev)
@@ -153,7 +158,8 @@
             listener(key, value if present else None, rev)
 
     def _index_removal(self, key: str, value: Any) -> None:
-        """A job that was cancelled may run on for a while: a new leader counts its tasks toward its team's limit."""
+        """Updates the indexes after the removal of a key. A removed job is recorded as ended: the tasks of a cancelled
+        job may keep running for a while, and a new leader counts them toward the quota of its team."""
         if key.startswith(CHUNK_PREFIXES):
             job_id = job_of_chunk(key)
             self._chunk_keys[job_id].discard(key)
@@ -166,34 +172,34 @@
     def _record_end(self, job_id: str, last_record: Any) -> None:
         self.ended_jobs.add(job_id, last_record, trio.current_time())
 
-    def recently_ended(self, window: float) -> EndedRecords:
-        """The last live records of jobs that ended within the last `window` seconds."""
-        return self.ended_jobs.within(window, self.complete_since, trio.current_time())
+    def recently_ended(self, window_s: float) -> EndedRecords:
+        """The jobs that ended within the last `window_s` seconds, with their last live records."""
+        return self.ended_jobs.within(window_s, self.complete_since, trio.current_time())
 
     async def _load(self) -> None:
-        """Read everything live; the final records stay where they are."""
-        found: dict[str, VersionedValue] = {}
+        """Reads all live keys. Final records are not read, since their number is not bounded."""
+        stored: dict[str, VersionedValue] = {}
         sent_at = trio.current_time()
-        since: int | None = None
+        base_rev: int | None = None
         for prefix in self._prefixes:
             scan = await self._store.scan(prefix)
-            since = scan.rev if since is None else min(since, scan.rev)
-            found.update(scan.entries)
-        assert since is not None
-        for key, (value, rev) in found.items():
+            base_rev = scan.rev if base_rev is None else min(base_rev, scan.rev)
+            stored.update(scan.entries)
+        assert base_rev is not None
+        for key, (value, rev) in stored.items():
             self.apply_change(key, value, rev, True)
-        for key in [k for k, entry in self.keys.items() if k not in found and entry.rev <= since]:
-            self._remove_missing(key, since)
-        self._advance_to(since)
+        for key in [k for k, entry in self.keys.items() if k not in stored and entry.rev <= base_rev]:
+            self._remove_missing(key, base_rev)
+        self._advance_to(base_rev)
         self.fresh_at = max(self.fresh_at, sent_at)
-        self.complete_since = trio.current_time()  # jobs that came and went between two readings were never seen
+        self.complete_since = trio.current_time()  # jobs that started and ended between two loads are unknown
         self.followed_since = self.complete_since
         self.loaded = True
         took_s = self.complete_since - sent_at
         log_event(log, logging.DEBUG, "view_loaded", revision=self.rev, keys=len(self.keys), took_s=took_s)
 
     def _remove_missing(self, key: str, rev: int) -> None:
-        """The store holds a key no more, and the change that removed it was not followed."""
+        """Removes a key that is no longer in the store and whose removal was not followed."""
         self._index_removal(key, self.keys.pop(key).value)
         for listener in self.listeners:
             listener(key, None, rev)
@@ -211,16 +217,17 @@
             log_event(log, logging.DEBUG, "view_followed", revision=self.rev, changes=changes, took_s=took_s)
 
     def _advance_to(self, rev: int) -> None:
-        """From now on a change at or before `rev` has no effect, so removals up to it need not be remembered."""
+        """Sets the revision of the cache. Changes at or below it have no effect from now on, so removals up to it need
+        not be remembered."""
         self.rev = rev
         if self._removed:
             self._removed = {k: r for k, r in self._removed.items() if r > rev}
 
-    # --- following the store ---
+    # --- watching the store ---
 
     async def _watch_once(self, hold_s: float, timeout_s: float) -> None:
-        """Apply what changed since our revision; if the store remembers no changes from there on, read everything anew
-        the next time."""
+        """Applies the changes since the revision of the cache. If the store no longer has them, the next round loads
+        all keys again."""
         sent_at = trio.current_time()
         result = await self._store.watch(ALL_KEYS, self.rev, hold_s, timeout_s)
         if result is None:
@@ -229,14 +236,15 @@
             self._apply_watch(result, sent_at)
 
     async def run(self) -> None:
-        """Follow for ever; whatever fails is tried again after a pause."""
-        last = float("-inf")
+        """Follows the store until cancelled, and retries after a pause if a request fails."""
+        last_started_at = float("-inf")
         interval_s = 1.0 / (constants.WATCH_SHARE * self._store.requests.rate)
         while True:
             try:
-                # Each change ends a watch: without a pause, hundreds of changes a second would take all requests.
-                await trio.sleep_until(max(last + interval_s, trio.current_time()))
-                last = trio.current_time()
+                # Each change ends a watch: without a pause, hundreds of changes per second would use up the whole
+                # request rate.
+                await trio.sleep_until(max(last_started_at + interval_s, trio.current_time()))
+                last_started_at = trio.current_time()
                 if not self.loaded:
                     await self._load()
                 await self._watch_once(constants.WATCH_HOLD_S, constants.WATCH_HOLD_S + constants.WATCH_GRACE_S)
@@ -244,7 +252,7 @@
                 log_event(log, logging.DEBUG, "watch_failed", error=error)
                 await trio.sleep(constants.RETRY_S)
             except (KeyError, TypeError, ValueError):
-                # Guards against an answer of an unexpected form: read everything anew instead of dying.
+                # A malformed response must not end the process: load all keys again.
                 log.exception("watch_answer_damaged")
                 self.loaded = False
                 await trio.sleep(constants.RETRY_S)
@@ -252,12 +260,13 @@
     # --- read barriers ---
 
     def barrier_waiters(self) -> int:
-        """How many callers wait for a barrier."""
+        """The number of callers waiting for a barrier."""
         return len(self._barrier_waiters)
 
     async def read_barrier(self) -> bool:
-        """A linearizable read barrier: after True the cache holds every change committed before this call. One read
-        serves all that wait; it begins after they came, at most at the node's rate of barriers."""
+        """Linearizable read barrier. If it returns True, the cache holds every change committed before this call. One
+        read of the store serves all callers that were waiting when it began; the rate of these reads is limited per
+        controller."""
         event = trio.Event()
         self._barrier_waiters.append(event)
         self._barrier_requested.set()
@@ -266,12 +275,12 @@
         return self.fresh_at >= start
 
     async def run_barriers(self) -> None:
-        """Serve the barriers that are requested, for ever."""
+        """Serves requested barriers until cancelled."""
         while True:
             await self._barrier_requested.wait()
-            pause = self._last_barrier_at + self._barrier_interval_s - trio.current_time()
-            if pause > 0:
-                await trio.sleep(pause)
+            pause_s = self._last_barrier_at + self._barrier_interval_s - trio.current_time()
+            if pause_s > 0:
+                await trio.sleep(pause_s)
             waiters, self._barrier_waiters = self._barrier_waiters, []
             self._barrier_requested = trio.Event()
             self._last_barrier_at = trio.current_time()
