--- a/sorrelsill/controller/__init__.py
+++ b/sorrelsill/controller/__init__.py
@@ -1,4 +1,4 @@
-"""A controller: its parts put together, its routes, and its loops."""
+"""The controller process: connects its components, serves the HTTP routes, and runs the leader's loops."""
 
 from sorrelsill.controller.controller import Controller
 
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -1,4 +1,4 @@
-"""A controller: what it does when its term or a followed key changes, its routes, and the leader's loops."""
+"""A controller: handles changes of its term and of watched keys, serves HTTP routes, and runs the leader's loops."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Controller:
-    """One process of the service."""
+    """One controller process, which is the leader or a follower."""
 
     def __init__(
         self,
@@ -44,14 +44,14 @@
         time_of_day: Callable[[], float] = time.time,
         membership: MembershipSettings | None = None,
     ) -> None:
-        """`membership` turns failure detection on."""
+        """`membership`: settings of failure detection; None disables it."""
         self.leader_term: LeaderTerm | None = None
         self.catalog: Catalog | None = None
-        self._raw_catalog: Any = None  # as the cloud gave it
-        self._stored_catalog: Any = None  # as the key-value store has it
+        self._raw_catalog: Any = None  # as returned by the cloud
+        self._stored_catalog: Any = None  # as stored in the key-value store
         self.counts: dict[str, int] = {}
         self._wake_scheduler = trio.Event()
-        self._draining = False  # stops as planned
+        self._draining = False  # a planned shutdown has begun
         self.tick_s = operator.tick_s or constants.SCHEDULING_INTERVAL_S
         environment = Environment(settings, operator, rng, make_client, time_of_day, membership)
         self._parts = parts = build_parts(environment, self._callbacks())
@@ -88,14 +88,14 @@
 
     @property
     def cluster(self) -> ClusterState | None:
-        """The cluster state of the present term, if this controller leads."""
+        """The cluster state of the current term, or None if this controller does not lead."""
         return self.leader_term.cluster if self.leader_term is not None else None
 
-    # --- leadership changes, and what the watch cache tells ---
+    # --- leadership changes, and changes in the watch cache ---
 
     def _on_term_changed(self, term: int | None) -> None:
-        """A term began or ended. A leader rebuilds its cluster state from the records; what runs on the machines is
-        learnt from their heartbeats before anything is placed."""
+        """Called when a term begins, or with None when it ends. A new leader rebuilds its cluster state from the job
+        records, and learns from heartbeats what runs on the machines before it places anything."""
         if term is None:
             self.leader_term = None
             if self.membership is not None:
@@ -170,20 +170,23 @@
         )
 
     def _request_scheduling_cycle(self) -> None:
-        self._wake_scheduler.set()  # asked at the call, since the event is replaced with each cycle
+        # A method, not the bound `set` of the event, since every scheduling cycle replaces the event.
+        self._wake_scheduler.set()
 
     def _on_promised(self, until: float) -> None:
+        """Called when degraded mode may let other controllers renew workers' leases up to `until`."""
         if self.cluster is not None:
             self.cluster.renewed_by_others = max(self.cluster.renewed_by_others, until)
 
     def _on_final(self, job_id: str, value: Any) -> None:
         if self.cluster is not None:
-            self.cluster.end_job(job_id)  # its record may be followed later than its final state
+            self.cluster.end_job(job_id)  # the watch may return the removal of its record later than its final record
         if ended_as(value, JobPhase.CANCELLED):
             self.cancellations.add(job_id, trio.current_time())
 
     def _on_cancelled(self, job_ids: list[str]) -> None:
-        """A peer told us: they are over, as committed, though our watch cache doesn't show it yet."""
+        """Called with jobs that a peer reports as cancelled. Their cancellation is committed, but our watch cache may
+        not show it yet."""
         for job_id in job_ids:
             if self.cluster is not None:
                 self.cluster.end_job(job_id)
@@ -209,13 +212,14 @@
         return self.cluster is not None and self.cluster.hears_no_worker(trio.current_time(), limit_s)
 
     async def _has_other_candidates(self, former: str) -> bool:
-        """Whether any controller but the former leader could take the key now: as detection knows, or by asking."""
+        """Whether any controller other than the former leader could acquire the leader key now, according to failure
+        detection or by asking the peers."""
         if self.membership is not None and any(label != former for label in self.membership.view.alive()):
             return True
         return await self.degraded_mode.has_other_candidates(former)
 
     def _wake_scheduler_if_needed(self) -> None:
-        """A heartbeat or an answer of a worker was taken in."""
+        """Called after a heartbeat or a response of a worker was processed."""
         if self.cluster is not None and self.cluster.wake_scheduler:
             self._wake_scheduler.set()
 
@@ -232,25 +236,25 @@
     # --- routes ---
 
     async def handle(self, request: Request) -> Reply:
-        """Users, workers, health checks and operators."""
+        """Answers requests of users, workers, health checks and operators."""
         path = request.path
         if path == "/hello":
             return self._heartbeat_routes.answer(request) if request.method == "POST" else Reply(405)
         if path in ("/ready", "/state", "/metrics"):
-            return self._for_operators(path) if request.method == "GET" else Reply(405)
+            return self._handle_operator(path) if request.method == "GET" else Reply(405)
         return await self._user_routes.handle(request) or Reply(404)
 
-    def _for_operators(self, path: str) -> Reply:
+    def _handle_operator(self, path: str) -> Reply:
         if path == "/ready":
             return Reply(200 if self.ready() else 503)
         if path == "/state":
             return Reply(200, encode(self.state()))
-        from sorrelsill.metrics import render  # noqa: PLC0415 - the library is heavy, start-up is charged
+        from sorrelsill.metrics import render  # noqa: PLC0415 - slow to import, and start-up time is charged
 
         return Reply(200, render(self.state()), kind="text/plain; version=0.0.4")
 
     async def handle_peer(self, request: Request) -> Reply:
-        """The other controllers."""
+        """Answers requests of the other controllers."""
         if request.path != "/promise":
             reply = await self.membership.handle(request) if self.membership is not None else None
             return reply or Reply(404)
@@ -262,19 +266,20 @@
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def ready(self) -> bool:
-        """Able to serve. If all lack the store, staying ready and answering 503 beats a refused connection."""
+        """Whether this controller can serve requests. If a peer cannot reach the store either, it stays ready: it then
+        answers users with 503, which is better for them than a refused connection."""
         if not self.watch_cache.loaded or self._draining:
             return False
         return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.any_peer_failing()
 
     def state(self) -> ControllerState:
-        """For operators: the state of this controller as it sees it."""
+        """The state of this controller, for operators."""
         return controller_state(self._parts, self.leader_term, self.counts)
 
     # --- loops ---
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Runs all loops until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.watch_cache.run)
             nursery.start_soon(self.watch_cache.run_barriers)
@@ -289,8 +294,8 @@
             nursery.start_soon(self._loop, "fleet", self._fleet, constants.FLEET_TICK_S)
 
     async def drain(self) -> None:
-        """Stop as planned: give the leadership away, wait for a successor, and go on answering until users and workers
-        have found it. The process may end after that."""
+        """Planned shutdown: resigns, waits for a successor, and keeps answering until users and workers have found it.
+        After that the process may exit."""
         log_event(log, logging.INFO, "draining", term=self.elector.term)
         self._draining = True
         if self.membership is not None:
@@ -303,7 +308,8 @@
         await trio.sleep(constants.DRAIN_LINGER_S)
 
     async def _loop(self, name: str, step: Callable[[], Awaitable[None]], tick_s: float) -> None:
-        """A leader's loop: an error is logged and the next round goes on; beats feed the watchdog."""
+        """Calls `step` in a loop with a pause of `tick_s` seconds, and reports each round to the watchdog. An error is
+        logged and does not end the loop."""
         while True:
             self.watchdog.beat(name)
             try:
@@ -332,7 +338,7 @@
             self.membership.started(cluster.counters.first_bound_at)
         self.command_sender.start_due(cluster, self._nursery)
         self.command_sender.probe_unconfirmed(cluster, self._nursery)
-        # Processor time is limited: leave as much of it to requests as the round took.
+        # CPU time is limited: sleep for as long as the cycle took, which leaves as much CPU time to requests.
         await trio.sleep(max(0.0, trio.current_time() - now))
 
     async def _record(self) -> None:
@@ -344,7 +350,7 @@
     async def _save_catalog(self, raw: Any) -> None:
         size = json_size(raw)
         if size > self.store.value_bytes:
-            # Not kept: a new leader has to wait for the cloud.
+            # Not stored, so a new leader has to wait for the cloud's catalog.
             log_event(log, logging.ERROR, "catalog_too_long", bytes=size, value_bytes=self.store.value_bytes)
             self._stored_catalog = raw
             return
--- a/sorrelsill/controller/encoding.py
+++ b/sorrelsill/controller/encoding.py
@@ -1,4 +1,4 @@
-"""How a controller's answers to users, workers and operators are encoded: msgpack."""
+"""Encodes a controller's responses to users, workers and operators as MessagePack."""
 
 from __future__ import annotations
 
--- a/sorrelsill/controller/leader_term.py
+++ b/sorrelsill/controller/leader_term.py
@@ -1,4 +1,4 @@
-"""What a controller has only while it leads: the parts of one term."""
+"""The state that a controller has only while it leads."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderTerm:
-    """Made anew with each term and dropped with it."""
+    """The components of one term: created when the term begins, and dropped when it ends."""
 
     cluster: ClusterState
     fleet: FleetManager
--- a/sorrelsill/controller/operator_state.py
+++ b/sorrelsill/controller/operator_state.py
@@ -1,4 +1,4 @@
-"""What a controller tells operators: `GET /state`, and through it the metrics and `sorrelsill status`."""
+"""Builds the response to `GET /state`, from which the metrics and `sorrelsill status` are also produced."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def controller_state(
     parts: ControllerParts, leader_term: LeaderTerm | None, event_counts: dict[str, int]
 ) -> ControllerState:
-    """What a controller believes: its part in leading, and what it counts while it leads (None for followers)."""
+    """The state of a controller as it sees it: its role, and the counts that only a leader has (None for followers)."""
     cluster = leader_term.cluster if leader_term is not None else None
     label, elector, membership = parts.settings.label, parts.elector, parts.membership
     return ControllerState(
@@ -41,7 +41,8 @@
 
 
 def team_states(cluster: ClusterState, teams: Iterable[Team]) -> dict[str, TeamState]:
-    """Per team what is bound, what may be in use beside that, the limit (0: none) and the most bound in this term."""
+    """For each team: the bound resources, further resources that may be in use, the quota (0: none), and the highest
+    bound resources in this term."""
     return {team.name: _team_state(cluster, team) for team in teams}
 
 
--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/parts.py
@@ -1,4 +1,4 @@
-"""The parts that a controller has for as long as its process runs, built out of the settings."""
+"""Builds the components of a controller that live as long as its process, from the settings."""
 
 from __future__ import annotations
 
@@ -29,33 +29,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """What a controller is run with: its settings, and what tests put in the place of the real world."""
+    """The inputs of a controller: its settings, and the dependencies that tests replace."""
 
     settings: Settings
     operator: OperatorOverrides
     rng: random.Random
     make_client: Callable[[str], Client]
     time_of_day: Callable[[], float]  # in seconds since the epoch
-    membership: MembershipSettings | None  # turns failure detection on
+    membership: MembershipSettings | None  # None disables failure detection
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerCallbacks:
-    """What the parts tell the controller, and ask of it."""
+    """The functions of the controller that its components call."""
 
-    on_term_changed: Callable[[int | None], None]
+    on_term_changed: Callable[[int | None], None]  # the new term, or None when a term ends
     hears_no_worker: Callable[[], bool]
-    has_other_candidates: Callable[[str], Awaitable[bool]]
-    on_final: Callable[[str, Any], None]  # a job's final state was followed
-    on_promised: Callable[[float], None]  # until when leases may be renewed by others
-    on_cancelled: Callable[[list[str]], None]  # jobs that a peer knows to be cancelled
+    has_other_candidates: Callable[[str], Awaitable[bool]]  # other than the former leader with this label
+    on_final: Callable[[str, Any], None]  # job ID and final record
+    on_promised: Callable[[float], None]  # time up to which other controllers may renew leases
+    on_cancelled: Callable[[list[str]], None]  # jobs that a peer reports as cancelled
     on_worker_answer: Callable[[], None]
     count_event: Callable[[str], None]
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerParts:
-    """Everything that outlives a term."""
+    """The components that live as long as the process, not only for one term."""
 
     settings: Settings
     timings: Timings
@@ -74,12 +74,12 @@
 
 
 def jobs_are_fresh(watch_cache: WatchCache) -> bool:
-    """Whether the watch cache is recent enough to start anything on it."""
+    """Whether the watch cache is recent enough to start tasks or to redirect workers based on it."""
     return trio.current_time() - watch_cache.fresh_at < constants.WATCH_CACHE_STALE_S
 
 
 def build_parts(environment: Environment, callbacks: ControllerCallbacks) -> ControllerParts:
-    """Build all parts and connect them; nothing runs yet."""
+    """Creates all components and connects them. None of them runs yet."""
     settings, operator = environment.settings, environment.operator
     platform, make_client = settings.platform, environment.make_client
     timings = Timings.derive(platform.workers, operator)
@@ -132,7 +132,7 @@
         environment.rng,
         ElectionCallbacks(callbacks.on_term_changed, callbacks.hears_no_worker, callbacks.has_other_candidates),
     )
-    # An earlier process of this controller may have promised a peer not to lead.
+    # The previous process of this controller may have promised a peer not to lead: wait until such a promise ends.
     elector.acquire_after = trio.current_time() + (constants.PROMISE_S if settings.members else 0.0)
     return elector
 
