--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -1,5 +1,5 @@
-"""Jobs out of the records in the watch cache: into a new leader's cluster state, and into that of the term as they
-change."""
+"""Adds jobs to the leader's cluster state from the records in the watch cache: all of them when a term begins, and
+later each record that changes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FollowedJobs:
-    """Reads the records of live jobs for the leader."""
+    """Loads jobs from the watch cache into the leader's cluster state."""
 
     def __init__(
         self,
@@ -40,27 +40,29 @@
         self._watch_cache = watch_cache
         self._cancellations = cancellations
         self._time_of_day = time_of_day
-        self._ended_window_s = ended_window_s  # cancelled tasks may live so long
+        self._ended_window_s = ended_window_s  # tasks of a job may run for so long after its end
 
     def load(self, cluster: ClusterState) -> None:
-        """All jobs of which an earlier leader may have left tasks, into the cluster state of a term that begins: live
-        ones, and those lately over, since every task of a cancelled job is gone within `cancel_s` of the answer."""
+        """Fills the cluster state of a new term with all jobs whose tasks may still run from earlier terms: live jobs,
+        and recently ended ones. Older ended jobs are not needed, since all tasks of a cancelled job end within
+        `cancel_s` seconds of the response to its user."""
         readable = True
         for job_id, value, rev in self._watch_cache.jobs():
-            if self._over(job_id):
-                # Known by a peer's word or a read of the final key, and not followed yet. Found by reading: neither
-                # among the live jobs nor among those lately over, it was counted nowhere.
+            if self._has_ended(job_id):
+                # The end is known from a peer or from a read of the final key, and the watch has not returned it yet.
+                # So the job is not among the recently ended ones below, and without this its tasks would not be
+                # counted at all.
                 readable &= self._add_ended(cluster, job_id, value)
             else:
-                readable &= self._add(cluster, job_id, value, rev)
+                readable &= self._add_live(cluster, job_id, value, rev)
         recently_ended = self._watch_cache.recently_ended(self._ended_window_s)
         for job_id, value in recently_ended.records:
             readable &= self._add_ended(cluster, job_id, value)
-        # With a damaged record among them, or an end that was missed, what may be in use can't be told.
+        # If a record is damaged or an end was missed, the resources that may be in use cannot be determined.
         cluster.failover.set_all_ended_known(readable and recently_ended.complete)
 
     def record_changed(self, cluster: ClusterState, job_id: str, value: Any, rev: int) -> bool:
-        """A job's record was written or removed. True if the scheduler has to look at it."""
+        """Applies a written or removed job record. Returns True if the scheduler has to run."""
         job = cluster.jobs.get(job_id)
         if value is None:
             if job is not None:
@@ -69,19 +71,19 @@
         if job is not None:
             job.rev = max(job.rev, rev)
             return False
-        if self._over(job_id):
+        if self._has_ended(job_id):
             return False
-        self._add(cluster, job_id, value, rev)
+        self._add_live(cluster, job_id, value, rev)
         return True
 
-    def _over(self, job_id: str) -> bool:
-        """Whether the job is known to be over, whatever an older record says."""
+    def _has_ended(self, job_id: str) -> bool:
+        """Whether the job is known to have ended, even if the watch cache still has its live record."""
         return self._watch_cache.final(job_id) is not None or self._cancellations.is_cancelled(job_id)
 
     def _add_ended(self, cluster: ClusterState, job_id: str, value: Any) -> bool:
-        """A job that is over, with its last live record. False if that is damaged."""
+        """Adds an ended job from its last live record. Returns False if the record is damaged."""
         if ended_as(self._watch_cache.final(job_id), JobPhase.DONE):
-            return True  # nothing of it can run
+            return True  # all of its tasks have finished
         try:
             spec, done, _ = parse_record(value, self._watch_cache.chunks(job_id))
         except (InvalidJobError, ValueError, TypeError) as error:
@@ -90,22 +92,23 @@
         cluster.add_ended_job(spec, done)
         return True
 
-    def _add(self, cluster: ClusterState, job_id: str, value: Any, rev: int) -> bool:
+    def _add_live(self, cluster: ClusterState, job_id: str, value: Any, rev: int) -> bool:
+        """Adds a live job from its record. Returns False if the record is damaged."""
         try:
-            spec, done, why = parse_record(value, self._watch_cache.chunks(job_id))
+            spec, done, notes = parse_record(value, self._watch_cache.chunks(job_id))
             accepted = accepted_at(value)
         except (InvalidJobError, ValueError, TypeError) as error:
-            # Guards against one damaged record stopping all the others.
+            # One damaged record must not prevent the others from being loaded.
             log_event(log, logging.ERROR, "record_damaged", job=job_id, ended=False, error=error)
             return False
         now = trio.current_time()
         age_s = max(0.0, self._time_of_day() - accepted)
-        job = cluster.add_job(spec, done, rev, rev <= cluster.term, now - age_s, why, accepted)
-        # What the record says already need not be written again: after a failover that would be one write a job.
+        job = cluster.add_job(spec, done, rev, rev <= cluster.term, now - age_s, notes, accepted)
+        # The record already has this count. Otherwise a failover would cause one write per job.
         job.recorded_running = running_count(value)
         job.chunked |= bool(self._watch_cache.chunk_keys(job_id))
         if job.chunked and has_inline_tasks(value):
-            # Written by the version before this one, which knows of no parts beside the record of a smaller job: what
-            # it adds stands only there, and has to go into the parts before the record leaves it out.
+            # Written by the previous version, which stores no progress chunks for a smaller job. The finished tasks
+            # that it added are only in the record, so all chunks have to be written before the record may omit them.
             job.unrecorded_parts.update(range(-(-spec.task_count // constants.PART_TASKS)))
         return True
--- a/sorrelsill/controller/test_followed_jobs.py
+++ b/sorrelsill/controller/test_followed_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs out of the followed records into the cluster state of a term that begins."""
+"""Loading jobs from the watch cache into the cluster state of a new term."""
 
 from collections.abc import Callable
 from typing import Any
@@ -15,13 +15,15 @@
 from tests.simulation import FakeNet, FakeStore, array_job
 
 MACHINE_TYPE = MachineType("std", 16.0, 0.0, 64.0, 40.0, 0.3, 1.0, 0.4, 30.0, ("a",))
-UNHEARD_MACHINE = ("m1", {"f": "std", "a": "10.1.0.1:9000", "z": "a", "s": False})
-ENDED_WINDOW_S = 45.0  # cancelled tasks may live so long
+UNCONFIRMED_MACHINE = ("m1", {"f": "std", "a": "10.1.0.1:9000", "z": "a", "s": False})
+ENDED_WINDOW_S = 45.0  # tasks of a cancelled job may run for so long after its end
 CANCELLED = {"p": "cancelled", "n": 0, "o": "red"}
 
 
 def load(prepare: Callable[[FakeStore, WatchCache, Cancellations], Any], followed_s: float = 60.0) -> ClusterState:
-    """The cluster state of a term that begins with one machine unheard, after `prepare`."""
+    """Runs `prepare`, then returns the cluster state of a new term in which one machine is unconfirmed.
+
+    `followed_s`: seconds for which the watch cache follows the store before that."""
     clusters = []
 
     async def main() -> None:
@@ -38,7 +40,7 @@
             prepare(fake, watch_cache, cancellations)
             await trio.sleep(1)
             cluster = ClusterState(fake.rev + 1, trio.current_time(), Catalog({"std": MACHINE_TYPE}), 14.5, 3.4)
-            cluster.failover.expect_machines([UNHEARD_MACHINE])
+            cluster.failover.expect_machines([UNCONFIRMED_MACHINE])
             FollowedJobs(watch_cache, cancellations, trio.current_time, ENDED_WINDOW_S).load(cluster)
             clusters.append(cluster)
             nursery.cancel_scope.cancel()
@@ -47,12 +49,12 @@
     return clusters[0]
 
 
-def test_a_live_job_counts_on_a_machine_that_was_not_heard() -> None:
+def test_live_job_counts_on_unconfirmed_machine() -> None:
     assert load(lambda fake, watch_cache, cancellations: None).unobserved("red") == (6.0, 0.0)
 
 
-def test_a_job_known_to_be_over_counts_though_its_record_is_still_live_in_the_view() -> None:
-    """By reading: it was left out as over, and was not among the jobs lately over yet."""
+def test_ended_job_counts_while_its_record_is_still_in_the_watch_cache() -> None:
+    """Guards against such a job being omitted: it is not loaded as live, and not among the recently ended jobs yet."""
     for learn in (
         lambda fake, watch_cache, cancellations: watch_cache.remember_final("run-1", CANCELLED),
         lambda fake, watch_cache, cancellations: cancellations.add("run-1", trio.current_time()),
@@ -62,9 +64,9 @@
         assert cluster.unobserved("red") == (6.0, 0.0)
 
 
-def test_a_job_whose_removal_was_followed_counts() -> None:
+def test_ended_job_counts_after_its_removal_was_followed() -> None:
     def cancel(fake: FakeStore, watch_cache: WatchCache, cancellations: Cancellations) -> None:
         fake._multi({"if": [], "writes": [{"remove": job_key("run-1")}]})
 
     assert load(cancel).unobserved("red") == (6.0, 0.0)
-    assert load(cancel, followed_s=5.0).unobserved("red") == (16.0, 0.0), "others may have ended before: all of it"
+    assert load(cancel, followed_s=5.0).unobserved("red") == (16.0, 0.0), "ends may be missed: whole machine counts"
