--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -1,4 +1,4 @@
-"""Answers to workers' heartbeats: by the leader, in degraded mode, or with the way to the leader."""
+"""Answers workers' heartbeats: as the leader, in degraded mode, or with a redirect to the leader."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class HeartbeatRoutes:
-    """The workers' side of a controller."""
+    """The HTTP route for workers' heartbeats."""
 
     def __init__(
         self,
@@ -37,8 +37,8 @@
         count_event: Callable[[str], None],
         on_heartbeat: Callable[[], None],
     ) -> None:
-        """`get_cluster` gives the cluster state of the present term, if we lead; `on_heartbeat` is told after each
-        heartbeat that was taken in."""
+        """`get_cluster`: returns the cluster state of the current term, or None if this controller does not lead;
+        `on_heartbeat`: called after each heartbeat that was applied to it."""
         self._watch_cache = parts.watch_cache
         self._elector = parts.elector
         self._degraded_mode = parts.degraded_mode
@@ -49,7 +49,7 @@
         self._on_heartbeat = on_heartbeat
 
     def answer(self, request: Request) -> Reply:
-        """Answer one heartbeat."""
+        """Answers one heartbeat."""
         try:
             heartbeat = parse_heartbeat(request.body)
         except InvalidHeartbeatError as error:
@@ -62,7 +62,7 @@
             return self._redirect()
         now = trio.current_time()
         if not self._may_renew(now):
-            # What was cancelled meanwhile is not certain to be known here: the next controller may know.
+            # A recent cancellation may be unknown here. The worker tries the next controller, which may know it.
             self._count_event("not_renewed")
             return Reply(503)
         commands: list[Command] = []
@@ -77,31 +77,34 @@
             commands = answer
             self._on_heartbeat()
         if cluster is None or not acting:
-            # Nobody leads and nobody can: the worker's own fencing token; its lease goes on and nothing else does.
+            # Degraded mode: no controller can lead. The response has the worker's own fencing token, so it renews the
+            # worker's lease, and has no other command than stops of cancelled tasks.
             return Reply(200, encode(HeartbeatResponse(heartbeat.fencing_token, self._stop_commands(heartbeat, now))))
-        # Only a heartbeat that is newer than all before makes the connection the machine's own: not a late copy.
+        # Only a heartbeat that is newer than all before makes its connection that of the machine; a delayed duplicate
+        # does not.
         return Reply(200, encode(HeartbeatResponse(cluster.term, commands)), owner=heartbeat.machine)
 
     def _redirect(self) -> Reply:
-        # Guards against a process that was paused: its watch cache may name a leader that has ended since.
+        # After a pause of this process, its watch cache may name a leader whose term has ended since.
         label = self._elector.leader_label() if jobs_are_fresh(self._watch_cache) else None
         return Reply(421, encode({"upstream": label} if label in self._peer_labels else {}))
 
     def _may_renew(self, now: float) -> bool:
-        """The one rule for every answer that renews a worker's lease (`jobs/cancellations.py`)."""
+        """Whether a worker's lease may be renewed now. Every response that renews a lease follows this rule; see
+        `jobs/cancellations.py`."""
         self._cancellations.observe_watch_cache(self._watch_cache.followed_since, self._watch_cache.fresh_at)
         return self._cancellations.may_renew(now)
 
     def _stop_commands(self, heartbeat: WorkerHeartbeat, now: float) -> list[Command]:
-        """In degraded mode: tasks of jobs known to be cancelled still have to go. Stopping them is always right,
-        whoever leads next, and a worker takes it from any controller that names its fencing token. A watch cache
-        that was read anew not long ago lacks what was cancelled before, so what is not live in it is stopped, too."""
-        unknown = self._watch_cache.fresh_at > float("-inf") and self._cancellations.may_have_missed_cancellation(now)
+        """In degraded mode: commands that stop the tasks of cancelled jobs. They are correct whichever controller leads
+        next, and a worker accepts them from any controller that sends its fencing token. A watch cache that was loaded
+        recently lacks earlier cancellations, so tasks of jobs that are not live in it are stopped as well."""
+        has_gap = self._watch_cache.fresh_at > float("-inf") and self._cancellations.may_have_missed_cancellation(now)
         commands: list[Command] = []
         for attempt in heartbeat.tasks:
             job_id = attempt.task_id.rpartition("/")[0]
             final = self._watch_cache.final(job_id)
-            over = self._cancellations.is_cancelled(job_id) or ended_as(final, JobPhase.CANCELLED)
-            if attempt.phase != TaskPhase.EXITED and (over or unknown and self._watch_cache.job(job_id) is None):
+            cancelled = self._cancellations.is_cancelled(job_id) or ended_as(final, JobPhase.CANCELLED)
+            if attempt.phase != TaskPhase.EXITED and (cancelled or has_gap and self._watch_cache.job(job_id) is None):
                 commands.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
         return commands
--- a/sorrelsill/controller/user_routes.py
+++ b/sorrelsill/controller/user_routes.py
@@ -1,4 +1,4 @@
-"""The users' routes: submissions, polls, cancellations, a team's list."""
+"""HTTP routes for users: submissions, polls, cancellations, and the list of a team's jobs."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 log = logging.getLogger(__name__)
 
 _decode = msgspec.msgpack.Decoder().decode
-_JOB = re.compile(r"/v2/runs/([^/]+)(/cancel|/why)?\Z")
-_TEAM = re.compile(r"/v2/teams/([^/]+)/runs\Z")
+_JOB_PATH = re.compile(r"/v2/runs/([^/]+)(/cancel|/why)?\Z")
+_TEAM_PATH = re.compile(r"/v2/teams/([^/]+)/runs\Z")
 
 
 class UserRoutes:
-    """Each call is answered, or refused at once with the time to come back."""
+    """Answers users' requests. A request that cannot be served is refused at once, with a time after which to retry."""
 
     def __init__(self, admission: Admission, watch_cache: WatchCache, count_event: Callable[[str], None]) -> None:
         self._admission = admission
@@ -33,33 +33,33 @@
         self._count_event = count_event
 
     async def handle(self, request: Request) -> Reply | None:
-        """The answer, or None if the path is not one of the users'."""
+        """Answers a request, or returns None if its path is not a route for users."""
         path = request.path
         if path == "/v2/runs":
-            return await self._only("POST", request, lambda: self._submit(request))
-        job = _JOB.match(path)
+            return await self._require_method("POST", request, lambda: self._submit(request))
+        job = _JOB_PATH.match(path)
         if job:
             return await self._handle_job(request, job[1], job[2])
-        team = _TEAM.match(path)
+        team = _TEAM_PATH.match(path)
         if team:
             after = parse_qs(request.query).get("after", [""])[0]
-            return await self._only("GET", request, lambda: self._admission.team(team[1], after))
+            return await self._require_method("GET", request, lambda: self._admission.team(team[1], after))
         return None
 
     async def _handle_job(self, request: Request, job_id: str, action: str | None) -> Reply:
         if action == "/cancel":
-            return await self._only("POST", request, lambda: self._admission.cancel(job_id))
+            return await self._require_method("POST", request, lambda: self._admission.cancel(job_id))
         if action == "/why":
-            return await self._only("GET", request, lambda: self._admission.explain(job_id))
-        return await self._only("GET", request, lambda: self._admission.poll(job_id))
+            return await self._require_method("GET", request, lambda: self._admission.explain(job_id))
+        return await self._require_method("GET", request, lambda: self._admission.poll(job_id))
 
-    async def _only(self, method: str, request: Request, call: Callable[[], Awaitable[Answer]]) -> Reply:
+    async def _require_method(self, method: str, request: Request, call: Callable[[], Awaitable[Answer]]) -> Reply:
         if request.method != method:
             return Reply(405)
         try:
             status, answer = await call()
         except BusyError as busy:
-            # Never held back: the user is told at once when to come back.
+            # Refused at once rather than queued: the user learns when to retry.
             self._count_event("busy")
             log_event(log, logging.DEBUG, "answer", path=request.path, status=503, reason=str(busy))
             return Reply(503, encode({"error": str(busy)}), [("Retry-After", str(constants.RETRY_AFTER_S))])
