--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -251,7 +251,7 @@
             return Reply(200, encode(self.state()))
         from sorrelsill.metrics import render  # noqa: PLC0415 - slow to import, and start-up time is charged
 
-        return Reply(200, render(self.state()), kind="text/plain; version=0.0.4")
+        return Reply(200, render(self.state()), content_type="text/plain; version=0.0.4")
 
     async def handle_peer(self, request: Request) -> Reply:
         """Answers requests of the other controllers."""
@@ -260,7 +260,7 @@
             return reply or Reply(404)
         if request.method != "POST":
             return Reply(405)
-        return Reply(200, self.degraded_mode.answer(request.body), kind="application/json")
+        return Reply(200, self.degraded_mode.answer(request.body), content_type="application/json")
 
     def _count_event(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
--- a/sorrelsill/http/__init__.py
+++ b/sorrelsill/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on trio streams with h11, server and client. Knows nothing of schedulers."""
+"""HTTP/1.1 server and client on trio streams, based on h11. Independent of the scheduler."""
 
 from sorrelsill.http.client import Client, MaySend, NoAnswerError, NotSentError, always
 from sorrelsill.http.server import Handler, Reply, Request, Server
--- a/sorrelsill/http/client.py
+++ b/sorrelsill/http/client.py
@@ -1,4 +1,4 @@
-"""The client side: one request at a time per connection, a small pool of kept connections per address."""
+"""HTTP client: one request at a time per connection, and a small pool of idle connections per address."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 
 
 class HttpError(Exception):
-    """A request brought no answer."""
+    """A request got no valid response."""
 
 
 class NotSentError(HttpError):
-    """No connection: the request was certainly not carried out."""
+    """The request was not sent, so it was certainly not executed."""
 
 
 class NoAnswerError(HttpError):
-    """Sent, but no proper answer: the request may have been carried out, or may yet be."""
+    """The request was sent but got no valid response: it may have been executed, or may still be executed later."""
 
 
 Connect = Callable[[str], Awaitable[trio.abc.Stream]]
 
-MaySend = Callable[[], bool]  # asked right before a request is written: whether it may still be sent
+MaySend = Callable[[], bool]  # called right before a request is sent: whether it may still be sent
 
 
 def always() -> bool:
-    """For requests that anybody may send at any time."""
+    """The default for `may_send`: the request may be sent at any time."""
     return True
 
 
 async def connect_tcp(addr: str) -> trio.abc.Stream:
-    """A TCP connection to a numeric address, without any name look-up (and so without a thread)."""
+    """Opens a TCP connection to a numeric address. No name is resolved, so no thread is needed."""
     sock = trio.socket.socket()
     try:
         await sock.connect(split_addr(addr))
@@ -52,12 +52,13 @@
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream = stream
-        self.reusable = False  # the last exchange was whole and regular
+        self.reusable = False  # the last response was complete, and the connection can take another request
         self.last_used_at = trio.current_time()
 
 
 class Client:
-    """Requests to one address. A connection is kept only after a whole, regular exchange."""
+    """Sends requests to one address. A connection returns to the pool only after a complete response that leaves it
+    usable."""
 
     def __init__(self, addr: str, connect: Connect = connect_tcp) -> None:
         self.addr = addr
@@ -72,19 +73,21 @@
         timeout: float = constants.STORE_TIMEOUT_S,
         may_send: MaySend = always,
     ) -> tuple[int, bytes]:
-        """Status and body, within `timeout` seconds. Raises NotSentError or NoAnswerError."""
+        """Sends a request and returns status and body. Raises NotSentError or NoAnswerError, also if there is no
+        response within `timeout` seconds."""
         conn: _PooledConnection | None = None
         sent = False
         with trio.move_on_after(timeout):
             try:
                 conn = self._pop_idle() or await self._open()
-                data = heads.write_request(method, target, self.addr, len(body)) + body
-                # Guards against a process that stood still while it connected and now acts on what it decided before.
+                data = heads.encode_request_head(method, target, self.addr, len(body)) + body
+                # Guards against a process that was paused while it connected, and then sends a request based on an
+                # outdated decision.
                 if not may_send():
-                    raise NotSentError(f"{self.addr}: not entitled to send it any more")
+                    raise NotSentError(f"{self.addr}: not sent, the sender's permission has ended")
                 sent = True
                 await conn.stream.send_all(data)
-                status, answer = await self._answer(conn, method)
+                status, answer = await self._read_response(conn, method)
                 self._return_to_pool(conn)
                 conn = None
                 return status, answer
@@ -96,17 +99,19 @@
         raise (NoAnswerError if sent else NotSentError)(f"{self.addr}: no answer within {timeout:.1f} s")
 
     def close(self) -> None:
-        """Drop the kept connections; one in use closes by itself when it is through."""
+        """Closes the idle connections. Connections in use are not closed."""
         while self._idle_connections:
             _close_now(self._idle_connections.pop().stream)
 
-    async def _answer(self, conn: _PooledConnection, method: str) -> tuple[int, bytes]:
+    async def _read_response(self, conn: _PooledConnection, method: str) -> tuple[int, bytes]:
         buffer = bytearray()
         while (end := buffer.find(heads.HEAD_END)) < 0 and len(buffer) <= constants.HEAD_PLAIN:
             if not await _receive(conn, buffer):
                 break
         end += len(heads.HEAD_END)
-        head = heads.read_reply(bytes(buffer[:end])) if len(heads.HEAD_END) <= end <= constants.HEAD_PLAIN else None
+        head = (
+            heads.parse_reply_head(bytes(buffer[:end])) if len(heads.HEAD_END) <= end <= constants.HEAD_PLAIN else None
+        )
         if head is None:
             return await self._read_with_h11(conn, method, buffer)
         while len(buffer) < end + head.length:
@@ -116,7 +121,7 @@
         return head.status, bytes(buffer[end : end + head.length])
 
     async def _read_with_h11(self, conn: _PooledConnection, method: str, buffer: bytearray) -> tuple[int, bytes]:
-        """An answer whose head is not plain."""
+        """Reads a response whose head is not plain."""
         parser = h11.Connection(h11.CLIENT)
         parser.send(h11.Request(method=method, target="/", headers=[("Host", self.addr)]))
         parser.send(h11.EndOfMessage())
@@ -168,7 +173,7 @@
 
 
 def _close_now(stream: trio.abc.Stream) -> None:
-    """Close without awaiting, where the stream allows it (a socket does)."""
+    """Closes a stream without awaiting, if it is based on a socket."""
     sock = getattr(stream, "socket", None)
     if sock is not None:
         sock.close()
--- a/sorrelsill/http/heads.py
+++ b/sorrelsill/http/heads.py
@@ -1,8 +1,9 @@
-"""What h11 says of a head, remembered: the same bytes mean the same, and most heads come again and again.
+"""Caches for parsed and encoded heads of HTTP messages: a head is the start line and the headers.
 
-Measured at some 500 requests a second, h11's reading and writing of heads was most of a leader's processor time. A
-plain head (HTTP/1.1, kept open, a body of a given length or none) is therefore asked of h11 once. Whatever is not
-plain gets None here, and h11 itself for the rest of its connection."""
+At some 500 requests per second, h11's parsing and encoding of heads took most of a leader's CPU time, and most heads
+occur many times. So h11 handles the same plain head only once, and the result is cached. A head is plain if it is
+HTTP/1.1, keeps the connection open, and has a body of a given length or none. For any other head the parsers return
+None, and h11 handles the rest of that connection."""
 
 from __future__ import annotations
 
@@ -15,16 +16,16 @@
 from sorrelsill import constants
 
 HEAD_END = b"\r\n\r\n"
-_ANY_HOST = "0.0.0.0:0"  # stands for the host in templates
+_PLACEHOLDER_HOST = "0.0.0.0:0"  # stands for the host in cached templates
 _PLAIN_HOST = re.compile(r"[0-9.:]+")
 _CONNECTION_HEADERS = frozenset(
     {b"connection", b"transfer-encoding", b"expect", b"upgrade"}
-)  # these change how a connection goes on
+)  # change how the rest of the connection is read
 
 
 @dataclass(slots=True, frozen=True)
 class RequestHead:
-    """What the head of a plain request says."""
+    """The parsed head of a plain request. `length`: bytes of the body."""
 
     method: str
     path: str
@@ -34,14 +35,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplyHead:
-    """What the head of a plain answer says."""
+    """The parsed head of a plain response. `length`: bytes of the body."""
 
     status: int
     length: int
 
 
 def _body_length(headers: h11._headers.Headers) -> int | None:
-    """The body's length, 0 if none is named; None if the head is not plain."""
+    """The length of the body in bytes, 0 if there is no Content-Length; None if the head is not plain."""
     length = 0
     for name, value in headers:
         if name in _CONNECTION_HEADERS:
@@ -52,8 +53,8 @@
 
 
 @lru_cache(maxsize=constants.HEADS_KEPT)
-def read_request(head: bytes) -> RequestHead | None:
-    """The head of a request, or None if it is not plain."""
+def parse_request_head(head: bytes) -> RequestHead | None:
+    """Parses the head of a request. Returns None if it is not plain or malformed."""
     conn = h11.Connection(h11.SERVER)
     conn.receive_data(head)
     try:
@@ -70,8 +71,8 @@
 
 
 @lru_cache(maxsize=constants.HEADS_KEPT)
-def read_reply(head: bytes) -> ReplyHead | None:
-    """The head of an answer, or None if it is not plain."""
+def parse_reply_head(head: bytes) -> ReplyHead | None:
+    """Parses the head of a response. Returns None if it is not plain or malformed."""
     conn = h11.Connection(h11.CLIENT)
     conn.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
     conn.send(h11.EndOfMessage())
@@ -89,36 +90,36 @@
 
 
 @lru_cache(maxsize=constants.HEADS_KEPT)
-def write_reply(status: int, kind: str, headers: tuple[tuple[str, str], ...], length: int) -> bytes:
-    """The head of an answer to a plain request."""
+def encode_reply_head(status: int, content_type: str, headers: tuple[tuple[str, str], ...], length: int) -> bytes:
+    """Encodes the head of the response to a plain request."""
     conn = h11.Connection(h11.SERVER)
     conn.receive_data(b"GET / HTTP/1.1\r\nHost: x" + HEAD_END)
     conn.next_event()
     conn.next_event()
-    lines = [("Content-Type", kind), ("Content-Length", str(length)), *headers]
+    lines = [("Content-Type", content_type), ("Content-Length", str(length)), *headers]
     return conn.send(h11.Response(status_code=status, headers=lines)) or b""
 
 
 @lru_cache(maxsize=constants.HEADS_KEPT)
 def _request_template(method: str, target: str, body: bool) -> tuple[bytes, bytes]:
-    """The parts of the head before and after the host. One serves all machines, however many there are."""
-    head = _write_with_h11(method, target, _ANY_HOST, body)
-    before, _, after = head.partition(_ANY_HOST.encode("ascii"))
+    """The parts of the head before and after the host, so that all machines share one cached template."""
+    head = _encode_with_h11(method, target, _PLACEHOLDER_HOST, body)
+    before, _, after = head.partition(_PLACEHOLDER_HOST.encode("ascii"))
     return before, after
 
 
-def _write_with_h11(method: str, target: str, host: str, body: bool) -> bytes:
-    """The head up to the digits of the length."""
+def _encode_with_h11(method: str, target: str, host: str, body: bool) -> bytes:
+    """Encodes the head up to, but without, the value of Content-Length, which comes last."""
     conn = h11.Connection(h11.CLIENT)
     head = [("Host", host), *([("Content-Type", "application/msgpack")] if body else []), ("Content-Length", "0")]
     return (conn.send(h11.Request(method=method, target=target, headers=head)) or b"")[: -len(b"0" + HEAD_END)]
 
 
-def write_request(method: str, target: str, host: str, length: int) -> bytes:
-    """The head of a request; only the host and the digits of its length are put in anew. A target with a query hardly
-    ever comes again, and would only push the others out of what is kept."""
+def encode_request_head(method: str, target: str, host: str, length: int) -> bytes:
+    """Encodes the head of a request: a cached template, the host and the length of the body. A target with a query
+    rarely occurs again, so it is not cached, since it would only evict the others."""
     if "?" in target or not _PLAIN_HOST.fullmatch(host):
-        head = _write_with_h11(method, target, host, length > 0)
+        head = _encode_with_h11(method, target, host, length > 0)
     else:
         before, after = _request_template(method, target, length > 0)
         head = before + host.encode("ascii") + after
--- a/sorrelsill/http/server.py
+++ b/sorrelsill/http/server.py
@@ -1,4 +1,4 @@
-"""The server side: bounded sockets, bounded bodies, timed-out idlers; bad input never ends the process."""
+"""HTTP server with limits on connections, body sizes and idle time. Malformed input never ends the process."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request as the handlers see it."""
+    """A request, as passed to the handler."""
 
     method: str
     path: str
@@ -29,24 +29,24 @@
 
 @dataclass(slots=True)
 class Reply:
-    """The answer to a request."""
+    """The response to a request."""
 
     status: int
     body: bytes = b""
     headers: list[tuple[str, str]] = field(default_factory=list)
-    kind: str = "application/msgpack"
-    owner: str = ""  # who keeps this connection for good: its earlier one is dead
+    content_type: str = "application/msgpack"
+    owner: str = ""  # client (a worker's machine) that owns the connection from now on, instead of its previous one
 
 
 Handler = Callable[[Request], Awaitable[Reply]]
 
 
-class _TooLongError(Exception):
+class _BodyTooLargeError(Exception):
     pass
 
 
 class _Connection:
-    """One connection."""
+    """The state of one connection."""
 
     __slots__ = ("buffer", "busy", "idle_s", "last_used_at", "owner", "scope", "stream")
 
@@ -61,28 +61,30 @@
 
 
 class Server:
-    """Serves one handler on any stream, at most `max_connections` at a time. Who owns a connection (a worker) has
-    only one: a new one ends the earlier, which a cut may have left dead, and none is ended for want of room."""
+    """Serves one handler on any stream, with at most `max_connections` connections.
+
+    A worker owns its connection. It has only one: a new one closes the previous one, which may be dead after a network
+    partition. An owned connection is never closed to make room for others."""
 
     def __init__(
         self, handler: Handler, max_connections: int, name: str = "http", owner_idle_s: float = constants.IDLE_S
     ) -> None:
         self._handler = handler
-        self._max = max_connections
+        self._max_connections = max_connections
         self._name = name
         self._owner_idle_s = owner_idle_s
         self._connections: set[_Connection] = set()
         self._by_owner: dict[str, _Connection] = {}
 
     @property
-    def open(self) -> int:
-        """How many connections are open."""
+    def open_connections(self) -> int:
+        """The number of open connections."""
         return len(self._connections)
 
     async def serve_stream(self, stream: trio.abc.Stream) -> None:
-        """One connection, start to end. No exception leaves it, or the whole process would go down."""
-        if self.open >= self._max and not self._make_room():
-            # Guards against running out of sockets: our own calls to the store must still get theirs.
+        """Serves one connection until it ends. Raises no exception, since that would end the whole process."""
+        if self.open_connections >= self._max_connections and not self._evict_idle():
+            # Guards against running out of sockets, which this process also needs for its own calls to the store.
             with trio.move_on_after(1) as scope:
                 scope.shield = False
                 await trio.aclose_forcefully(stream)
@@ -96,55 +98,57 @@
         except Exception:
             log.exception("%s: connection failed", self._name)
         finally:
-            self._forget(connection)
+            self._unregister(connection)
             await trio.aclose_forcefully(stream)
 
-    def _make_room(self) -> bool:
-        """End the connection that nobody has used for longest, but no worker's: a refused or ended one costs a worker
-        a second or more of its lease, a user only a new connection."""
+    def _evict_idle(self) -> bool:
+        """Closes the user's connection that has been idle for longest, and returns whether there was one. Workers'
+        connections stay: reconnecting costs a worker a second or more of its lease, but a user only a new
+        connection."""
         idle = [k for k in self._connections if not k.busy and not k.owner]
         if not idle:
             return False
-        oldest = min(idle, key=lambda k: k.last_used_at)
-        self._forget(oldest)
-        oldest.scope.cancel()
+        idle_longest = min(idle, key=lambda k: k.last_used_at)
+        self._unregister(idle_longest)
+        idle_longest.scope.cancel()
         return True
 
-    def _forget(self, connection: _Connection) -> None:
+    def _unregister(self, connection: _Connection) -> None:
         self._connections.discard(connection)
         if connection.owner and self._by_owner.get(connection.owner) is connection:
             del self._by_owner[connection.owner]
 
     def _assign_owner(self, connection: _Connection, owner: str) -> None:
-        """Found by reasoning: with half the machines cut and back, their dead connections and the new ones together
-        would have passed the quota of sockets."""
+        """Makes a worker the owner of the connection, and closes its previous one unless that is busy. Otherwise, if
+        half of the machines reconnect after a network partition, their dead connections and the new ones together
+        exceed the socket quota."""
         if connection.owner == owner:
             return
-        former = self._by_owner.get(owner)
+        previous = self._by_owner.get(owner)
         connection.owner = owner
         connection.idle_s = self._owner_idle_s
         self._by_owner[owner] = connection
-        if former is not None and not former.busy:
-            self._forget(former)
-            former.scope.cancel()
+        if previous is not None and not previous.busy:
+            self._unregister(previous)
+            previous.scope.cancel()
 
     async def _serve(self, connection: _Connection) -> None:
         with connection.scope as scope:
             while (request := await self._read_plain_request(connection, scope)) is not None:
-                reply = await self._answer(request, connection, scope)
-                head = heads.write_reply(reply.status, reply.kind, tuple(reply.headers), len(reply.body))
+                reply = await self._handle_request(request, connection, scope)
+                head = heads.encode_reply_head(reply.status, reply.content_type, tuple(reply.headers), len(reply.body))
                 await connection.stream.send_all(head + reply.body)
                 connection.busy = False
             if connection.buffer:
                 await self._serve_with_h11(connection, scope)
 
-    async def _answer(self, request: Request, connection: _Connection, scope: trio.CancelScope) -> Reply:
+    async def _handle_request(self, request: Request, connection: _Connection, scope: trio.CancelScope) -> Reply:
         scope.deadline = float("inf")
         connection.busy = True
         try:
             reply = await self._handler(request)
         except Exception:
-            # Guards against one odd request taking the process down; the cause goes to the log.
+            # One request that the handler fails on must not end the process.
             log.exception("%s: %s %s failed", self._name, request.method, request.path)
             reply = Reply(500)
         connection.last_used_at = trio.current_time()
@@ -154,7 +158,8 @@
         return reply
 
     async def _read_plain_request(self, connection: _Connection, scope: trio.CancelScope) -> Request | None:
-        """The next request if its head is plain; None at the end, or with what came left in the buffer for h11."""
+        """Returns the next request if its head is plain. Otherwise returns None: at the end of the connection, or with
+        the received bytes left in the buffer for h11."""
         scope.deadline = trio.current_time() + connection.idle_s
         buffer = connection.buffer
         searched = 0
@@ -167,7 +172,7 @@
             if not await self._receive(connection):
                 return None
         end += len(heads.HEAD_END)
-        head = heads.read_request(bytes(buffer[:end])) if end <= constants.HEAD_PLAIN else None
+        head = heads.parse_request_head(bytes(buffer[:end])) if end <= constants.HEAD_PLAIN else None
         if head is None:
             return None
         if len(buffer) < end + head.length:
@@ -185,30 +190,32 @@
         return bool(data)
 
     async def _serve_with_h11(self, connection: _Connection, scope: trio.CancelScope) -> None:
-        """The rest of a connection whose heads are not plain."""
+        """Serves the rest of a connection after a head that is not plain."""
         conn = h11.Connection(h11.SERVER, max_incomplete_event_size=constants.MAX_BODY // 4)
         conn.receive_data(bytes(connection.buffer))
         stream = connection.stream
         while True:
             scope.deadline = trio.current_time() + constants.IDLE_S
             try:
-                request = await self._read(conn, stream, scope)
+                request = await self._read_request_with_h11(conn, stream, scope)
             except h11.RemoteProtocolError:
-                await self._refuse(conn, stream, 400)
+                await self._send_error(conn, stream, 400)
                 return
-            except _TooLongError:
-                await self._refuse(conn, stream, 413)
+            except _BodyTooLargeError:
+                await self._send_error(conn, stream, 413)
                 return
             if request is None:
                 return
-            reply = await self._answer(request, connection, scope)
-            await stream.send_all(_encode(conn, reply))
+            reply = await self._handle_request(request, connection, scope)
+            await stream.send_all(_encode_reply(conn, reply))
             connection.busy = False
             if conn.our_state is not h11.DONE or conn.their_state is not h11.DONE:
                 return
             conn.start_next_cycle()
 
-    async def _read(self, conn: h11.Connection, stream: trio.abc.Stream, scope: trio.CancelScope) -> Request | None:
+    async def _read_request_with_h11(
+        self, conn: h11.Connection, stream: trio.abc.Stream, scope: trio.CancelScope
+    ) -> Request | None:
         head: h11.Request | None = None
         chunks: list[bytes] = []
         size = 0
@@ -216,7 +223,7 @@
             event = conn.next_event()
             if event is h11.NEED_DATA:
                 if conn.they_are_waiting_for_100_continue:
-                    await stream.send_all(_bytes(conn.send(h11.InformationalResponse(status_code=100, headers=[]))))
+                    await stream.send_all(_or_empty(conn.send(h11.InformationalResponse(status_code=100, headers=[]))))
                 data = await stream.receive_some(_RECEIVE_BYTES)
                 conn.receive_data(bytes(data))
                 if not data and head is None and conn.trailing_data[0] == b"":
@@ -227,7 +234,7 @@
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > constants.MAX_BODY:
-                    raise _TooLongError
+                    raise _BodyTooLargeError
                 chunks.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage) and head is not None:
                 path, _, query = head.target.decode("ascii", "replace").partition("?")
@@ -235,18 +242,18 @@
             else:
                 return None
 
-    async def _refuse(self, conn: h11.Connection, stream: trio.abc.Stream, status: int) -> None:
+    async def _send_error(self, conn: h11.Connection, stream: trio.abc.Stream, status: int) -> None:
         if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            await stream.send_all(_encode(conn, Reply(status, headers=[("Connection", "close")])))
+            await stream.send_all(_encode_reply(conn, Reply(status, headers=[("Connection", "close")])))
 
 
-def _bytes(data: bytes | None) -> bytes:
+def _or_empty(data: bytes | None) -> bytes:
     return data or b""
 
 
-def _encode(conn: h11.Connection, reply: Reply) -> bytes:
-    headers = [("Content-Type", reply.kind), ("Content-Length", str(len(reply.body))), *reply.headers]
-    out = _bytes(conn.send(h11.Response(status_code=reply.status, headers=headers)))
+def _encode_reply(conn: h11.Connection, reply: Reply) -> bytes:
+    headers = [("Content-Type", reply.content_type), ("Content-Length", str(len(reply.body))), *reply.headers]
+    out = _or_empty(conn.send(h11.Response(status_code=reply.status, headers=headers)))
     if reply.body:
-        out += _bytes(conn.send(h11.Data(data=reply.body)))
-    return out + _bytes(conn.send(h11.EndOfMessage()))
+        out += _or_empty(conn.send(h11.Data(data=reply.body)))
+    return out + _or_empty(conn.send(h11.EndOfMessage()))
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -159,11 +159,11 @@
         if now - self._refusal_logged_at >= constants.REFUSAL_LOG_INTERVAL_S:
             self._refusal_logged_at = now
             log_event(log, logging.WARNING, "membership_refused", reason=reason[:_LONGEST_REASON])
-        return Reply(400, b"{}", kind="application/json")
+        return Reply(400, b"{}", content_type="application/json")
 
     @staticmethod
     def _reply(message: PeerHeartbeat | ProbeAnswer) -> Reply:
-        return Reply(200, encode(message), kind="application/json")
+        return Reply(200, encode(message), content_type="application/json")
 
     # --- what we send ---
 
