--- a/sorrelsill/fleet/errors.py
+++ b/sorrelsill/fleet/errors.py
@@ -1,14 +1,16 @@
-"""Errors of the fleet."""
+"""Exceptions of the fleet package."""
 
 from __future__ import annotations
 
 
 class FleetError(Exception):
-    """Base of the package's errors."""
+    """Base class of the package's exceptions."""
 
 
 class CloudError(FleetError):
-    """The cloud refused a request or did not answer; `sent` tells whether it may have been carried out."""
+    """The cloud refused a request or did not answer.
+
+    `status` is the HTTP status, 0 without an answer. `sent` is true if the request may have been carried out."""
 
     def __init__(self, text: str, status: int = 0, sent: bool = False) -> None:
         super().__init__(text)
@@ -17,4 +19,4 @@
 
 
 class CatalogError(FleetError, ValueError):
-    """What was read is not a catalog."""
+    """The data is not a valid machine catalog."""
--- a/sorrelsill/fleet/fleet_state.py
+++ b/sorrelsill/fleet/fleet_state.py
@@ -1,4 +1,4 @@
-"""What one leader's term knows of rented machines besides the cluster state: booting, returned, to be returned."""
+"""State of the fleet manager during one leader term: machines that are booting, returned or to be returned."""
 
 from __future__ import annotations
 
@@ -12,39 +12,40 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """What the platform's settings ask of the fleet."""
+    """Platform settings that the fleet manager depends on."""
 
-    optimise_latency: bool  # latency and not cost
-    list_lag_s: float  # the machine list may be this much out of date
-    latency_sensitive: set[str]  # classes whose tasks should start within seconds
+    optimise_latency: bool  # optimise for latency instead of cost
+    list_lag_s: float  # s; how far the machine list may be out of date
+    latency_sensitive: set[str]  # job classes whose tasks should start within seconds
 
 
 @dataclass(slots=True)
 class FleetState:
-    """Shared by the parts of the fleet manager; times are those of the leader's steady clock."""
+    """Shared by the components of the fleet manager. Times are on the leader's steady clock."""
 
     cluster: ClusterState
     settings: FleetSettings
     unschedulable: Callable[[], list[UnschedulableDemand]]
-    boots: BootTimes = field(default_factory=BootTimes)
-    booting: dict[str, BootingInstance] = field(default_factory=dict)  # by machine
-    running_since: dict[str, float] = field(default_factory=dict)  # machine -> since when it is listed as running
-    returned: dict[str, float] = field(default_factory=dict)  # machine -> when it was returned, or was still listed
-    returns: dict[str, str] = field(default_factory=dict)  # machine to be returned -> reason
-    lists_read: int = 0  # whole machine lists in this term
+    boot_times: BootTimes = field(default_factory=BootTimes)
+    booting: dict[str, BootingInstance] = field(default_factory=dict)  # by machine name
+    listed_running_since: dict[str, float] = field(default_factory=dict)  # machine -> first listed as running at
+    # Machine -> when it was returned, or when the list last contained it after that.
+    returned_at: dict[str, float] = field(default_factory=dict)
+    pending_returns: dict[str, str] = field(default_factory=dict)  # machine to return -> reason
+    lists_read: int = 0  # complete machine lists read in this term
 
     def expected_instances(self, now: float) -> list[BootingInstance]:
-        """The booting instances that are expected to come up in time."""
-        return expected_instances(list(self.booting.values()), self.boots, self.cluster.catalog, now)
+        """The booting instances that the capacity plan may count on."""
+        return expected_instances(list(self.booting.values()), self.boot_times, self.cluster.catalog, now)
 
-    def record_arrivals(self, now: float) -> None:
-        """Instances that have sent their first heartbeat no longer boot."""
+    def record_first_heartbeats(self, now: float) -> None:
+        """Remove instances that have sent their first heartbeat from `booting`, and record their boot times."""
         for name in [name for name in self.booting if name in self.cluster.machines]:
             arrived = self.booting.pop(name)
-            if arrived.ours:
-                self.boots.record(arrived.machine_type, now - arrived.since)
+            if arrived.rented_by_this_process:
+                self.boot_times.record(arrived.machine_type, now - arrived.rented_at)
 
     def price(self, machine: Machine) -> float:
-        """Price of a machine per hour; 0 if its type is not in the catalog."""
+        """Price of the machine per hour; 0 if its type is not in the catalog."""
         machine_type = self.cluster.catalog.machine_types.get(machine.machine_type)
         return machine_type.cost(machine.spot) if machine_type is not None else 0.0
--- a/sorrelsill/fleet/instances.py
+++ b/sorrelsill/fleet/instances.py
@@ -1,4 +1,4 @@
-"""Instances that the cloud offers, that are booting, and that may be waited for. Pure: time is given."""
+"""Offers of the cloud, booting instances, and demand for new ones. Pure: the current time is passed in."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class InstanceOffer(NamedTuple):
-    """What can be rented: a machine type in a zone, as a spot or an on-demand machine."""
+    """A machine type in a zone, offered as a spot or an on-demand instance."""
 
     machine_type: str
     zone: str
@@ -24,63 +24,65 @@
 
 @dataclass(slots=True)
 class BootingInstance:
-    """A machine that was rented and has not sent a heartbeat yet."""
+    """A rented machine that has not sent its first heartbeat yet."""
 
     name: str
     machine_type: str
     zone: str
     spot: bool
-    since: float
-    booted_for: float = 0.0  # s; its age when the machine list last said that it was still booting
-    ours: bool = False  # rented by this process, so that `since` is exact
+    rented_at: float  # s on the steady clock; if another process rented it, computed from the age in the machine list
+    last_booting_age_s: float = 0.0  # s; its age when the machine list last reported it as booting
+    rented_by_this_process: bool = False  # if so, `rented_at` is exact
 
 
 @dataclass(slots=True)
 class CapacityDemand:
-    """Tasks of one job for which capacity has to be rented."""
+    """Identical tasks for which capacity has to be rented: of one job, or as headroom."""
 
     count: int
-    cpus: float
+    cpus: float  # per task, as are GPUs and memory
     gpus: float
     memory_gb: float
-    machine_types: frozenset[str] | None
-    zone: str | None
-    spot: bool
-    max_per_zone: int | None  # most of these tasks that may go to one zone
+    machine_types: frozenset[str] | None  # allowed types; None: all
+    zone: str | None  # required zone; None: any
+    spot: bool  # whether spot instances are allowed
+    max_per_zone: int | None  # limit for the job's tasks in one zone; None: no limit
     zones: dict[str, int] = field(default_factory=dict)  # tasks of the job already running, by zone
-    spot_only: bool = False  # time is left to wait for spot machines: no on-demand one is rented for it yet
+    spot_only: bool = False  # there is time to wait for spot capacity, so no on-demand instance is rented yet
 
 
 def lead_time_s(spec: JobSpec, catalog: Catalog) -> tuple[float, float]:
-    """Seconds for the quickest boot and the slowest image fetch among the machine types that fit a task."""
-    fitting = [t for t in catalog.machine_types.values() if t.fits(spec.cpus, spec.gpus, spec.memory_gb)]
-    boot_s = min((t.boot_s for t in fitting), default=0.0)
-    return boot_s, max((spec.image_gb / t.fetch_gb_per_s for t in fitting), default=0.0)
+    """The shortest boot time and the longest image fetch time, in seconds, of the machine types that fit a task."""
+    fitting_types = [t for t in catalog.machine_types.values() if t.fits(spec.cpus, spec.gpus, spec.memory_gb)]
+    boot_s = min((t.boot_s for t in fitting_types), default=0.0)
+    return boot_s, max((spec.image_gb / t.fetch_gb_per_s for t in fitting_types), default=0.0)
 
 
-def can_wait_for_scale_out(spec: JobSpec, catalog: Catalog, left_s: float) -> bool:
-    """Whether a task on a machine that is still to be rented can be done within `left_s` seconds."""
+def can_wait_for_scale_out(spec: JobSpec, catalog: Catalog, time_left_s: float) -> bool:
+    """Whether a task can finish within `time_left_s` seconds on a machine that has yet to be rented."""
     boot_s, fetch_s = lead_time_s(spec, catalog)
-    return left_s > boot_s + fetch_s + spec.expected_run_s * constants.ESTIMATE_SLACK + constants.ON_DEMAND_DELAY_S
+    return time_left_s > boot_s + fetch_s + spec.expected_run_s * constants.ESTIMATE_SLACK + constants.ON_DEMAND_DELAY_S
 
 
 def expected_instances(
-    booting: list[BootingInstance], boots: BootTimes, catalog: Catalog, now: float
+    booting: list[BootingInstance], boot_times: BootTimes, catalog: Catalog, now: float
 ) -> list[BootingInstance]:
-    """The booting instances that the plan may count on. Late ones are replaced, the latest first, but only a part of
-    them: when all are late, further ones would be late as well and cost as much."""
-    late_after_s = {name: boots.late_after_s(name, catalog) for name in {each.machine_type for each in booting}}
-    late = [each for each in booting if now - each.since > late_after_s[each.machine_type]]
-    late.sort(key=lambda each: each.since)
+    """The booting instances that the capacity plan may count on. Some of the late ones, those rented first, are left out
+    so that they get replaced. Not all of them, since when all are late, their replacements would be late as well and
+    cost as much."""
+    late_after_s = {name: boot_times.late_after_s(name, catalog) for name in {each.machine_type for each in booting}}
+    late = [each for each in booting if now - each.rented_at > late_after_s[each.machine_type]]
+    late.sort(key=lambda each: each.rented_at)
     replaced = min(len(late), max(constants.LATE_REPLACED_MIN, math.ceil(constants.LATE_REPLACED_SHARE * len(late))))
-    left_out = {each.name for each in late[:replaced]}
-    return [each for each in booting if each.name not in left_out]
+    excluded = {each.name for each in late[:replaced]}
+    return [each for each in booting if each.name not in excluded]
 
 
 def boot_failed(
-    instance: BootingInstance, boots: BootTimes, catalog: Catalog, now: float, leading_since: float
+    instance: BootingInstance, boot_times: BootTimes, catalog: Catalog, now: float, term_began_at: float
 ) -> bool:
-    """Whether the instance will most likely never come up. `leading_since` guards against a new leader that takes each
-    machine without a heartbeat to it for one that never came up: only the machine list reaches further back."""
-    limit_s = boots.failed_after_s(instance.machine_type, catalog)
-    return max(instance.booted_for, now - max(instance.since, leading_since)) > limit_s
+    """Whether the instance will most likely never come up. Time before `term_began_at` counts only if the machine list
+    reported the instance as booting: a new leader has received no heartbeats yet, and must not take every machine for
+    one that failed to boot."""
+    limit_s = boot_times.failed_after_s(instance.machine_type, catalog)
+    return max(instance.last_booting_age_s, now - max(instance.rented_at, term_began_at)) > limit_s
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -80,7 +80,7 @@
             await self._read_catalog()
             if not self._cluster.catalog.machine_types:
                 return
-        self.state.record_arrivals(now)
+        self.state.record_first_heartbeats(now)
         self.scale_out.expire_refusals(now)
         self._utilisation_log.log_if_due(now)
         self.scale_in.choose_if_due(now)
@@ -88,7 +88,7 @@
             await self._read_list()
         if not self._valid():
             return
-        if self.state.returns:
+        if self.state.pending_returns:
             await self.scale_in.send()
         if not self._valid():
             return
--- a/sorrelsill/fleet/reconciliation.py
+++ b/sorrelsill/fleet/reconciliation.py
@@ -14,12 +14,12 @@
     state.lists_read += 1
     for listed in found.values():
         _take(state, listed, now)
-    for name in [name for name in state.running_since if name not in found]:
-        del state.running_since[name]
+    for name in [name for name in state.listed_running_since if name not in found]:
+        del state.listed_running_since[name]
     delay_s = _LIST_LAGS * state.settings.list_lag_s + list_interval_s
-    state.returned = {name: at for name, at in state.returned.items() if now - at < 2 * delay_s}
+    state.returned_at = {name: at for name, at in state.returned_at.items() if now - at < 2 * delay_s}
     for name, instance in list(state.booting.items()):
-        if name not in found and now - instance.since > delay_s:
+        if name not in found and now - instance.rented_at > delay_s:
             del state.booting[name]
     for name, machine in list(state.cluster.machines.items()):
         if name not in found and machine.lease_expired and now - machine.last_seen_at > delay_s:
@@ -33,15 +33,15 @@
     if listed.phase == ListedPhase.FAILED:
         state.cluster.remove_machine(name, now, "machine failed")
         state.booting.pop(name, None)
-        state.returns[name] = "failed"
+        state.pending_returns[name] = "failed"
         return
     if listed.phase == ListedPhase.RUNNING:
-        state.running_since.setdefault(name, now)
-    if name in state.returned:
-        state.returned[name] = now
+        state.listed_running_since.setdefault(name, now)
+    if name in state.returned_at:
+        state.returned_at[name] = now
         return  # it was returned; the list will say so later
-    if not known and name not in state.booting and name not in state.returns:
-        since = now - listed.age_s
-        state.booting[name] = BootingInstance(name, listed.machine_type, listed.zone, listed.spot, since)
+    if not known and name not in state.booting and name not in state.pending_returns:
+        rented_at = now - listed.age_s
+        state.booting[name] = BootingInstance(name, listed.machine_type, listed.zone, listed.spot, rented_at)
     if listed.phase == ListedPhase.BOOTING and name in state.booting:
-        state.booting[name].booted_for = listed.age_s
+        state.booting[name].last_booting_age_s = listed.age_s
--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -48,7 +48,7 @@
         state = self._state
         headroom = RetainedHeadroom(self._demand, state.unschedulable())
         for machine in sorted(state.cluster.index.idle, key=lambda idle: idle.name):
-            if machine.name not in state.returns:
+            if machine.name not in state.pending_returns:
                 self._choose_idle(machine, headroom, now)
         for name, instance in state.booting.items():
             if name not in state.cluster.failover.unconfirmed:
@@ -56,17 +56,17 @@
 
     def _choose_booting(self, name: str, instance: BootingInstance, now: float) -> None:
         state = self._state
-        running_since = state.running_since.get(name)
-        if boot_failed(instance, state.boots, state.cluster.catalog, now, state.cluster.started):
-            state.returns.setdefault(name, "never came up")
-        elif running_since is not None and now - running_since > 2 * constants.UNRESPONSIVE_RETURN_S:
-            state.returns.setdefault(name, "up but silent")
+        listed_running_since = state.listed_running_since.get(name)
+        if boot_failed(instance, state.boot_times, state.cluster.catalog, now, state.cluster.started):
+            state.pending_returns.setdefault(name, "never came up")
+        elif listed_running_since is not None and now - listed_running_since > 2 * constants.UNRESPONSIVE_RETURN_S:
+            state.pending_returns.setdefault(name, "up but silent")
 
     def _choose_idle(self, machine: Machine, headroom: RetainedHeadroom, now: float) -> None:
         state = self._state
         if machine.lease_expired:
             if now - machine.last_seen_at > state.cluster.loss_s + constants.UNRESPONSIVE_RETURN_S:
-                state.returns[machine.name] = "silent"
+                state.pending_returns[machine.name] = "silent"
             return
         if not _is_returnable(machine):
             return
@@ -89,7 +89,7 @@
 
     def _start_return(self, machine: Machine, reason: str) -> None:
         machine.returning = True
-        self._state.returns[machine.name] = reason
+        self._state.pending_returns[machine.name] = reason
 
     async def send(self) -> None:
         """Return what was chosen. Nothing is bound to it; that was decided without an await in between."""
@@ -109,12 +109,12 @@
         """As many as one request takes."""
         state = self._state
         names = []
-        for name in list(state.returns):
+        for name in list(state.pending_returns):
             machine = state.cluster.machines.get(name)
             if machine is not None and (machine.bound_count or machine.unknown_tasks):
                 # It resumed its heartbeats, with tasks running: it stays.
                 machine.returning = False
-                del state.returns[name]
+                del state.pending_returns[name]
                 continue
             if machine is not None:
                 machine.returning = True
@@ -123,10 +123,10 @@
 
     def _returned(self, name: str, now: float) -> None:
         state = self._state
-        log_event(log, logging.INFO, "machine_returned", machine=name, reason=state.returns.get(name))
-        state.returns.pop(name, None)
+        log_event(log, logging.INFO, "machine_returned", machine=name, reason=state.pending_returns.get(name))
+        state.pending_returns.pop(name, None)
         state.booting.pop(name, None)
-        state.returned[name] = now
+        state.returned_at[name] = now
         state.cluster.remove_machine(name, now, "machine returned")
 
 
--- a/sorrelsill/fleet/scale_out.py
+++ b/sorrelsill/fleet/scale_out.py
@@ -127,7 +127,9 @@
         self.open_requests.remove(request)
         for name in rented:
             if name not in self._state.cluster.machines:
-                self._state.booting[name] = BootingInstance(name, machine_type, zone, spot, now, ours=True)
+                self._state.booting[name] = BootingInstance(
+                    name, machine_type, zone, spot, now, rented_by_this_process=True
+                )
         self._refusals.pop(request.offer, None)
         if len(rented) < request.count:
             self._back_off(request.offer, now)
