--- a/sorrelsill/fleet/instances.py
+++ b/sorrelsill/fleet/instances.py
@@ -67,9 +67,9 @@
 def expected_instances(
     booting: list[BootingInstance], boot_times: BootTimes, catalog: Catalog, now: float
 ) -> list[BootingInstance]:
-    """The booting instances that the capacity plan may count on. Some of the late ones, those rented first, are left out
-    so that they get replaced. Not all of them, since when all are late, their replacements would be late as well and
-    cost as much."""
+    """The booting instances that the capacity plan may count on. Some of the late ones, those rented first, are left
+    out so that they get replaced. Not all of them, since when all are late, their replacements would be late as well
+    and cost as much."""
     late_after_s = {name: boot_times.late_after_s(name, catalog) for name in {each.machine_type for each in booting}}
     late = [each for each in booting if now - each.rented_at > late_after_s[each.machine_type]]
     late.sort(key=lambda each: each.rented_at)
