--- a/sorrelsill/fleet/catalog.py
+++ b/sorrelsill/fleet/catalog.py
@@ -1,4 +1,4 @@
-"""Parses the cloud's catalog, under the names of the wire."""
+"""Parses the machine catalog that the cloud sends."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 def parse_catalog(answer: Any) -> Catalog:
-    """CatalogError if the answer is not a catalog."""
+    """Parse the decoded answer of the cloud. Raises CatalogError if it is not a catalog or lists no machine type."""
     try:
         machine_types = [
             MachineType(
-                name=str(offered["sku"]),
-                cpus=float(offered["vcpus"]),
-                gpus=float(offered.get("gpus") or 0),
-                memory_gb=float(offered["memoryGb"]),
-                cache_gb=float(offered.get("cacheGb") or 0),
-                fetch_gb_per_s=max(1e-3, float(offered.get("pullGbPerS") or 1)),
-                price=float(offered["price"]),
-                spot_price=float(offered.get("spotPrice") or offered["price"]),
-                boot_s=float(offered.get("bootS") or 60),
-                zones=tuple(str(zone) for zone in offered["regions"]),
+                name=str(entry["sku"]),
+                cpus=float(entry["vcpus"]),
+                gpus=float(entry.get("gpus") or 0),
+                memory_gb=float(entry["memoryGb"]),
+                cache_gb=float(entry.get("cacheGb") or 0),
+                fetch_gb_per_s=max(1e-3, float(entry.get("pullGbPerS") or 1)),
+                price=float(entry["price"]),
+                spot_price=float(entry.get("spotPrice") or entry["price"]),
+                boot_s=float(entry.get("bootS") or 60),
+                zones=tuple(str(zone) for zone in entry["regions"]),
             )
-            for offered in answer["flavours"]
+            for entry in answer["flavours"]
         ]
     except (KeyError, TypeError, AttributeError, ValueError) as error:
         raise CatalogError(f"not a catalog: {error!r}") from None
--- a/sorrelsill/fleet/cloud.py
+++ b/sorrelsill/fleet/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's client: its calls, under its rate limit."""
+"""Client of the cloud's API that keeps to the cloud's rate limit."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Cloud:
-    """The cloud's calls, under its rate limit."""
+    """Sends requests to the cloud within its rate limit."""
 
     def __init__(self, client: Client, limits: CloudLimits) -> None:
         self._client = client
@@ -27,8 +27,11 @@
     async def call(
         self, method: str, target: str, body: msgspec.Struct | None = None, may_send: Callable[[], bool] = always
     ) -> dict[str, Any]:
-        """One call; `may_send` is asked right before it goes out. The cloud knows no tokens, so this alone keeps a
-        deposed leader from renting or returning machines. CloudError if it was refused or not answered."""
+        """Send one request and return the decoded answer.
+
+        `may_send` is checked right before the request is sent. The cloud does not check fencing tokens, so this check
+        alone keeps a former leader from renting or returning machines. Raises CloudError if the request was refused or
+        not answered."""
         await self.bucket.wait()
         try:
             status, raw = await self._client.request(
@@ -42,13 +45,13 @@
         if status == 429:
             self.bucket.drain()
         if status != 200 or not isinstance(answer, dict):
-            why = answer.get("error") if isinstance(answer, dict) else None
-            raise CloudError(f"{status} {why}", status, sent=status not in (400, 429, 503))
+            reason = answer.get("error") if isinstance(answer, dict) else None
+            raise CloudError(f"{status} {reason}", status, sent=status not in (400, 429, 503))
         return answer
 
     async def rent(self, request: msgspec.Struct, may_send: Callable[[], bool]) -> list[str]:
-        """Names of the machines that were rented, at most as many as requested. CloudError as of `call`, and for an
-        answer that names none."""
+        """Rent machines and return their names, at most as many as requested. Raises CloudError as `call` does, and if
+        the answer holds no list of names."""
         answer = await self.call("POST", "/rentals", request, may_send)
         try:
             return [str(name) for name in answer["hosts"]]
@@ -56,5 +59,5 @@
             raise CloudError(str(error), sent=True) from None
 
     async def return_machines(self, request: msgspec.Struct, may_send: Callable[[], bool]) -> None:
-        """Return machines; they are charged for no longer. CloudError as of `call`."""
+        """Return machines, which ends their charges. Raises CloudError as `call` does."""
         await self.call("POST", "/rentals/return", request, may_send)
--- a/sorrelsill/fleet/test_capacity_plan.py
+++ b/sorrelsill/fleet/test_capacity_plan.py
@@ -1,4 +1,4 @@
-"""Which instances to rent."""
+"""Which instances the capacity plan rents."""
 
 from sorrelsill.fleet.capacity_plan import plan
 from sorrelsill.fleet.instances import CapacityDemand, InstanceOffer
@@ -12,10 +12,10 @@
     return CapacityDemand(count, 2.0, 0.0, 4.0, None, None, True, None)
 
 
-def test_for_latency_on_demand_machines_are_rented_first() -> None:
-    """A task lost with a spot machine makes its whole job late."""
+def test_on_demand_is_preferred_when_optimising_for_latency() -> None:
+    """A task lost with a spot machine makes its whole job late. Spot is rented while on-demand offers are refused."""
     for optimise_latency in (True, False):
         wanted = plan([demand(16)], [], CATALOG, {}, 0.0, {}, optimise_latency)
         assert sum(wanted.values()) == 4 and {spot for _, _, spot in wanted} == {not optimise_latency}
-    refused = {InstanceOffer("c8", zone, False): 9.0 for zone in "ab"}
-    assert {spot for _, _, spot in plan([demand(16)], [], CATALOG, refused, 0.0, {}, True)} == {True}
+    refused_until = {InstanceOffer("c8", zone, False): 9.0 for zone in "ab"}
+    assert {spot for _, _, spot in plan([demand(16)], [], CATALOG, refused_until, 0.0, {}, True)} == {True}
