--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -1,4 +1,4 @@
-"""Capacity demand on the fleet: unschedulable tasks, and headroom where objectives leave no time to boot."""
+"""Capacity demand on the fleet: for unschedulable tasks, and for headroom where objectives leave no time to boot."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from sorrelsill import constants
 from sorrelsill.fleet.fleet_state import FleetState
-from sorrelsill.fleet.free_capacity import SMALLEST_AMOUNT, FreeCapacity
+from sorrelsill.fleet.free_capacity import MIN_TASK_AMOUNT, FreeCapacity
 from sorrelsill.fleet.instances import BootingInstance, CapacityDemand, can_wait_for_scale_out, lead_time_s
 
 if TYPE_CHECKING:
@@ -19,23 +19,23 @@
     from sorrelsill.workers import UnschedulableDemand
 
 
-_MOST_TASKS = 40 * constants.SCALE_OUT_BATCH_MAX  # of one job, for which capacity is planned at a time
+_MAX_PLANNED_TASKS = 40 * constants.SCALE_OUT_BATCH_MAX  # tasks; of one job, in one capacity plan
 
 
 @dataclass(slots=True)
 class GangCapacity:
-    """Capacity for latency-sensitive gangs on on-demand machines."""
+    """On-demand capacity for latency-sensitive gangs."""
 
-    free_cpus: dict[str, float]  # by zone, free or booting
-    kept_cpus: float  # in one zone; 0 if none are kept
+    free_cpus: dict[str, float]  # by zone; on running and booting machines
+    headroom_cpus: float  # to be kept free in one zone; 0 if no headroom is kept
 
     def zone(self) -> str:
-        """The zone with most free CPUs, where the headroom is kept."""
+        """The zone where the headroom is kept: the one with the most free CPUs."""
         return max(sorted(self.free_cpus), key=lambda zone: self.free_cpus[zone])
 
 
 class FleetDemand:
-    """Decisions on the cluster state and the booting instances."""
+    """Computes the capacity demand from the cluster state and the booting instances."""
 
     def __init__(self, state: FleetState) -> None:
         self._state = state
@@ -45,11 +45,11 @@
         self._free_capacity = FreeCapacity(state.cluster.index)
 
     def demands(self, now: float) -> list[CapacityDemand]:
-        """Capacity that is missing for unschedulable tasks, and headroom."""
+        """Missing capacity for unschedulable tasks and for headroom. Tasks held back by a team's limit don't count."""
         demands = [
-            self._demand_of(item, count, now)
+            self._demand_for(item, count, now)
             for item in self._state.unschedulable()
-            if not item.limited and (count := self._tasks_to_rent_for(item, now)) > 0
+            if not item.limited and (count := self._tasks_to_plan_for(item, now)) > 0
         ]
         demands += self._service_headroom_demands()
         demands += self._gang_headroom_demands()
@@ -57,14 +57,14 @@
             demands += self._latency_headroom_demands()
         return demands
 
-    def _tasks_to_rent_for(self, item: UnschedulableDemand, now: float) -> int:
+    def _tasks_to_plan_for(self, item: UnschedulableDemand, now: float) -> int:
         spec = item.job.spec
-        count = min(item.count, _MOST_TASKS)
+        count = min(item.count, _MAX_PLANNED_TASKS)
         if spec.deadline_s is not None and not spec.is_service and not spec.is_gang:
-            count = min(count, self._tasks_needed_at_once(item, now))
+            count = min(count, self._missing_concurrent_tasks(item, now))
         return count
 
-    def _demand_of(self, item: UnschedulableDemand, count: int, now: float) -> CapacityDemand:
+    def _demand_for(self, item: UnschedulableDemand, count: int, now: float) -> CapacityDemand:
         spec = item.job.spec
         return CapacityDemand(
             count,
@@ -80,67 +80,68 @@
         )
 
     def _latency_headroom_demands(self) -> list[CapacityDemand]:
-        """Where latency is optimised for, whole machines ahead of the work: in a burst of arrays a boot costs more than
-        their run. Booting instances are filled first, by the plan."""
+        """Whole machines ahead of the work, when optimising for latency: in a burst of array jobs, a boot takes longer
+        than the tasks run. The plan packs this demand onto booting instances first."""
         machine_types = self._cluster.catalog.machine_types.values()
         if not machine_types:
             return []
-        used = free = 0.0
+        bound_cpus = free_cpus = 0.0
         for machine in self._cluster.index.ready:
-            used += machine.cpus
-            free += machine.capacity_cpus - machine.cpus
-        cheapest = min(machine_types, key=lambda each: each.cost(False) / max(each.cpus, SMALLEST_AMOUNT))
-        missing = int((constants.HEADROOM * used - free) / max(cheapest.cpus, SMALLEST_AMOUNT))
+            bound_cpus += machine.cpus
+            free_cpus += machine.capacity_cpus - machine.cpus
+        cheapest = min(machine_types, key=lambda each: each.cost(False) / max(each.cpus, MIN_TASK_AMOUNT))
+        missing = int((constants.HEADROOM * bound_cpus - free_cpus) / max(cheapest.cpus, MIN_TASK_AMOUNT))
         if missing <= 0:
             return []
         return [CapacityDemand(missing, cheapest.cpus, 0.0, cheapest.memory_gb, None, None, True, None)]
 
-    def gang_headroom(self) -> GangCapacity:
-        """On-demand CPUs that are free or booting, and how many of them are kept free for gangs."""
-        kept = 0.0 if self._optimise_latency else self._cluster.gang_headroom_cpus(self._latency_sensitive)
-        if not kept:
+    def gang_capacity(self) -> GangCapacity:
+        """On-demand CPUs that are free or booting, and how many of them to keep free for gangs."""
+        headroom_cpus = 0.0 if self._optimise_latency else self._cluster.gang_headroom_cpus(self._latency_sensitive)
+        if not headroom_cpus:
             return GangCapacity({}, 0.0)
         free = dict.fromkeys(self._cluster.catalog.zones, 0.0) | self._cluster.index.free.ordinary_cpus()
         for instance, machine_type in self._expected_on_demand():
             free[instance.zone] = free.get(instance.zone, 0.0) + machine_type.cpus
-        return GangCapacity(free, kept)
+        return GangCapacity(free, headroom_cpus)
 
     def _expected_on_demand(self) -> Iterator[tuple[BootingInstance, MachineType]]:
-        """Booting on-demand instances that are expected to come up in time."""
+        """Booting on-demand instances that the plan may count on, with their machine types."""
         for instance in self._state.expected_instances(trio.current_time()):
             machine_type = self._cluster.catalog.machine_types.get(instance.machine_type)
             if machine_type is not None and not instance.spot:
                 yield instance, machine_type
 
     def _gang_headroom_demands(self) -> list[CapacityDemand]:
-        capacity = self.gang_headroom()
-        if not capacity.kept_cpus:
+        capacity = self.gang_capacity()
+        if not capacity.headroom_cpus:
             return []
         zone = capacity.zone()
         largest = self._cluster.largest_gang
         gangs = [spec for name in self._latency_sensitive if (spec := largest.get(name)) is not None]
         spec = max(gangs, key=lambda gang: (gang.cpus, gang.job_id))
-        missing = math.ceil((capacity.kept_cpus - capacity.free_cpus[zone]) / max(spec.cpus, SMALLEST_AMOUNT))
-        return [_on_demand(spec, missing, zone)] if missing > 0 else []
+        missing = math.ceil((capacity.headroom_cpus - capacity.free_cpus[zone]) / max(spec.cpus, MIN_TASK_AMOUNT))
+        return [_headroom_demand(spec, missing, zone)] if missing > 0 else []
 
     def service_headroom_spec(self) -> JobSpec | None:
-        """The largest live service of a class whose tasks should start within seconds: room for one more of
-        it is kept ready, since a machine takes far longer to boot."""
+        """The largest live service of a latency-sensitive class. Headroom is kept for one more service of this size,
+        since its tasks should start within seconds and a machine takes far longer to boot."""
         jobs = [
-            j.spec
-            for j in self._cluster.jobs.values()
-            if j.spec.is_service and j.spec.job_class in self._latency_sensitive
+            job.spec
+            for job in self._cluster.jobs.values()
+            if job.spec.is_service and job.spec.job_class in self._latency_sensitive
         ]
-        return max(jobs, key=lambda s: (s.zone_limit * s.cpus, s.job_id), default=None)
+        return max(jobs, key=lambda each: (each.zone_limit * each.cpus, each.job_id), default=None)
 
     def service_capacity(self, spec: JobSpec) -> dict[str, int]:
-        """Tasks of this kind that could start at once, by zone: on free capacity or by preemption."""
+        """Number of tasks of this kind that could start, by zone: on free capacity, by preemption, or on instances that
+        are expected to finish booting."""
         tasks: dict[str, int] = {zone: 0 for zone in self._cluster.catalog.zones if spec.zone in (None, zone)}
         tasks |= {zone: free for zone, free in self._free_capacity.by_zone(spec).items() if free or zone in tasks}
         for instance, machine_type in self._expected_on_demand():
             if spec.machine_types is None or instance.machine_type in spec.machine_types:
-                fitting = int(machine_type.cpus // max(spec.cpus, SMALLEST_AMOUNT))
-                tasks[instance.zone] = tasks.get(instance.zone, 0) + fitting
+                tasks_per_machine = int(machine_type.cpus // max(spec.cpus, MIN_TASK_AMOUNT))
+                tasks[instance.zone] = tasks.get(instance.zone, 0) + tasks_per_machine
         return tasks
 
     def _service_headroom_demands(self) -> list[CapacityDemand]:
@@ -148,29 +149,29 @@
         if spec is None:
             return []
         return [
-            _on_demand(spec, spec.zone_limit - tasks, zone)
+            _headroom_demand(spec, spec.zone_limit - tasks, zone)
             for zone, tasks in sorted(self.service_capacity(spec).items())
             if tasks < spec.zone_limit
         ]
 
     def _can_wait_for_spot(self, item: UnschedulableDemand, now: float) -> bool:
-        """Whether a task started on an instance that is rented later can still meet its deadline."""
+        """Whether a task could still meet its deadline on an instance that is rented later."""
         spec = item.job.spec
         if spec.deadline_s is None:
             return False
         return can_wait_for_scale_out(spec, self._cluster.catalog, item.job.submitted + spec.deadline_s - now)
 
-    def _tasks_needed_at_once(self, item: UnschedulableDemand, now: float) -> int:
-        """How many more concurrent tasks meet the deadline: capacity beyond that costs without use."""
+    def _missing_concurrent_tasks(self, item: UnschedulableDemand, now: float) -> int:
+        """How many more tasks must run concurrently to meet the deadline. More capacity would only add cost."""
         job, spec = item.job, item.job.spec
         assert spec.deadline_s is not None
         boot_s, fetch_s = lead_time_s(spec, self._cluster.catalog)
-        left_s = (job.submitted + spec.deadline_s - now) * constants.DEADLINE_USE - boot_s - fetch_s
-        waves = max(1, int(left_s / max(1.0, spec.expected_run_s)))
+        time_left_s = (job.submitted + spec.deadline_s - now) * constants.DEADLINE_USE - boot_s - fetch_s
+        waves = max(1, int(time_left_s / max(1.0, spec.expected_run_s)))
         tasks = spec.task_count - job.done.count
         return max(0, -(-tasks // waves) - len(job.bound))
 
 
-def _on_demand(spec: JobSpec, count: int, zone: str) -> CapacityDemand:
-    """Headroom for so many tasks, on on-demand machines of the zone."""
+def _headroom_demand(spec: JobSpec, count: int, zone: str) -> CapacityDemand:
+    """Headroom for `count` tasks on on-demand machines of the zone."""
     return CapacityDemand(count, spec.cpus, spec.gpus, spec.memory_gb, spec.machine_types, zone, False, None)
