--- a/sorrelsill/fleet/catalog.py
+++ b/sorrelsill/fleet/catalog.py
@@ -1,4 +1,4 @@
-"""Parses the machine catalog that the cloud sends."""
+"""Parses the machine catalog from the cloud's wire format."""
 
 from __future__ import annotations
 
--- a/sorrelsill/fleet/machine_list.py
+++ b/sorrelsill/fleet/machine_list.py
@@ -1,7 +1,7 @@
-"""Reading the cloud's machine list, page by page, between other calls to the cloud.
+"""Reads the cloud's machine list page by page, between other calls to the cloud.
 
-A large fleet's list takes many pages. Read without pauses, at the cloud's rate limit, it would keep rentals and returns
-waiting; read as often as a small one, it would use up the whole rate."""
+The list of a large fleet takes many pages. Reading them without a pause would delay rentals and returns, since all
+calls share the cloud's rate limit. Reading a long list as often as a short one would use up the whole rate."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ListedPhase(enum.StrEnum):
-    """Phases of a machine that the fleet acts on; the list may name others."""
+    """Phases of a machine that the fleet manager acts on; the list may contain others."""
 
     BOOTING = "booting"
     RUNNING = "running"
@@ -27,7 +27,7 @@
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """What the list says of a machine, under the names of the wire."""
+    """A machine's entry in the list, with the cloud's names of the fields on the wire."""
 
     name: str = msgspec.field(name="uid")
     phase: str = ""
@@ -37,43 +37,43 @@
     age_s: float = msgspec.field(name="ageS", default=0.0)
 
 
-MachineList = dict[str, ListedMachine]  # by machine
+MachineList = dict[str, ListedMachine]  # by machine name
 
 
 class MachineListReader:
-    """One page at a time; a failed reading starts again from the first page."""
+    """Reads one page at a time. After a failed page, reading starts again from the first page."""
 
     def __init__(self, cloud: Cloud) -> None:
         self._cloud = cloud
-        self._found: MachineList | None = None  # by the reading under way
-        self._last = ""  # the last machine of the page read last
-        self._pages = 0
-        self._begun_at = float("-inf")
-        self.interval_s = constants.LIST_EVERY_S  # between the beginnings of two readings
+        self._partial_list: MachineList | None = None  # pages of the pass under way; None between passes
+        self._last_name = ""  # last machine of the preceding page
+        self._pages = 0  # read in this pass
+        self._started_at = float("-inf")
+        self.interval_s = constants.LIST_EVERY_S  # from the start of one pass to that of the next
 
     def due(self, now: float) -> bool:
-        """Whether the next page should be read."""
-        return self._found is not None or now - self._begun_at >= self.interval_s
+        """Whether the next page should be read now."""
+        return self._partial_list is not None or now - self._started_at >= self.interval_s
 
     async def read_page(self, now: float) -> MachineList | None:
-        """Read the next page. The whole list, if that was its last page."""
-        if self._found is None:
-            self._found, self._last, self._pages = {}, "", 0
-            self._begun_at = now
-        target = f"/rentals?page={constants.LIST_PAGE}" + (f"&from={self._last}" if self._last else "")
+        """Read the next page. Returns the complete list after its last page, otherwise None."""
+        if self._partial_list is None:
+            self._partial_list, self._last_name, self._pages = {}, "", 0
+            self._started_at = now
+        target = f"/rentals?page={constants.LIST_PAGE}" + (f"&from={self._last_name}" if self._last_name else "")
         try:
             answer = await self._cloud.call("GET", target)
             machines = msgspec.convert(answer.get("hosts") or [], list[ListedMachine])
         except (CloudError, msgspec.ValidationError) as error:
             log_event(log, logging.INFO, "machine_list_failed", reason=error)
-            self._found = None
+            self._partial_list = None
             return None
         for machine in machines:
-            self._found[machine.name] = machine
-            self._last = machine.name
+            self._partial_list[machine.name] = machine
+            self._last_name = machine.name
         self._pages += 1
         if answer.get("hasNext") and machines:
             return None
-        found, self._found = self._found, None
+        complete_list, self._partial_list = self._partial_list, None
         self.interval_s = max(constants.LIST_EVERY_S, self._pages / (constants.LIST_SHARE * self._cloud.bucket.rate))
-        return found
+        return complete_list
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -1,4 +1,4 @@
-"""The leader's dealings with the cloud: a control loop that compares the wanted fleet with the rented one."""
+"""The leader's control loop for the fleet: rents machines for the demand and returns those that are not needed."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 
 log = logging.getLogger(__name__)
 
-_CATALOG_RETRY_S = 8 * constants.RETRY_S  # pause after a catalog that could not be read
+_CATALOG_RETRY_S = 8 * constants.RETRY_S  # s; pause after the catalog could not be read
 
 
 def _ignore_catalog(raw: dict[str, Any], catalog: Catalog) -> None:
-    """Nobody follows the catalog."""
+    """Default for `on_catalog`: does nothing."""
 
 
 def _ignore_drain() -> None:
-    """Nobody follows drained machines."""
+    """Default for `on_drain`: does nothing."""
 
 
 class FleetManager:
-    """One per term of a leader."""
+    """Manages the fleet during one leader term. Each term has its own manager."""
 
     def __init__(
         self,
@@ -53,16 +53,16 @@
         on_catalog: Callable[[dict[str, Any], Catalog], None] = _ignore_catalog,
         on_drain: Callable[[], None] = _ignore_drain,
     ) -> None:
-        """`valid` tells whether this controller leads; `on_catalog` is called with each catalog read, `on_drain` once
-        services were told to move."""
+        """`valid` tells whether this controller still leads. `on_catalog` is called with each catalog that was read,
+        `on_drain` after services were stopped so that they move to other machines."""
         self._cloud = cloud
         self._cluster = cluster
         self._valid = valid
         self._on_catalog = on_catalog
-        self._catalog_at = float("-inf")
+        self._catalog_read_at = float("-inf")
         self.state = FleetState(cluster, settings, unschedulable)
         demand = FleetDemand(self.state)
-        self._list = MachineListReader(cloud)
+        self._list_reader = MachineListReader(cloud)
         self._utilisation_log = UtilisationLog(self.state)
         self._service_mover = ServiceMover(self.state, demand, on_drain)
         self.scale_in = ScaleIn(self.state, demand, cloud, valid)
@@ -70,13 +70,13 @@
 
     @property
     def booting(self) -> dict[str, BootingInstance]:
-        """Machines that were rented and have not sent a heartbeat yet, by name."""
+        """Rented machines that have not sent their first heartbeat yet, by name."""
         return self.state.booting
 
     async def step(self) -> None:
-        """One request of each sort at the most; what is most urgent goes first."""
+        """One iteration of the control loop. Sends at most one request of each kind, the most urgent first."""
         now = trio.current_time()
-        if not self._cluster.catalog.machine_types or now - self._catalog_at > constants.CATALOG_EVERY_S:
+        if not self._cluster.catalog.machine_types or now - self._catalog_read_at > constants.CATALOG_EVERY_S:
             await self._read_catalog()
             if not self._cluster.catalog.machine_types:
                 return
@@ -84,7 +84,7 @@
         self.scale_out.expire_refusals(now)
         self._utilisation_log.log_if_due(now)
         self.scale_in.choose_if_due(now)
-        if self._list.due(now):
+        if self._list_reader.due(now):
             await self._read_list()
         if not self._valid():
             return
@@ -98,21 +98,21 @@
         await self.scale_out.send()
 
     async def _read_catalog(self) -> None:
-        self._catalog_at = trio.current_time()
+        self._catalog_read_at = trio.current_time()
         try:
             raw = await self._cloud.call("GET", "/catalog")
             catalog = parse_catalog(raw)
         except FleetError as error:
             log_event(log, logging.INFO, "catalog_failed", reason=error)
-            self._catalog_at += _CATALOG_RETRY_S - constants.CATALOG_EVERY_S
+            self._catalog_read_at += _CATALOG_RETRY_S - constants.CATALOG_EVERY_S
             return
         self._on_catalog(raw, catalog)
 
     async def _read_list(self) -> None:
-        found = await self._list.read_page(trio.current_time())
-        if found is not None and self._valid():
-            self.take_list(found, trio.current_time())
+        machine_list = await self._list_reader.read_page(trio.current_time())
+        if machine_list is not None and self._valid():
+            self.apply_machine_list(machine_list, trio.current_time())
 
-    def take_list(self, found: MachineList, now: float) -> None:
-        """Reconcile with a whole machine list."""
-        reconcile(self.state, found, now, self._list.interval_s)
+    def apply_machine_list(self, machine_list: MachineList, now: float) -> None:
+        """Reconcile the state with a complete machine list."""
+        reconcile(self.state, machine_list, now, self._list_reader.interval_s)
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -195,7 +195,7 @@
         if leader.now % constants.LIST_EVERY_S < STEP_S:
             found = {name: ListedMachine(name, "running", age_s=leader.now) for name in leader.names}
             with self.parts["list"]:
-                self._fleet.take_list(found, leader.now)
+                self._fleet.apply_machine_list(found, leader.now)
 
 
 def framing_s() -> float:
--- a/tests/scenarios/test_scale_out.py
+++ b/tests/scenarios/test_scale_out.py
@@ -67,7 +67,7 @@
         leader = simulation.nodes[await simulation.until_leader()]
         assert leader.leader_term is not None
         ghosts = {name: ListedMachine(name, "running", "c8", "a", False, 20.0) for name in first}
-        leader.leader_term.fleet.take_list(ghosts, trio.current_time())
+        leader.leader_term.fleet.apply_machine_list(ghosts, trio.current_time())
         assert leader.leader_term.fleet.booting == {}
 
     run_scenario(scenario)
