--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -1,4 +1,4 @@
-"""Which machines to drain, since their services fit on others, so that they can be returned: pure decisions."""
+"""Rebalancing: which machines to drain since their services fit on others, so that they can be returned. Pure."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     from sorrelsill.workers import Attempt, Job, Machine
 
 
-_LEAST_PRICE = 1e-9  # guards against a division by zero where a price is not known
+_MIN_PRICE = 1e-9  # guards against a division by zero if the price is not known
 
 
-class _FreeAmounts:
-    """Amounts that would be free on a machine."""
+class _FreeResources:
+    """CPUs, GPUs and memory that would be free on a machine after the planned moves."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
@@ -33,109 +33,109 @@
             and self.memory_gb + tolerance >= spec.memory_gb
         )
 
-    def take(self, spec: JobSpec, sign: int = 1) -> None:
+    def reserve(self, spec: JobSpec, sign: int = 1) -> None:
         self.cpus -= sign * spec.cpus
         self.gpus -= sign * spec.gpus
         self.memory_gb -= sign * spec.memory_gb
 
 
 class _Move(NamedTuple):
-    """A task's move to a machine."""
+    """The move of one task to a machine."""
 
-    target: _FreeAmounts
+    target: _FreeResources
     spec: JobSpec
 
 
 class _ServiceHeadroom:
-    """How many tasks of a service could start in each zone; headroom for one more service is to stay free in all."""
+    """Counts how many tasks of a service could start in each zone, to keep headroom for one more such service."""
 
     def __init__(self, spec: JobSpec, zones: list[str]) -> None:
         self._spec = spec
         self._by_zone = dict.fromkeys(zones, 0)
-        self._counted: dict[str, int] = {}  # by machine
+        self._tasks_by_machine: dict[str, int] = {}  # the counts in `_by_zone`, by machine
 
-    def count(self, free: _FreeAmounts) -> None:
-        """Count the machine, again if it was counted."""
-        self.uncount(free)
+    def update(self, free: _FreeResources) -> None:
+        """Count the tasks that fit on the machine, in place of its earlier count."""
+        self.remove(free)
         machine, spec = free.machine, self._spec
         if machine.zone not in self._by_zone or not machine.allows(spec):
             return
-        self._counted[machine.name] = tasks_that_fit(free.cpus, free.memory_gb, spec)
-        self._by_zone[machine.zone] += self._counted[machine.name]
+        self._tasks_by_machine[machine.name] = tasks_that_fit(free.cpus, free.memory_gb, spec)
+        self._by_zone[machine.zone] += self._tasks_by_machine[machine.name]
 
-    def uncount(self, free: _FreeAmounts) -> None:
-        """The machine is returned, or counted again."""
-        tasks = self._counted.pop(free.machine.name, 0)
+    def remove(self, free: _FreeResources) -> None:
+        """Drop the count of the machine."""
+        tasks = self._tasks_by_machine.pop(free.machine.name, 0)
         if tasks:
             self._by_zone[free.machine.zone] -= tasks
 
-    def enough(self) -> bool:
-        """Whether headroom for one more service is free in every zone."""
+    def is_sufficient(self) -> bool:
+        """Whether every zone has headroom for one more service."""
         return all(tasks >= self._spec.zone_limit for tasks in self._by_zone.values())
 
 
 class _MovePlan:
-    """Which tasks move where, machine by machine."""
+    """Plans the moves of tasks, one drained machine at a time."""
 
     def __init__(self, usable: list[Machine], jobs: dict[str, Job], headroom: _ServiceHeadroom | None) -> None:
         self.jobs = jobs
         self._headroom = headroom
-        self._free = {machine.name: _FreeAmounts(machine) for machine in usable}
-        # A service moves to machines that hold its image alone, the fullest first; the others are not considered.
-        self._by_image: dict[str, list[_FreeAmounts]] = {}
+        self._free = {machine.name: _FreeResources(machine) for machine in usable}
+        # A service moves only to machines that hold its image, those with the fewest free CPUs first.
+        self._by_image: dict[str, list[_FreeResources]] = {}
         for free in sorted(self._free.values(), key=lambda each: each.cpus):
             for image in free.machine.images:
                 self._by_image.setdefault(image, []).append(free)
             if headroom is not None:
-                headroom.count(free)
-        self.zones: dict[str, dict[str, int]] = {}  # job -> zone -> tasks
-        self.drained: set[str] = set()  # machines that are drained
-        self.targets: set[str] = set()  # machines that tasks move to: these stay
+                headroom.update(free)
+        self.zones: dict[str, dict[str, int]] = {}  # job -> zone -> number of tasks after the planned moves
+        self.drained: set[str] = set()  # machines to drain
+        self.targets: set[str] = set()  # machines that tasks move to; these are not drained
 
-    def move(self, machine: Machine) -> bool:
-        """Find a machine for each task of this one, or change nothing."""
+    def plan_drain(self, machine: Machine) -> bool:
+        """Plan to move all tasks off the machine. Returns False and changes nothing if one of them fits nowhere."""
         moves: list[_Move] = []
         attempts = [attempt for attempt in machine.attempts.values() if attempt.spec is not None]
         for attempt in sorted(attempts, key=lambda each: -(each.spec.cpus if each.spec is not None else 0.0)):
             spec, job = attempt.spec, self.jobs.get(attempt.job_id)
-            target = self._target_for(machine, spec, job) if spec is not None and job is not None else None
+            target = self._find_target(machine, spec, job) if spec is not None and job is not None else None
             if target is None or spec is None:
                 self._undo(machine, moves)
                 return False
-            self._shift(spec, machine.zone, target.machine.zone)
-            target.take(spec)
+            self._change_zone(spec, machine.zone, target.machine.zone)
+            target.reserve(spec)
             moves.append(_Move(target, spec))
         self.drained.add(machine.name)
         self.targets.update(move.target.machine.name for move in moves)
         if self._headroom is not None:
-            self._headroom.uncount(self._free[machine.name])
+            self._headroom.remove(self._free[machine.name])
             for move in moves:
-                self._headroom.count(move.target)
+                self._headroom.update(move.target)
         return True
 
     def _undo(self, machine: Machine, moves: list[_Move]) -> None:
         for move in moves:
-            self._shift(move.spec, move.target.machine.zone, machine.zone)
-            move.target.take(move.spec, -1)
+            self._change_zone(move.spec, move.target.machine.zone, machine.zone)
+            move.target.reserve(move.spec, -1)
 
-    def _shift(self, spec: JobSpec, source: str, target: str) -> None:
-        zone = self.zones.setdefault(spec.job_id, dict(self.jobs[spec.job_id].zones))
-        zone[source] = zone.get(source, 0) - 1
-        zone[target] = zone.get(target, 0) + 1
+    def _change_zone(self, spec: JobSpec, source: str, target: str) -> None:
+        tasks_by_zone = self.zones.setdefault(spec.job_id, dict(self.jobs[spec.job_id].zones))
+        tasks_by_zone[source] = tasks_by_zone.get(source, 0) - 1
+        tasks_by_zone[target] = tasks_by_zone.get(target, 0) + 1
 
-    def _target_for(self, machine: Machine, spec: JobSpec, job: Job) -> _FreeAmounts | None:
+    def _find_target(self, machine: Machine, spec: JobSpec, job: Job) -> _FreeResources | None:
         if spec.one_zone:
             return None
-        zone = self.zones.setdefault(spec.job_id, dict(job.zones))
+        tasks_by_zone = self.zones.setdefault(spec.job_id, dict(job.zones))
         for free in self._by_image.get(spec.image, ()):
             target = free.machine
-            left = 1 if target.zone == machine.zone else 0
+            moved_away = 1 if target.zone == machine.zone else 0
             if (
                 target is not machine
                 and target.name not in self.drained
                 and free.fits(spec)
                 and target.allows(spec)
-                and zone.get(target.zone, 0) + 1 - left <= spec.zone_limit
+                and tasks_by_zone.get(target.zone, 0) + 1 - moved_away <= spec.zone_limit
                 and job.avoid.get(target.name, 0.0) <= 0.0
             ):
                 return free
@@ -149,29 +149,31 @@
     price: Callable[[Machine], float],
     headroom_spec: JobSpec | None,
     zones: list[str],
-    most: int = 1,
+    max_machines: int = 1,
 ) -> list[Machine]:
-    """Machines whose services fit on others that hold their images, those that cost most for what they run first.
-    Headroom for one more service stays free in every zone, or a machine would be rented again at once."""
+    """Up to `max_machines` machines whose services fit on others that hold their images.
+
+    Machines with the highest price per used CPU come first. Headroom for one more service stays free in every zone:
+    otherwise a machine would be rented again at once."""
     usable = [machine for machine in machines if machine.usable]
     movable = [machine for machine in usable if _runs_only_movable_services(machine, now)]
-    movable.sort(key=lambda machine: machine.cpus / max(price(machine), _LEAST_PRICE))
+    movable.sort(key=lambda machine: machine.cpus / max(price(machine), _MIN_PRICE))
     headroom = _ServiceHeadroom(headroom_spec, zones) if headroom_spec is not None else None
     plan = _MovePlan(usable, jobs, headroom)
     drained: list[Machine] = []
-    for machine in movable[: constants.DRAIN_TRIES * most]:
-        if len(drained) == most:
+    for machine in movable[: constants.DRAIN_TRIES * max_machines]:
+        if len(drained) == max_machines:
             break
-        if machine.name in plan.targets or not plan.move(machine):
+        if machine.name in plan.targets or not plan.plan_drain(machine):
             continue
-        if headroom is not None and not headroom.enough():
+        if headroom is not None and not headroom.is_sufficient():
             break
         drained.append(machine)
     return drained
 
 
 def _runs_only_movable_services(machine: Machine, now: float) -> bool:
-    """Whether an on-demand machine runs services alone, all of them for long enough to be moved."""
+    """Whether the machine is on-demand and runs nothing but services that have run long enough to be moved."""
     if machine.spot:
         return False
     attempts = machine.attempts.values()
--- a/sorrelsill/fleet/service_mover.py
+++ b/sorrelsill/fleet/service_mover.py
@@ -16,32 +16,34 @@
 
 
 class ServiceMover:
-    """Rebalances services in quiet times, where cost is optimised for."""
+    """Rebalances services when optimising for cost, while few machines are booting and no task is unschedulable."""
 
     def __init__(self, state: FleetState, demand: FleetDemand, on_drain: Callable[[], None]) -> None:
         self._state = state
         self._demand = demand
         self._on_drain = on_drain
-        self._drained_at = float("-inf")
+        self._last_drain_at = float("-inf")
 
     def rebalance(self, now: float) -> None:
-        """Drain a few machines at a time. One at a time was too slow for hundreds, and so was waiting for a moment
-        when none is booting: there is none."""
+        """Drain up to `DRAIN_SHARE` of the machines if an interval has passed and no earlier drain is under way.
+
+        Draining one machine at a time was too slow for hundreds of machines. So was waiting until no machine is
+        booting, since in a large fleet some always are."""
         cluster = self._state.cluster
-        if self._state.settings.optimise_latency or now - self._drained_at < constants.DRAIN_EVERY_S:
+        if self._state.settings.optimise_latency or now - self._last_drain_at < constants.DRAIN_EVERY_S:
             return
-        few = int(constants.DRAIN_SHARE * len(cluster.index.ready))
-        if len(self._state.booting) > few or cluster.failover.unconfirmed:
+        max_drained = int(constants.DRAIN_SHARE * len(cluster.index.ready))
+        if len(self._state.booting) > max_drained or cluster.failover.unconfirmed:
             return
         if any(item.count for item in self._state.unschedulable()):
             return
         if any(machine.draining for machine in cluster.machines.values()):
             return
-        self._drained_at = now
+        self._last_drain_at = now
         spec = self._demand.service_headroom_spec()
         zones = sorted(self._demand.service_capacity(spec)) if spec is not None else []
         machines = machines_to_drain(
-            cluster.index.ready, cluster.jobs, now, self._state.price, spec, zones, max(1, few)
+            cluster.index.ready, cluster.jobs, now, self._state.price, spec, zones, max(1, max_drained)
         )
         for machine in machines:
             self._drain(machine)
