--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -1,4 +1,4 @@
-"""Scaling in: machines that are idle, drained, failed or never came up are returned to the cloud."""
+"""Scaling in: returns machines to the cloud that are idle, drained, failed or never came up."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ReturnRequest(msgspec.Struct, frozen=True):
-    """Body of a return request, under the names of the wire."""
+    """Body of a return request. Field names are those of the cloud's wire format."""
 
     machines: list[str] = msgspec.field(name="hosts")
 
@@ -34,17 +34,17 @@
         self._state = state
         self._demand = demand
         self._cloud = cloud
-        self._valid = valid  # whether this controller leads
-        self._chosen_at = float("-inf")
+        self._valid = valid  # whether this controller still leads
+        self._last_chosen_at = float("-inf")
 
     def choose_if_due(self, now: float) -> None:
         """Choose machines to return, at most once per planning interval."""
-        if now - self._chosen_at >= constants.PLAN_EVERY_S:
-            self._chosen_at = now
+        if now - self._last_chosen_at >= constants.PLAN_EVERY_S:
+            self._last_chosen_at = now
             self.choose(now)
 
     def choose(self, now: float) -> None:
-        """Choose machines to return."""
+        """Add machines to return to `pending_returns`, each with its reason."""
         state = self._state
         headroom = RetainedHeadroom(self._demand, state.unschedulable())
         for machine in sorted(state.cluster.index.idle, key=lambda idle: idle.name):
@@ -81,7 +81,7 @@
         return now - max(machine.idle_since, self._state.cluster.started)
 
     def _idle_limit_s(self, machine: Machine) -> float:
-        """How long a machine may idle: it is paid for its first minute anyway."""
+        """Seconds that a machine may stay idle before it is returned. Its first minute is charged in any case."""
         if self._state.settings.optimise_latency:
             return constants.IDLE_RETURN_LATENCY_S
         machine_type = self._state.cluster.catalog.machine_types.get(machine.machine_type)
@@ -92,7 +92,10 @@
         self._state.pending_returns[machine.name] = reason
 
     async def send(self) -> None:
-        """Return what was chosen. Nothing is bound to it; that was decided without an await in between."""
+        """Send a return request for pending returns.
+
+        Nothing is bound to these machines: the check for bound tasks and marking them as returning happen without an
+        await in between."""
         names = self._names_to_return()
         if not names:
             return
@@ -103,16 +106,16 @@
             return
         now = trio.current_time()
         for name in names:
-            self._returned(name, now)
+            self._record_return(name, now)
 
     def _names_to_return(self) -> list[str]:
-        """As many as one request takes."""
+        """Machines for the next request, at most as many as one request may name. Drops those that run tasks again."""
         state = self._state
         names = []
         for name in list(state.pending_returns):
             machine = state.cluster.machines.get(name)
             if machine is not None and (machine.bound_count or machine.unknown_tasks):
-                # It resumed its heartbeats, with tasks running: it stays.
+                # It resumed its heartbeats and runs tasks, so it is kept.
                 machine.returning = False
                 del state.pending_returns[name]
                 continue
@@ -121,7 +124,7 @@
             names.append(name)
         return names[: constants.SCALE_IN_BATCH_MAX]
 
-    def _returned(self, name: str, now: float) -> None:
+    def _record_return(self, name: str, now: float) -> None:
         state = self._state
         log_event(log, logging.INFO, "machine_returned", machine=name, reason=state.pending_returns.get(name))
         state.pending_returns.pop(name, None)
@@ -131,7 +134,10 @@
 
 
 def _is_returnable(machine: Machine) -> bool:
-    """Whether nothing runs there, nothing is unknown of it and no result waits to be recorded."""
+    """Whether the machine runs no known or unknown task, and no task result on it is still to be recorded.
+
+    A spot machine that the cloud reclaims anyway is not returned, nor one that has not acknowledged this term's fencing
+    token."""
     if (
         machine.bound_count
         or machine.unknown_tasks
--- a/sorrelsill/fleet/test_rebalancing.py
+++ b/sorrelsill/fleet/test_rebalancing.py
@@ -14,7 +14,7 @@
 
 
 def fleet_of_services(count: int, replicas: int) -> tuple[ClusterState, list[Machine]]:
-    """Every machine holds the image and the same number of replicas of services of its own."""
+    """A cluster in which each machine holds the image and runs the replicas of one service of its own."""
     cluster = ClusterState(1, 0.0, CATALOG, 11.5, 2.7)
     machines = []
     for number in range(count):
@@ -24,34 +24,35 @@
         machines.append(machine)
         fields = {"shape": "standing", "shards": replicas, "rank": "prod", "vcpus": 1.0, "memoryGb": 1.0}
         spec = parse_spec(job(f"run-{number}", **fields))
-        work = cluster.add_job(spec, TaskSet(spec.task_count), 2, False, 0.0, [])
+        service = cluster.add_job(spec, TaskSet(spec.task_count), 2, False, 0.0, [])
         for index in range(replicas):
-            cluster.bind(work, index, machine, 0.0).running_since = 0.0
+            cluster.bind(service, index, machine, 0.0).running_since = 0.0
     return cluster, machines
 
 
-def test_services_move_from_several_machines_at_once_and_all_find_a_machine() -> None:
+def test_several_machines_are_drained_if_all_their_services_fit_elsewhere() -> None:
     cluster, machines = fleet_of_services(40, 3)
-    found = machines_to_drain(machines, cluster.jobs, 100.0, lambda h: 1.0, None, ["a", "b"], 5)
-    assert len(found) == 5
-    room = sum(int(h.capacity_cpus - h.cpus) for h in machines if h not in found)
-    assert room >= 15
+    drained = machines_to_drain(machines, cluster.jobs, 100.0, lambda each: 1.0, None, ["a", "b"], 5)
+    assert len(drained) == 5
+    free_cpus = sum(int(each.capacity_cpus - each.cpus) for each in machines if each not in drained)
+    assert free_cpus >= 15
     cluster, machines = fleet_of_services(10, 8)
-    assert not machines_to_drain(machines, cluster.jobs, 100.0, lambda h: 1.0, None, ["a", "b"], 5)
-    cluster, machines = fleet_of_services(4, 6)  # two of them fit on the other two, not three
-    assert len(machines_to_drain(machines, cluster.jobs, 100.0, lambda h: 1.0, None, ["a", "b"], 4)) == 1
+    assert not machines_to_drain(machines, cluster.jobs, 100.0, lambda each: 1.0, None, ["a", "b"], 5)
+    cluster, machines = fleet_of_services(4, 6)  # 6 free CPUs on three machines take 6 replicas, 4 on two don't take 12
+    assert len(machines_to_drain(machines, cluster.jobs, 100.0, lambda each: 1.0, None, ["a", "b"], 4)) == 1
 
 
-def test_headroom_for_one_more_service_stays_in_every_zone() -> None:
+def test_draining_keeps_headroom_for_one_more_service_in_every_zone() -> None:
     cluster, machines = fleet_of_services(6, 3)  # 15 CPUs are free in each zone
-    spare = parse_spec(job("run-x", shape="standing", shards=28, vcpus=1.0, memoryGb=1.0, scatter=True))
-    assert spare.zone_limit == 14
-    assert not machines_to_drain(machines, cluster.jobs, 100.0, lambda h: 1.0, spare, ["a", "b"], 6)
-    assert machines_to_drain(machines, cluster.jobs, 100.0, lambda h: 1.0, None, ["a", "b"], 6)
+    headroom_spec = parse_spec(job("run-x", shape="standing", shards=28, vcpus=1.0, memoryGb=1.0, scatter=True))
+    assert headroom_spec.zone_limit == 14
+    assert not machines_to_drain(machines, cluster.jobs, 100.0, lambda each: 1.0, headroom_spec, ["a", "b"], 6)
+    assert machines_to_drain(machines, cluster.jobs, 100.0, lambda each: 1.0, None, ["a", "b"], 6)
 
 
-def test_images_outlive_a_workers_lease() -> None:
-    """Seen on a measured day: tasks that returned to machines of a zone after its partition healed started at once."""
+def test_cached_images_survive_a_new_incarnation() -> None:
+    """A worker whose lease expired returns with a new incarnation and still holds its images: after the partition of a
+    zone healed, tasks that returned to its machines started at once."""
     cluster = ClusterState(7, 0.0, CATALOG, 11.5, 2.7)
     for sequence_number, incarnation in ((1, 1), (2, 1), (1, 2)):
         cluster.on_heartbeat(
@@ -63,20 +64,20 @@
     assert cluster.machines["m1"].incarnation == 2 and "img" in cluster.machines["m1"].images
 
 
-def test_free_capacity_for_services_follows_each_change_of_a_machine() -> None:
-    """Compared with a walk over all machines, after random starts, ends, troubles and departures."""
+def test_incremental_free_capacity_matches_a_full_recount() -> None:
+    """Checked after each of many random task starts, task ends, overdue heartbeats and removals of machines."""
     rng = random.Random(3)
     cluster, machines = fleet_of_services(20, 2)
     small, large = (
         parse_spec(job(f"run-{name}", shape="standing", rank="prod", vcpus=cpus, memoryGb=2.0, region=zone))
         for name, cpus, zone in (("small", 1.0, None), ("large", 3.0, "a"))
     )
-    lesser = cluster.add_job(parse_spec(job("run-low", shards=500, vcpus=1.0)), TaskSet(500), 2, False, 0.0, [])
-    room = FreeCapacity(cluster.index)
+    low_priority = cluster.add_job(parse_spec(job("run-low", shards=500, vcpus=1.0)), TaskSet(500), 2, False, 0.0, [])
+    free_capacity = FreeCapacity(cluster.index)
     for _ in range(300):
         machine = rng.choice(machines)
-        if rng.random() < 0.4 and machine.room_for(lesser.spec) and machine.name in cluster.machines:
-            cluster.bind(lesser, lesser.next_task() or 0, machine, 1.0)
+        if rng.random() < 0.4 and machine.room_for(low_priority.spec) and machine.name in cluster.machines:
+            cluster.bind(low_priority, low_priority.next_task() or 0, machine, 1.0)
         elif rng.random() < 0.5 and machine.attempts:
             attempt = rng.choice(list(machine.attempts.values()))
             cluster.attempts.leave(attempt)
@@ -86,8 +87,8 @@
         elif len(cluster.machines) > 5:
             cluster.remove_machine(machine.name, 3.0, "returned")
         spec = rng.choice([small, small, large])
-        walked: dict[str, int] = {}
+        expected: dict[str, int] = {}
         for each in cluster.machines.values():
             if each.usable and each.allows(spec):
-                walked[each.zone] = walked.get(each.zone, 0) + tasks_that_could_start(each, spec)
-        assert {z: n for z, n in room.by_zone(spec).items() if n} == {z: n for z, n in walked.items() if n}
+                expected[each.zone] = expected.get(each.zone, 0) + tasks_that_could_start(each, spec)
+        assert {z: n for z, n in free_capacity.by_zone(spec).items() if n} == {z: n for z, n in expected.items() if n}
--- a/sorrelsill/fleet/utilisation_log.py
+++ b/sorrelsill/fleet/utilisation_log.py
@@ -1,4 +1,4 @@
-"""Debug log lines on the fleet's utilisation, for operators who ask where the money goes."""
+"""Debug log lines on the fleet's utilisation, so that operators can see what causes its cost."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class _Utilisation:
-    """Machines of one type and market."""
+    """Utilisation of the machines of one type and market (spot or on-demand)."""
 
     machines: int = 0
     cpus: float = 0.0
@@ -25,17 +25,17 @@
 
 
 class UtilisationLog:
-    """Logs at fixed intervals, and only where debug lines are on."""
+    """Logs the utilisation at a fixed interval if debug logging is enabled."""
 
     def __init__(self, state: FleetState) -> None:
         self._state = state
-        self._logged_at = float("-inf")
+        self._last_logged_at = float("-inf")
 
     def log_if_due(self, now: float) -> None:
-        """One line for each machine type and market, and one for each unschedulable job."""
-        if not log.isEnabledFor(logging.DEBUG) or now - self._logged_at < constants.UTILISATION_LOG_S:
+        """If the interval has passed, log a line per machine type and market and a line per unschedulable job."""
+        if not log.isEnabledFor(logging.DEBUG) or now - self._last_logged_at < constants.UTILISATION_LOG_S:
             return
-        self._logged_at = now
+        self._last_logged_at = now
         for (machine_type, spot), use in sorted(self._utilisation().items(), key=lambda item: item[0]):
             log_event(
                 log,
