--- a/sorrelsill/fleet/__init__.py
+++ b/sorrelsill/fleet/__init__.py
@@ -1,7 +1,7 @@
 """The fleet of rented machines: machine catalog, scaling out and in, rebalancing of services."""
 
 from sorrelsill.fleet.boot_times import BootTimes
-from sorrelsill.fleet.capacity_plan import plan
+from sorrelsill.fleet.capacity_plan import plan_capacity
 from sorrelsill.fleet.catalog import parse_catalog
 from sorrelsill.fleet.cloud import Cloud
 from sorrelsill.fleet.errors import CatalogError, CloudError, FleetError
@@ -33,5 +33,5 @@
     "expected_instances",
     "lead_time_s",
     "parse_catalog",
-    "plan",
+    "plan_capacity",
 ]
--- a/sorrelsill/fleet/boot_times.py
+++ b/sorrelsill/fleet/boot_times.py
@@ -2,7 +2,7 @@
 
 A late instance may still come up, so it is kept, but the capacity plan no longer counts on it. An instance that has
 been booting for longer than any recent boot took will most likely never come up. It is returned, since it is charged
-for until then."""
+for as long as it is rented."""
 
 from __future__ import annotations
 
--- a/sorrelsill/fleet/capacity_plan.py
+++ b/sorrelsill/fleet/capacity_plan.py
@@ -34,7 +34,7 @@
     zones: dict[str, int]
 
 
-def plan(
+def plan_capacity(
     demands: list[CapacityDemand],
     booting: list[BootingInstance],
     catalog: Catalog,
@@ -110,6 +110,7 @@
         return True
 
     def _best_offer(self, remainder: _Remainder) -> InstanceOffer | None:
+        """The offer with the lowest cost per task. At the same cost, the zone with the fewest machines comes first."""
         demand = remainder.demand
         best: tuple[tuple[bool, float, int, str], InstanceOffer] | None = None
         for machine_type in self._catalog.machine_types.values():
@@ -159,6 +160,7 @@
 
 
 def _tasks_that_fit(demand: CapacityDemand, cpus: float, gpus: float, memory_gb: float) -> int:
+    """Number of the demand's tasks that fit into the given resources."""
     limits = [_NO_LIMIT]
     for free, per_task in ((cpus, demand.cpus), (gpus, demand.gpus), (memory_gb, demand.memory_gb)):
         if per_task > 0:
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -167,6 +167,7 @@
         assert spec.deadline_s is not None
         boot_s, fetch_s = lead_time_s(spec, self._cluster.catalog)
         time_left_s = (job.submitted + spec.deadline_s - now) * constants.DEADLINE_USE - boot_s - fetch_s
+        # Rounds of tasks that can run one after another before the deadline.
         waves = max(1, int(time_left_s / max(1.0, spec.expected_run_s)))
         tasks = spec.task_count - job.done.count
         return max(0, -(-tasks // waves) - len(job.bound))
--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -34,6 +34,7 @@
         )
 
     def reserve(self, spec: JobSpec, sign: int = 1) -> None:
+        """Reserve the resources of a task; with `sign` -1, release them again."""
         self.cpus -= sign * spec.cpus
         self.gpus -= sign * spec.gpus
         self.memory_gb -= sign * spec.memory_gb
@@ -119,11 +120,13 @@
             move.target.reserve(move.spec, -1)
 
     def _change_zone(self, spec: JobSpec, source: str, target: str) -> None:
+        """Count a task of the job in the zone `target` instead of `source`."""
         tasks_by_zone = self.zones.setdefault(spec.job_id, dict(self.jobs[spec.job_id].zones))
         tasks_by_zone[source] = tasks_by_zone.get(source, 0) - 1
         tasks_by_zone[target] = tasks_by_zone.get(target, 0) + 1
 
     def _find_target(self, machine: Machine, spec: JobSpec, job: Job) -> _FreeResources | None:
+        """A machine that can take the task and holds its image, or None."""
         if spec.one_zone:
             return None
         tasks_by_zone = self.zones.setdefault(spec.job_id, dict(job.zones))
--- a/sorrelsill/fleet/reconciliation.py
+++ b/sorrelsill/fleet/reconciliation.py
@@ -6,14 +6,14 @@
 from sorrelsill.fleet.instances import BootingInstance
 from sorrelsill.fleet.machine_list import ListedMachine, ListedPhase, MachineList
 
-_ABSENCE_LAGS = 3  # list lags; a machine missing for this long plus one list interval is no longer rented
+_ABSENCE_LAGS = 3  # list lags; a machine that is missing for these plus one list interval is no longer rented
 
 
 def reconcile(state: FleetState, machine_list: MachineList, now: float, list_interval_s: float) -> None:
     """Apply a complete machine list: add unknown machines and remove failed ones.
 
-    The list lags, so absence alone proves little. A missing machine is dropped only if it was rented long enough ago
-    (while booting), or if its lease has expired and its last heartbeat is long enough ago."""
+    The list lags, so absence alone proves little. A booting instance that is missing is dropped only if it was rented
+    long enough ago, another machine only if its lease has expired and its last heartbeat is long enough ago."""
     state.lists_read += 1
     for listed in machine_list.values():
         _apply_entry(state, listed, now)
--- a/sorrelsill/fleet/scale_out.py
+++ b/sorrelsill/fleet/scale_out.py
@@ -12,7 +12,7 @@
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.fleet.capacity_plan import plan
+from sorrelsill.fleet.capacity_plan import plan_capacity
 from sorrelsill.fleet.cloud import Cloud
 from sorrelsill.fleet.demand import FleetDemand
 from sorrelsill.fleet.errors import CloudError
@@ -77,7 +77,7 @@
             return
         self._last_planned_at = now
         state = self._state
-        to_rent = plan(
+        to_rent = plan_capacity(
             self._demand.demands(now),
             state.expected_instances(now),
             state.cluster.catalog,
--- a/sorrelsill/fleet/service_mover.py
+++ b/sorrelsill/fleet/service_mover.py
@@ -25,7 +25,7 @@
         self._last_drain_at = float("-inf")
 
     def rebalance(self, now: float) -> None:
-        """Drain up to `DRAIN_SHARE` of the machines if an interval has passed and no earlier drain is under way.
+        """Drain up to `DRAIN_SHARE` of the machines, or one, if an interval has passed and no machine is draining.
 
         Draining one machine at a time was too slow for hundreds of machines. So was waiting until no machine is
         booting, since in a large fleet some always are."""
