--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -13,7 +13,7 @@
 LIST_PAGE: Final = 500  # machines; the cloud's limit per page
 KV_PAGE: Final = 1000  # keys; the key-value store's limit per page
 COMPARES_PER_OP: Final = 4  # conditions; allowed for each put or delete of a transaction
-LEAST_OPS: Final = 2  # writes; a job's end needs this many in one transaction
+MIN_TXN_OPS: Final = 2  # writes; a job's end needs this many in one transaction
 TXN_BYTES: Final = 56 * 1024  # bytes; below the 64 KiB limit of a transaction, which counts its JSON form
 
 # --- leadership -------------------------------------------------------------------------------------
@@ -22,8 +22,8 @@
 LEASE_OF_WORKER_LEASE: Final = 0.36
 LEASE_MIN_S: Final = 2.0  # s; with a shorter lease, ordinary slow responses would cost the leadership
 LEASE_MAX_S: Final = 30.0  # s; the lease of Strøm's guide, long enough wherever the workers' lease permits it
-PING_OF_LEASE: Final = 1 / 6  # ratio; of the lease: interval and timeout of its renewals, as in Strøm's guide
-PING_MAX_S: Final = 5.0  # s; upper bound of the renewal interval and timeout, as in Strøm's guide
+RENEWAL_INTERVAL_OF_LEASE: Final = 1 / 6  # ratio; of the lease: interval and timeout of renewals, as in Strøm's guide
+RENEWAL_INTERVAL_MAX_S: Final = 5.0  # s; upper bound of the renewal interval and timeout, as in Strøm's guide
 # ratio; of the lease: how long the leader may act after sending the last successful renewal, as in Strøm's guide
 VALIDITY_OF_LEASE: Final = 2 / 3
 STALL_LIMIT_S: Final = 10.0  # s; a loop of the leader that does not report to the watchdog for this long is stalled
@@ -253,8 +253,8 @@
 PROMISE_EVERY_S: Final = 0.6  # s; interval between renewals of a promise
 PROMISE_AFTER_S: Final = 1.0  # s; a controller that has been without the store for this long asks for promises
 PROMISE_MARGIN_S: Final = 0.2  # s; subtracted from a promise by the controller that got it, for drift and late timers
-# s; subtracted from `cancel_s` minus the workers' lease to get the rule for renewals: covers the drift over both, the
-# latency of a response, and the interval at which a worker checks its lease
+# s; the margin in `cancel_s - lease_s - margin`, the age up to which cancellations may be unknown when a worker's lease
+# is renewed: covers the drift over both, the latency of a response, and the interval at which a worker checks its lease
 RENEW_MARGIN_S: Final = 2.0
 CANCEL_SLACK_S: Final = 0.5  # s; added to `cancel_s` before a cancelled task counts as ended, for drift and rounding
 # ratio; of `cancel_s`: how long a cancellation is remembered; its tasks have ended after 1.0
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings file (TOML) and the operators' own (HCL), checked, and the timings derived
-from them. Unknown fields are ignored; a bad one is refused with a line that names file, field and reason.
+"""Loads and checks the platform's settings file (TOML) and the operators' settings file (HCL), and derives timings
+from them. Unknown fields are ignored; an invalid one raises an error of one line with file, field and reason.
 
-A controller's `label` is its name: the settings file, the wire and the key-value store know it by that word."""
+A controller's name is called `label` in the settings file, on the wire and in the key-value store."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 from sorrelsill import constants
 
-_K = TypeVar("_K", bound=msgspec.Struct)
+_StructT = TypeVar("_StructT", bound=msgspec.Struct)
 
 
 class SettingsError(Exception):
-    """One clear line: which file, which field, why."""
+    """An invalid settings file. The message is one line: `file: field: reason`."""
 
     @classmethod
     def of(cls, path: str, field: str, reason: str) -> SettingsError:
-        """The line for a field."""
+        """The error for one field of a file."""
         return cls(f"{path}: {field}: {reason}")
 
 
@@ -43,7 +43,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """What a team is guaranteed and may use at the most; 0 means none."""
+    """A team's guaranteed CPUs and GPUs and its limits on them (`_max`); 0 means no guarantee or no limit."""
 
     name: str
     cpus: float = 0.0
@@ -64,7 +64,7 @@
 
 
 class Workers(msgspec.Struct, frozen=True, rename={"heartbeat_interval_s": "report_s"}):
-    """The workers' timings, in seconds."""
+    """Timings of the workers, in seconds."""
 
     heartbeat_interval_s: float
     lease_s: float
@@ -74,7 +74,7 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """What the key-value store will allow from some moment on, without notice; 0 where nothing changes."""
+    """Limits of the key-value store that will take effect at some time, without notice; 0 for those that stay."""
 
     write_rps: float = 0.0
     value_kb: float = 0.0
@@ -82,7 +82,7 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True):
-    """Rates and sizes that the key-value store allows."""
+    """Limits of the key-value store on rates and sizes."""
 
     rps: float
     write_rps: float
@@ -92,7 +92,7 @@
 
     @property
     def coming(self) -> StateLimits:
-        """The smaller of what holds now and what will."""
+        """The lower of the present and the future value of each limit."""
         following = self.next or NextLimits()
         return StateLimits(
             self.rps,
@@ -103,14 +103,14 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """The cloud's rate, and how far its machine list lags."""
+    """The cloud's limit on requests per second, and the lag of its machine list."""
 
     rps: float
     list_lag_s: float = 0.0
 
 
 class ControllerResources(msgspec.Struct, frozen=True):
-    """What a controller may use of its machine."""
+    """Quota of a controller on its machine."""
 
     cpu: float = 1.0
     ram_mb: float = 512.0
@@ -118,7 +118,7 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """What the platform tells of the deployment."""
+    """The platform's description of the deployment."""
 
     workers: Workers
     state: StateLimits
@@ -144,19 +144,19 @@
 
     @property
     def optimise_latency(self) -> bool:
-        """Whether to optimise for latency instead of cost: whether an objective counts seconds since submission for
-        work that ends. Then a machine's boot time comes too late and idle machines are worth keeping. Deadlines leave
-        time to boot, and where a class has them, seconds that are named besides are only an outer bound; the objectives
-        on cost are not told to controllers, so elsewhere cost is saved. Found on measured days: with such a bound
-        added, no idle machine ever went back; the same with seconds named for another class than the one with the
-        deadlines, which gets room kept of its own."""
+        """Whether to optimise for latency instead of cost: an objective limits the seconds from submission for work
+        that ends. Then it is too late to boot a machine, so idle machines are kept. Deadlines leave time to boot: if
+        any class has a deadline, a limit in seconds (`finished`) is only an outer bound and does not count. If it did,
+        no idle machine would ever be returned. This also applies if the limit is for another class than the deadline,
+        since such a class gets headroom of its own. Objectives on cost are not known to controllers, so cost is
+        optimised for in all other cases."""
         objectives = self.platform.objectives
         kinds = {objective.kind for objective in objectives}
         return "guarantee" in kinds or "finished" in kinds and "deadline" not in kinds
 
 
 class Timings(msgspec.Struct, frozen=True, rename={"renewal_interval_s": "ping_s"}):
-    """What the leadership and loss rules use, derived so that the values cannot contradict each other. In seconds."""
+    """Timings of leadership, leases and loss detection in seconds, derived so that they are consistent."""
 
     lease_s: float
     renewal_interval_s: float  # between two renewals of the leader's lease; shown to operators as `ping_s`
@@ -165,24 +165,24 @@
     stall_s: float
     self_release_s: float
     overdue_s: float
-    renew_s: float  # how old the certainty of knowing all cancellations may be when a worker's lease is renewed
+    renew_s: float  # a worker's lease is renewed only if all cancellations older than this are known
 
     @classmethod
     def derive(cls, workers: Workers, operator: OperatorOverrides) -> Timings:
-        """All timings out of the workers' and what operators override."""
+        """Derives all timings from those of the workers and the operators' overrides."""
         lease = operator.lease_s or min(
             constants.LEASE_MAX_S, max(constants.LEASE_MIN_S, workers.lease_s * constants.LEASE_OF_WORKER_LEASE)
         )
         return cls(
             lease_s=lease,
-            renewal_interval_s=min(constants.PING_MAX_S, lease * constants.PING_OF_LEASE),
+            renewal_interval_s=min(constants.RENEWAL_INTERVAL_MAX_S, lease * constants.RENEWAL_INTERVAL_OF_LEASE),
             validity_s=lease * constants.VALIDITY_OF_LEASE,
             loss_s=workers.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LOSS_MARGIN_S,
             stall_s=operator.stall_limit_s or constants.STALL_LIMIT_S,
             self_release_s=operator.self_release_s or constants.SELF_RELEASE_S,
             overdue_s=workers.heartbeat_interval_s * constants.OVERDUE_OF_HEARTBEAT + constants.OVERDUE_EXTRA_S,
-            # Where `cancel_s` leaves less than this besides the lease, leases alone can't keep the rule, and an
-            # ordinary leader must still be able to renew them.
+            # If `cancel_s` exceeds the lease by less than WATCH_CACHE_STALE_S, expiring leases alone can't ensure that
+            # cancelled tasks end in time. A leader with a fresh watch cache must still be able to renew leases.
             renew_s=max(
                 constants.WATCH_CACHE_STALE_S,
                 workers.cancel_s - workers.lease_s * (1 + 2 * constants.CLOCK_DRIFT) - constants.RENEW_MARGIN_S,
@@ -191,7 +191,7 @@
 
 
 class OperatorOverrides(msgspec.Struct, frozen=True):
-    """Operators' own settings; 0 stands for the derived or built-in value."""
+    """Operators' settings; 0 means the derived or built-in value."""
 
     lease_s: float = 0.0
     stall_limit_s: float = 0.0
@@ -201,7 +201,9 @@
 
 
 def split_addr(addr: str) -> tuple[str, int]:
-    """`10.0.0.1:8080` to its parts; names are not looked up, as the machines have no resolver."""
+    """Splits `10.0.0.1:8080` into host and port. Host names are not resolved, as the machines have no resolver.
+
+    Raises ValueError."""
     host, _, port = addr.rpartition(":")
     parts = host.split(".")
     if len(parts) != 4 or not all(p.isdecimal() and int(p) < 256 for p in parts):
@@ -217,8 +219,8 @@
 
 
 def check(settings: Settings, path: str) -> Settings:
-    """What types alone do not tell: addresses, ranges, names that must differ. Raises SettingsError, with the names
-    that the fields have in the file."""
+    """Checks what the types don't ensure: addresses, ranges and unique names. Raises SettingsError with the fields'
+    names in the file."""
     _check_addresses(settings, path)
     _check_platform(settings.platform, path)
     labels = [settings.label, *(member.label for member in settings.members)]
@@ -271,8 +273,8 @@
 
 def _check_transaction_sizes(state: StateLimits, path: str) -> None:
     for prefix, txn_ops in (("", state.txn_ops), ("next.", state.coming.txn_ops)):
-        if txn_ops < constants.LEAST_OPS:
-            reason = f"must be at least {constants.LEAST_OPS}, is {txn_ops}"
+        if txn_ops < constants.MIN_TXN_OPS:
+            reason = f"must be at least {constants.MIN_TXN_OPS}, is {txn_ops}"
             raise SettingsError.of(path, f"facts.state.{prefix}txn_ops", reason)
 
 
@@ -287,7 +289,7 @@
         raise SettingsError.of(path, "syntax", lines[0] if lines else type(error).__name__) from None
 
 
-def _convert(raw: Any, kind: type[_K], path: str) -> _K:
+def _convert(raw: Any, kind: type[_StructT], path: str) -> _StructT:
     try:
         return msgspec.convert(raw, kind, strict=True)
     except msgspec.ValidationError as error:
@@ -297,26 +299,26 @@
 
 
 def load(path: str) -> Settings:
-    """Read and check the platform's file. Raises SettingsError."""
+    """Loads and checks the platform's settings file. Raises SettingsError."""
     raw = _parse_file(path, tomllib.load, (tomllib.TOMLDecodeError, UnicodeDecodeError))
     return check(_convert(raw, Settings, path), path)
 
 
-def load_hcl(path: str, kind: type[_K]) -> _K:
-    """Read one of the operators' HCL files. Raises SettingsError.
+def load_hcl(path: str, kind: type[_StructT]) -> _StructT:
+    """Loads one of the operators' HCL files. Raises SettingsError.
 
-    The parser is imported only then, since start-up time is charged."""
+    The parser is imported only when it is needed, since start-up time is charged."""
     import hcl2  # noqa: PLC0415
 
     def parse(file: BinaryIO) -> Any:
         return hcl2.load(io.TextIOWrapper(file, encoding="utf-8"))
 
-    raw = _parse_file(path, parse, (Exception,))  # the parser's own errors share no base class
+    raw = _parse_file(path, parse, (Exception,))  # the parser's errors have no common base class
     return _convert({name: value for name, value in raw.items() if not name.startswith("__")}, kind, path)
 
 
 def load_operator(path: str | None) -> OperatorOverrides:
-    """Read the operators' own settings; without a file, nothing is overridden. Raises SettingsError."""
+    """Loads and checks the operators' settings; without a file, nothing is overridden. Raises SettingsError."""
     if not path:
         return OperatorOverrides()
     operator = load_hcl(path, OperatorOverrides)
