--- a/conftest.py
+++ b/conftest.py
@@ -1,6 +1,6 @@
-"""The same verdict every time: trio's scheduler shuffles its batches, so its dice are seeded for each test.
+"""Makes test runs reproducible: trio runs tasks in random order, so its random generator is seeded for each test.
 
-Tests listed in KNOWN-RED.txt have to fail, and are printed at the end."""
+Tests listed in KNOWN-RED.txt must fail (strict xfail) and are printed at the end."""
 
 import pytest
 import trio._core._run as trio_run
@@ -19,7 +19,7 @@
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     try:
         entries = load_known_red(config.rootpath)
-        if config.args == config.getini("testpaths"):  # all tests were collected
+        if config.args == config.getini("testpaths"):  # all tests were collected, not a selection
             check_known_red_exist(entries, (item.nodeid for item in items))
     except KnownRedError as error:
         raise pytest.UsageError(str(error)) from None
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start a controller from a checkout: put the built libraries on the path, then hand over to the CLI."""
+"""Starts a controller from a checkout, with the built dependencies in target/deps on the import path."""
 
 import os
 import sys
--- a/sorrelsill/__init__.py
+++ b/sorrelsill/__init__.py
@@ -1,3 +1,3 @@
-"""sorrelsill: a cluster scheduler whose controllers share one leased leadership."""
+"""sorrelsill: a cluster scheduler. One of its controllers leads at a time, elected by a lease in a key-value store."""
 
 __version__ = "0.1.0"
--- a/sorrelsill/cli.py
+++ b/sorrelsill/cli.py
@@ -1,4 +1,4 @@
-"""The `sorrelsill` command line: serve, check settings, and talk to a controller as a user does."""
+"""The `sorrelsill` command line: runs a controller, checks settings, and sends users' requests to a controller."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 
 def _request(address: str, method: str, target: str, body: Any = None) -> Any:
-    """Send one request to a controller and return its decoded answer. No answer, or a status other than 200 and 201,
-    ends the command with the reason."""
+    """Sends one request to a controller and returns the decoded response. Raises ClickException with the reason if the
+    address is invalid, there is no response, or its status is neither 200 nor 201."""
     try:
         split_addr(address)
     except ValueError as error:
@@ -40,12 +40,12 @@
 
 
 def _print_json(answer: Any) -> None:
-    """Print an answer as indented JSON."""
+    """Prints a response as indented JSON."""
     click.echo(orjson.dumps(answer, option=orjson.OPT_INDENT_2).decode())
 
 
 def _controller_option(command: CommandFunction) -> CommandFunction:
-    """The option `--controller`, which every command that talks to a controller has."""
+    """Adds the option `--controller` to a command."""
     return click.option(
         "--controller", "-c", required=True, envvar="SORRELSILL_CONTROLLER", help="address of any controller, IP:PORT"
     )(command)
@@ -63,7 +63,7 @@
 @click.option("--membership", default=None, help="turns failure detection on (HCL, see deploy/membership.hcl)")
 def serve(config: str, operator: str | None, membership: str | None) -> None:
     """Run a controller until it is killed."""
-    from sorrelsill.serve import serve as run_service  # noqa: PLC0415 - only this command needs the whole service
+    from sorrelsill.serve import serve as run_service  # noqa: PLC0415 - the other commands don't need the service
 
     sys.exit(run_service(config, operator, membership))
 
@@ -112,7 +112,7 @@
 @click.argument("team")
 def list_jobs(controller: str, team: str) -> None:
     """A team's live jobs, and only its own."""
-    after = ""  # the last job of the page before; a long list comes in pages
+    after = ""  # the last job of the previous page
     while True:
         answer = _request(controller, "GET", f"/v2/teams/{quote(team, safe='')}/runs?after={quote(after, safe='')}")
         for job in answer["runs"]:
--- a/sorrelsill/controller_state.py
+++ b/sorrelsill/controller_state.py
@@ -1,7 +1,8 @@
-"""What a controller tells operators, typed: the answer of `GET /state`. Its fields are the names of that answer.
+"""The state that a controller reports to operators: the response of `GET /state`, with the field names of that
+response.
 
-They keep the words that dashboards and scripts know: `standstill` is degraded mode, `unheard` machines are those not
-yet confirmed after a failover, `unplaced` tasks are unschedulable, `unaccounted` is use not yet observed, `set_aside`
+Dashboards and scripts depend on these names: `standstill` is degraded mode, `unheard` counts machines that are not yet
+confirmed after a failover, `unplaced` counts unschedulable tasks, `unaccounted` is usage not yet observed, `set_aside`
 counts quarantined writes, `groups` are gangs, and `hosts` are machines."""
 
 from __future__ import annotations
@@ -10,28 +11,28 @@
 
 
 class TeamState(msgspec.Struct, frozen=True):
-    """What a team uses, in CPUs and GPUs."""
+    """CPU and GPU usage of a team."""
 
     bound_cpus: float
     bound_gpus: float
-    unaccounted_cpus: float  # that may be in use besides
+    unaccounted_cpus: float  # may be in use in addition to the bound ones
     unaccounted_gpus: float
-    limit_cpus: float  # 0 means none
+    limit_cpus: float  # 0 means no limit
     limit_gpus: float
-    highest_bound_cpus: float  # the most bound in this term
+    highest_bound_cpus: float  # maximum of `bound_cpus` in this term
     highest_bound_gpus: float
 
 
 class PeerState(msgspec.Struct, frozen=True):
-    """How another controller is judged, for how many seconds, and by what evidence."""
+    """The status of another controller, for how many seconds it has had it, and the evidence for it."""
 
     status: str
-    for_s: float | None  # None as long as nothing was heard of it
+    for_s: float | None  # None before its first message
     evidence: str
 
 
 class ControllerState(msgspec.Struct, frozen=True):
-    """A controller's part in leading, and what it counts while it leads (None for followers)."""
+    """A controller's view of the leadership, and figures that only the leader has (None on followers)."""
 
     label: str
     leader: str | None
@@ -45,10 +46,10 @@
     unplaced: int | None
     groups: int | None
     groups_waiting: int | None
-    refused: int  # by the key-value store
+    refused: int  # requests refused by the key-value store
     set_aside: int
     starts_refused: int | None
     teams: dict[str, TeamState] | None
-    counts: dict[str, int]  # of events
-    peers: dict[str, PeerState] | None  # None without failure detection
+    counts: dict[str, int]  # by event
+    peers: dict[str, PeerState] | None  # None if failure detection is off
     handovers_s: list[float] | None
--- a/sorrelsill/events.py
+++ b/sorrelsill/events.py
@@ -1,7 +1,7 @@
-"""Structured log lines: the name of an event and `key=value` fields, the same names everywhere.
+"""Structured log lines: the name of an event and `key=value` fields, with the same field names everywhere.
 
-A line is formatted only if its level is on: a controller's processor time is scarce. Where working out the fields costs
-something, the caller asks `log.isEnabledFor` first."""
+A line is formatted only if its level is enabled, since a controller's CPU time is scarce. If the fields are expensive
+to compute, the caller checks `log.isEnabledFor` first."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def log_event(log: logging.Logger, level: int, event: str, /, **fields: object) -> None:
-    """Log one event. Floats are written with milli precision, text with spaces in quotes."""
+    """Logs one event. Floats are written with up to three decimals; text that is empty or has spaces is quoted."""
     if log.isEnabledFor(level):
         log.log(level, "%s", " ".join([event, *(f"{name}={_text(value)}" for name, value in fields.items())]))
 
--- a/sorrelsill/metrics.py
+++ b/sorrelsill/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in Prometheus form, made when they are asked for."""
+"""Metrics in the Prometheus text format, generated on request."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def render(state: ControllerState) -> bytes:
-    """The metrics page, out of what a controller tells operators."""
+    """Renders the metrics page from the state that a controller reports to operators."""
     registry = CollectorRegistry()
     leading = Gauge("sorrelsill_leader_status", "1 on the leader, 0 on followers", registry=registry)
     leading.set(1 if state.leading else 0)
--- a/sorrelsill/serve.py
+++ b/sorrelsill/serve.py
@@ -1,4 +1,4 @@
-"""The controller's process: settings, logging, sockets. Kept light, since start-up time is charged."""
+"""The process of a controller: settings, logging, sockets. Its imports are few, since start-up time is charged."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 
 log = logging.getLogger("sorrelsill")
 
-_LEAST_USER_CONNECTIONS = 8
+_MIN_USER_CONNECTIONS = 8
 _LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 class ListenError(Exception):
-    """An address can't be listened on."""
+    """The controller can't listen on one of its addresses."""
 
 
 async def _listen(addr: str, backlog: int) -> trio.SocketListener:
-    """A listening socket on a numeric address, without any look-up. After a failover all workers come at once."""
+    """A listening socket on a numeric address, without a name look-up. After a failover all workers connect at once,
+    so `backlog` has to be large."""
     sock = trio.socket.socket()
     sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
     await sock.bind(split_addr(addr))
@@ -40,16 +41,16 @@
 
 
 async def run(settings: Settings, operator: OperatorOverrides, membership: MembershipSettings | None = None) -> None:
-    """Listen and serve until cancelled."""
+    """Runs a controller and its servers until cancelled. Raises ListenError."""
     controller = Controller(settings, operator, random.Random(), membership=membership)
     sockets = settings.platform.quota.sockets
     peer_connections = constants.PEER_SOCKETS if settings.members else 0
     command_connections = CallLimits.derive(sockets).connections
     user_connections = max(
-        _LEAST_USER_CONNECTIONS, sockets - constants.SOCKET_RESERVE - peer_connections - command_connections
+        _MIN_USER_CONNECTIONS, sockets - constants.SOCKET_RESERVE - peer_connections - command_connections
     )
-    # A worker that is silent for a whole lease begins a new incarnation, so its connection is good for nothing after
-    # that.
+    # A worker that is silent for a whole lease begins a new incarnation, so its old connection is useless by then and
+    # may be closed.
     users = Server(controller.handle, user_connections, "users", controller.timings.loss_s)
     try:
         listeners = [(users, await _listen(settings.listen, user_connections))]
@@ -69,7 +70,7 @@
 
 
 async def _drain_on_signal(controller: Controller, scope: trio.CancelScope) -> None:
-    """SIGTERM and SIGINT stop the controller as planned; a second one ends it at once."""
+    """Drains and stops the controller on SIGTERM or SIGINT; a second signal stops it at once."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             break
@@ -86,7 +87,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """`--config FILE` and, if wanted, `--operator FILE`; all other verbs are the CLI's."""
+    """The command line of run.py: the options of `sorrelsill serve`; the other commands are only in the CLI."""
     import click  # noqa: PLC0415
 
     @click.command(add_help_option=True)
@@ -101,7 +102,7 @@
 
 
 def serve(config: str, operator_file: str | None, membership_file: str | None = None) -> int:
-    """Run a controller by its settings files; returns the process's exit code."""
+    """Runs a controller with these settings files. Returns the process's exit code."""
     level = _LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(stream=sys.stderr, level=level, format="%(levelname)s %(name)s: %(message)s")
     try:
@@ -111,7 +112,8 @@
     except SettingsError as error:
         print(error, file=sys.stderr)
         return 2
-    # What was imported lives as long as the process: keep the collector from walking it again and again.
+    # Imported objects live as long as the process: excludes them from garbage collection, so that they are not scanned
+    # again and again.
     gc.collect()
     gc.freeze()
     try:
