--- a/sorrelsill/model/__init__.py
+++ b/sorrelsill/model/__init__.py
@@ -1,4 +1,4 @@
-"""Data types that all packages share. Nothing here depends on any other package of the service."""
+"""Data types shared by all packages. This package depends on no other package of the service."""
 
 from sorrelsill.model.job_phase import JobPhase
 from sorrelsill.model.job_spec import JobKind, JobSpec, Priority
--- a/sorrelsill/model/job_phase.py
+++ b/sorrelsill/model/job_phase.py
@@ -1,4 +1,4 @@
-"""Where a job is in its life, as its users are told and as its final record says."""
+"""The phases of a job, as reported to users and stored in its final record."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class JobPhase(enum.StrEnum):
-    """The texts are those of the wire and of the stored records."""
+    """The phase of a job. The values are used on the wire and in stored records."""
 
     PENDING = "pending"
     RUNNING = "running"
--- a/sorrelsill/model/job_spec.py
+++ b/sorrelsill/model/job_spec.py
@@ -1,4 +1,4 @@
-"""What a job asks for, in the one form that the code uses; `jobs/messages.py` reads it from the wire."""
+"""The specification of a job as all packages use it; `jobs/messages.py` parses it from the wire."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Priority(enum.IntEnum):
-    """How important a job is; a lower number comes first."""
+    """The priority of a job; jobs with a lower number go first."""
 
     PRODUCTION = 0
     HIGH = 1
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JobSpec:
-    """A job's description, immutable for its whole life."""
+    """The specification of a job. It never changes."""
 
     job_id: str
     job_class: str
@@ -57,17 +57,17 @@
 
     @property
     def is_gang(self) -> bool:
-        """Its tasks run at the same time or not at all, and complete together."""
+        """Whether its tasks run all at the same time or not at all, and complete together."""
         return self.kind is JobKind.GANG
 
     def may_add_in(self, zone: str, placed: dict[str, int]) -> bool:
-        """Whether one more task may be in the zone, given how many are in each: the only place that knows `one_zone`
-        and `spread_zones` for single tasks."""
+        """Whether one more task may be placed in the zone; `placed` is the number of tasks per zone. Evaluates
+        `one_zone` and `spread_zones` for single tasks, which no other function does."""
         if self.one_zone and any(count > 0 and other != zone for other, count in placed.items()):
             return False
         return not self.spread_zones or placed.get(zone, 0) < self.zone_limit
 
     @property
     def zone_limit(self) -> int:
-        """Most tasks of the job that may be in one zone at a time."""
+        """Maximum number of the job's tasks in one zone at a time."""
         return (self.task_count + 1) // 2 if self.spread_zones else self.task_count
--- a/sorrelsill/model/machine_type.py
+++ b/sorrelsill/model/machine_type.py
@@ -1,4 +1,4 @@
-"""Machine types that the cloud rents, and the catalog of all of them."""
+"""The machine types that the cloud offers, and their catalog."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MachineType:
-    """A kind of machine that the cloud rents: its size, speed of fetching, price and boot time."""
+    """A machine type that the cloud offers: its size, image fetch rate, prices per hour and boot time."""
 
     name: str
     cpus: float
@@ -25,7 +25,7 @@
         return cpus <= self.cpus and gpus <= self.gpus and memory_gb <= self.memory_gb
 
     def cost(self, spot: bool) -> float:
-        """Price per hour of a spot or an ordinary machine."""
+        """Price per hour of a spot or an on-demand machine."""
         return self.spot_price if spot else self.price
 
 
@@ -37,5 +37,5 @@
 
     @property
     def zones(self) -> list[str]:
-        """All zones in which any type is offered."""
-        return sorted({z for f in self.machine_types.values() for z in f.zones})
+        """All zones in which at least one type is offered."""
+        return sorted({zone for each in self.machine_types.values() for zone in each.zones})
--- a/sorrelsill/model/registry_entry.py
+++ b/sorrelsill/model/registry_entry.py
@@ -1,4 +1,4 @@
-"""A machine as the registry in the key-value store holds it."""
+"""The entry of a machine in the registry, which is kept in the key-value store."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryEntry:
-    """A machine that may hold work, as stored. Of a damaged entry, or one of an earlier version, what is missing may be
-    anything."""
+    """The registry entry of a machine that may run tasks. Fields that are missing in a damaged entry, or in one of an
+    earlier version, have their defaults, which then mean that the value is unknown."""
 
     machine_type: str = ""
     addr: str = ""
@@ -17,12 +17,12 @@
     spot: bool = False
 
     def to_stored(self) -> dict[str, Any]:
-        """Under the names of the store."""
+        """Encodes it with the field names of the stored form."""
         return {"f": self.machine_type, "a": self.addr, "z": self.zone, "s": self.spot}
 
     @classmethod
     def from_stored(cls, value: Any) -> RegistryEntry:
-        """Whatever of it can be read."""
+        """Decodes a stored entry; fields that are missing or damaged get their defaults."""
         known = value if isinstance(value, dict) else {}
         machine_type, zone = known.get("f"), known.get("z")
         return cls(
--- a/sorrelsill/model/resources.py
+++ b/sorrelsill/model/resources.py
@@ -14,15 +14,15 @@
     gpus: float = 0.0
 
     def plus(self, other: Resources) -> Resources:
-        """The sum of both."""
+        """The sum of both amounts."""
         return Resources(self.cpus + other.cpus, self.gpus + other.gpus)
 
     def at_most(self, other: Resources) -> Resources:
-        """The lesser of both, for CPUs and GPUs each."""
+        """The minimum of both amounts, for CPUs and GPUs separately."""
         return Resources(min(self.cpus, other.cpus), min(self.gpus, other.gpus))
 
     def at_least(self, other: Resources) -> Resources:
-        """The greater of both, for CPUs and GPUs each."""
+        """The maximum of both amounts, for CPUs and GPUs separately."""
         return Resources(max(self.cpus, other.cpus), max(self.gpus, other.gpus))
 
 
@@ -30,5 +30,5 @@
 
 
 def resources_of(spec: JobSpec, tasks: int = 1) -> Resources:
-    """What so many tasks of a job take."""
+    """The CPUs and GPUs that this many tasks of a job need."""
     return Resources(spec.cpus * tasks, spec.gpus * tasks)
--- a/sorrelsill/model/task_set.py
+++ b/sorrelsill/model/task_set.py
@@ -1,4 +1,4 @@
-"""A set of tasks of one job, and its compact stored form."""
+"""A set of tasks of one job, with a compact encoding for stored records."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TaskSet:
-    """Finished tasks of a job: a bit each, written as ranges or, where that is shorter, as base64."""
+    """The finished tasks of a job, one bit each. It is encoded as ranges or, if that is shorter, as base64."""
 
     __slots__ = ("_bits", "count", "size")
 
@@ -19,7 +19,7 @@
         return bool(self._bits[index >> 3] & (1 << (index & 7)))
 
     def add(self, index: int) -> bool:
-        """True if it is new."""
+        """Adds a task. Returns False if it is in the set already."""
         mask = 1 << (index & 7)
         if self._bits[index >> 3] & mask:
             return False
@@ -28,25 +28,25 @@
         return True
 
     def discard(self, index: int) -> None:
-        """The task counts as not finished again."""
+        """Removes a task, if it is in the set."""
         if index in self:
             self._bits[index >> 3] &= ~(1 << (index & 7))
             self.count -= 1
 
     def copy(self) -> TaskSet:
-        """A set of its own with the same tasks."""
-        same = TaskSet(self.size)
-        same.count = self.count
-        same._bits[:] = self._bits
-        return same
+        """An independent copy of the set."""
+        copied = TaskSet(self.size)
+        copied.count = self.count
+        copied._bits[:] = self._bits
+        return copied
 
     def encode(self, start: int, end: int) -> str:
-        """Compact text of the part [start, end); start is a multiple of 8."""
+        """Encodes the tasks in [start, end) by their offsets from `start`, which must be a multiple of 8."""
         ranges: list[str] = []
-        room = ((end - start + 7) // 8) * 4 // 3
+        base64_length = ((end - start + 7) // 8) * 4 // 3
         length = 0
         index = start
-        while index < end and length <= room:
+        while index < end and length <= base64_length:
             if index in self:
                 first = index
                 while index < end and index in self:
@@ -55,17 +55,18 @@
                 ranges.append(text)
                 length += len(text) + 1
             index += 1
-        if length <= room or not ranges:
+        if length <= base64_length or not ranges:
             return ",".join(ranges)
         return "=" + base64.b64encode(bytes(self._bits[start >> 3 : (end + 7) >> 3])).decode()
 
     def merge(self, text: str, start: int) -> None:
-        """Add what `encode` wrote. Anything out of range means a damaged record: ValueError."""
+        """Adds the tasks of an encoded text, whose offsets count from `start`. Raises ValueError if the text is
+        malformed or a task is out of range, as in a damaged record."""
         if text.startswith("="):
-            for at, byte in enumerate(base64.b64decode(text[1:])):
+            for position, byte in enumerate(base64.b64decode(text[1:])):
                 for bit in range(8):
                     if byte & (1 << bit):
-                        self._add_checked(start + at * 8 + bit)
+                        self._add_checked(start + position * 8 + bit)
             return
         for part in text.split(",") if text else []:
             first, _, last = part.partition("-")
@@ -74,5 +75,5 @@
 
     def _add_checked(self, index: int) -> None:
         if not 0 <= index < self.size:
-            raise ValueError(f"task {index} of {self.size}")
+            raise ValueError(f"task {index} is out of range: the job has {self.size} tasks")
         self.add(index)
--- a/sorrelsill/timers.py
+++ b/sorrelsill/timers.py
@@ -1,7 +1,9 @@
-"""Timers that only ever need to be early: for state that is looked at anew when its time comes. Pure: time is given.
+"""Timers for state that is checked again when its timer expires. A timer may expire too early, never too late. No I/O
+and no clock: callers pass the time.
 
-Each key has one timer. Events that move its moment away leave the timer alone; when it is up, whoever keeps the timers
-works out the next moment and sets it again. So an event costs nothing, and a look costs what is due."""
+Each key has one timer. An event that postpones a key's due time leaves its timer as it is; when the timer expires, the
+owner computes the next due time and sets the timer again. So such an event costs nothing, and the cost of a check
+depends only on the number of expired timers."""
 
 from __future__ import annotations
 
@@ -13,15 +15,15 @@
 
 
 class Timers(Generic[_Key]):
-    """Keys by the time at which they are to be looked at."""
+    """One timer per key."""
 
     def __init__(self) -> None:
         self._due_at: dict[_Key, float] = {}
         self._heap: list[tuple[float, int, _Key]] = []
-        self._sequence = 0  # timers set so far; among equal times the earlier one is first
+        self._sequence = 0  # timers set so far; of equal times the one set first expires first
 
     def set_if_earlier(self, key: _Key, at: float) -> None:
-        """Look at the key at that time, unless it is looked at before then anyway."""
+        """Sets the timer of the key to expire at `at`, unless it expires earlier anyway."""
         if at >= self._due_at.get(key, float("inf")):
             return
         self._due_at[key] = at
@@ -32,16 +34,16 @@
         return key in self._due_at
 
     def pop_due(self, now: float) -> _Key | None:
-        """A key whose time is over, earliest first, with its timer taken off; None if there is none."""
+        """Removes the timer that expired first, before `now`, and returns its key; None if no timer has expired."""
         while self._heap and self._heap[0][0] < now:
             at, _, key = heapq.heappop(self._heap)
-            if self._due_at.get(key) == at:  # else an earlier timer has taken its place
+            if self._due_at.get(key) == at:  # otherwise an earlier timer of the key has replaced it
                 del self._due_at[key]
                 return key
         return None
 
     def clear(self) -> None:
-        """Take all timers off."""
+        """Removes all timers."""
         self._due_at.clear()
         self._heap.clear()
 
--- a/sorrelsill/token_bucket.py
+++ b/sorrelsill/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket on the steady clock, for the rates of the store and of the cloud."""
+"""A token bucket on the monotonic clock, for the rate limits of the key-value store and the cloud."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class TokenBucket:
-    """`rate` tokens a second, at most `burst` saved up. Taking may run into debt: pings never wait, but
-    what they take is missing to the others, so that all together stay under the rate."""
+    """Gains `rate` tokens per second and holds at most `burst`. Its level may become negative: lease renewals take
+    tokens without waiting, and other requests then wait longer, so that all together stay below the rate."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate = rate
@@ -21,29 +21,30 @@
         self._refilled_at = now
 
     def take(self, amount: float = 1.0) -> None:
-        """Take without waiting."""
+        """Takes tokens without waiting. The level may become negative."""
         self._refill(trio.current_time())
         self._level -= amount
 
     def ready(self, amount: float = 1.0) -> bool:
-        """Whether so much could be taken now."""
+        """Whether `wait` would return at once: the bucket holds this many tokens, or is full."""
         self._refill(trio.current_time())
         return self._level >= min(amount, self.burst)
 
     def drain(self) -> None:
-        """The other side says we are over the rate (429): others share it, so start from nothing."""
+        """Empties the bucket, after a 429 response: the rate is shared with others, who have used it up."""
         self._refill(trio.current_time())
         self._level = min(self._level, 0.0)
 
     async def wait(self, amount: float = 1.0) -> None:
-        """Take, waiting until there is enough, or all there can be. What goes beyond that is debt: found by reading,
-        transactions larger than the burst were charged only for the burst, and the store's rate was passed."""
+        """Waits until the bucket holds this many tokens, or is full, and takes them. An amount larger than the burst
+        makes the level negative: if transactions were charged at most the burst, the store's rate would be
+        exceeded."""
         enough = min(amount, self.burst)
         while not self.ready(amount):
             await trio.sleep(max(0.002, (enough - self._level) / self.rate))
         self._level -= amount
 
     def level(self) -> float:
-        """How much is saved up."""
+        """The number of tokens in the bucket; negative if more were taken."""
         self._refill(trio.current_time())
         return self._level
