--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -91,7 +91,7 @@
     next: NextLimits | None = None
 
     @property
-    def coming(self) -> StateLimits:
+    def after_reductions(self) -> StateLimits:
         """The lower of the present and the future value of each limit."""
         following = self.next or NextLimits()
         return StateLimits(
@@ -272,7 +272,7 @@
 
 
 def _check_transaction_sizes(state: StateLimits, path: str) -> None:
-    for prefix, txn_ops in (("", state.txn_ops), ("next.", state.coming.txn_ops)):
+    for prefix, txn_ops in (("", state.txn_ops), ("next.", state.after_reductions.txn_ops)):
         if txn_ops < constants.MIN_TXN_OPS:
             reason = f"must be at least {constants.MIN_TXN_OPS}, is {txn_ops}"
             raise SettingsError.of(path, f"facts.state.{prefix}txn_ops", reason)
--- a/sorrelsill/store/client.py
+++ b/sorrelsill/store/client.py
@@ -143,7 +143,7 @@
         self._client = client
         rps = limits.rps * constants.STORE_SHARE / max(1, nodes)
         self.requests = TokenBucket(rps, max(2.0, rps / 2))
-        reduced = limits.coming
+        reduced = limits.after_reductions
         self._write_rate = limits.write_rps * constants.STORE_SHARE
         self._reduced_write_rate = reduced.write_rps * constants.STORE_SHARE
         self._leading = False
--- a/sorrelsill/test_cli.py
+++ b/sorrelsill/test_cli.py
@@ -1,4 +1,4 @@
-"""What the commands ask a controller for, and what they print of its answers."""
+"""Requests that the commands send to a controller, and their output."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def run(monkeypatch: pytest.MonkeyPatch, answers: dict[str, tuple[int, Any]], *arguments: str) -> Result:
-    """A command's result with a controller that answers `METHOD target` like this."""
+    """Runs a command against a fake controller with these responses by `METHOD target`."""
 
     class FakeClient:
         def __init__(self, address: str) -> None:
@@ -26,7 +26,7 @@
     return CliRunner().invoke(cli.main, [arguments[0], "--controller", CONTROLLER, *arguments[1:]])
 
 
-def test_a_teams_jobs_are_listed_page_by_page(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_list_follows_pages(monkeypatch: pytest.MonkeyPatch) -> None:
     jobs = [
         {"uid": f"run-{n}", "workload": "array", "phase": "running", "done": n, "running": 2 * n} for n in range(1, 3)
     ]
@@ -39,7 +39,7 @@
     assert result.output == "run-1\tarray\trunning\tdone 1\trunning 2\nrun-2\tarray\trunning\tdone 2\trunning 4\n"
 
 
-def test_status_shows_the_state_then_teams_then_peers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_status_prints_state_teams_and_peers(monkeypatch: pytest.MonkeyPatch) -> None:
     usage = {"bound_cpus": 3.0, "unaccounted_cpus": 1.0, "bound_gpus": 0.0, "unaccounted_gpus": 2.0}
     state = {
         "leading": True,
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(("answer", "text"), [({"error": "no such job"}, "404: no such job"), ({}, "404"), ([], "404")])
-def test_a_refusal_ends_the_command_with_its_reason(monkeypatch: pytest.MonkeyPatch, answer: Any, text: str) -> None:
+def test_error_response_is_reported_with_its_reason(monkeypatch: pytest.MonkeyPatch, answer: Any, text: str) -> None:
     result = run(monkeypatch, {"POST /v2/runs/run-1/cancel": (404, answer)}, "cancel", "run-1")
     assert result.exit_code == 1
     assert result.output == f"Error: {text}\n"
--- a/sorrelsill/test_controller_state.py
+++ b/sorrelsill/test_controller_state.py
@@ -1,11 +1,11 @@
-"""The answer of `GET /state` is a map under the names that operators know."""
+"""The encoded form of the response of `GET /state`."""
 
 import msgspec
 
 from sorrelsill.controller_state import ControllerState, PeerState, TeamState
 
 
-def test_the_encoded_form_is_a_map_with_the_names_that_operators_know() -> None:
+def test_state_is_encoded_as_map_with_operator_field_names() -> None:
     state = ControllerState(
         label="n0",
         leader="n0",
--- a/sorrelsill/test_events.py
+++ b/sorrelsill/test_events.py
@@ -9,10 +9,10 @@
 
 class _Unprintable:
     def __str__(self) -> str:
-        raise AssertionError("formatted though the level is off")
+        raise AssertionError("formatted although the level is disabled")
 
 
-def test_an_event_is_one_line_of_fields(caplog: pytest.LogCaptureFixture) -> None:
+def test_event_is_logged_as_one_line(caplog: pytest.LogCaptureFixture) -> None:
     log = logging.getLogger("test_events")
     with caplog.at_level(logging.DEBUG, log.name):
         log_event(log, logging.DEBUG, "halt", task="run-1/2", cpus=2.5, limit=20.0, reason="no room", up=True, text="")
@@ -21,7 +21,7 @@
     ]
 
 
-def test_nothing_is_formatted_while_the_level_is_off() -> None:
+def test_event_of_disabled_level_is_not_formatted() -> None:
     log = logging.getLogger("test_events.off")
     log.setLevel(logging.INFO)
     log_event(log, logging.DEBUG, "halt", task=_Unprintable())
--- a/sorrelsill/test_settings.py
+++ b/sorrelsill/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is unknown is ignored, what is bad ends with one line that names file, field and reason."""
+"""Loading settings: unknown fields are ignored; an invalid file raises a one-line error with file, field and reason."""
 
 from pathlib import Path
 
@@ -45,7 +45,7 @@
     return str(path)
 
 
-def test_a_good_file_loads_and_timings_fit_the_workers_lease(tmp_path: Path) -> None:
+def test_valid_file_gives_timings_within_worker_lease(tmp_path: Path) -> None:
     settings = load(_file(tmp_path, GOOD))
     assert settings.platform.objectives[0].job_class == "live"
     timings = Timings.derive(settings.platform.workers, load_operator(None))
@@ -66,7 +66,7 @@
         ("[facts.cloud]", "[facts.cloud", "syntax"),
     ],
 )
-def test_a_bad_file_ends_with_one_line_and_code_2(tmp_path: Path, old: str, new: str, field: str) -> None:
+def test_invalid_file_gives_one_line_error_and_exit_code_2(tmp_path: Path, old: str, new: str, field: str) -> None:
     path = _file(tmp_path, GOOD.replace(old, new, 1))
     with pytest.raises(SettingsError) as caught:
         load(path)
@@ -75,7 +75,7 @@
     assert result.exit_code == 2
 
 
-def test_operators_own_settings_are_hcl(tmp_path: Path) -> None:
+def test_operator_settings_are_loaded_from_hcl(tmp_path: Path) -> None:
     good = load_operator(_file(tmp_path, "lease_s = 5.0\nsample = 8\nunknown = true\n", "own.hcl"))
     assert (good.lease_s, good.sample) == (5.0, 8)
     for text, field in (("lease_s = -1.0", "lease_s"), ('sample = "many"', "sample"), ("lease_s = {", "syntax")):
@@ -90,12 +90,13 @@
     assert result.exit_code == 0 and '"lease_s"' in result.output
 
 
-def test_seconds_named_beside_a_deadline_do_not_make_machines_be_kept(tmp_path: Path) -> None:
-    """Found on measured days: an outer bound added to a class with deadlines kept every idle machine."""
+def test_deadline_takes_precedence_over_finished_objective(tmp_path: Path) -> None:
+    """Guards against keeping every idle machine: with a deadline, a limit in seconds is only an outer bound and must
+    not switch to optimising for latency."""
 
-    def optimise_latency(*aims: str) -> bool:
+    def optimise_latency(*objectives: str) -> bool:
         path = tmp_path / "s.toml"
-        path.write_text(GOOD + "".join(f"[[facts.objectives]]\n{aim}\n" for aim in aims))
+        path.write_text(GOOD + "".join(f"[[facts.objectives]]\n{each}\n" for each in objectives))
         return load(str(path)).optimise_latency
 
     deadline = 'kind = "deadline"\nclass = "array"\ntimes = 1.0'
@@ -104,14 +105,18 @@
     assert optimise_latency(finished) and optimise_latency(deadline, finished, 'kind = "guarantee"\nwithin_s = 10.0')
 
 
-def test_limits_to_come_are_read_and_checked(tmp_path: Path) -> None:
+def test_future_store_limits_are_loaded_and_checked(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
     path.write_text(GOOD)
     state = load(str(path)).platform.state
-    assert state.next is None and state.coming.txn_ops == state.txn_ops
+    assert state.next is None and state.after_reductions.txn_ops == state.txn_ops
     path.write_text(GOOD + "[facts.state.next]\nvalue_kb = 0.5\ntxn_ops = 5\nnew_field = 1\n")
-    coming = load(str(path)).platform.state.coming
-    assert (coming.value_kb, coming.txn_ops, coming.write_rps) == (0.5, 5, state.write_rps)
+    after_reductions = load(str(path)).platform.state.after_reductions
+    assert (after_reductions.value_kb, after_reductions.txn_ops, after_reductions.write_rps) == (
+        0.5,
+        5,
+        state.write_rps,
+    )
     for bad in ("txn_ops = 1", "value_kb = -1.0", 'write_rps = "many"'):
         path.write_text(GOOD + f"[facts.state.next]\n{bad}\n")
         with pytest.raises(SettingsError, match=bad.split()[0]):
