--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -135,14 +135,14 @@
 REASONS_KEPT: Final = 8  # notes; the newest ones kept per job on why its tasks stopped or wait
 
 # --- http -------------------------------------------------------------------------------------------
-IDLE_S: Final = 90.0  # s; an incoming connection that is idle for this long is closed
-REQUEST_S: Final = 10.0  # s; limit for a request to arrive, and for its response to be read
+IDLE_TIMEOUT_S: Final = 90.0  # s; an incoming connection that is idle for this long is closed
+REQUEST_TIMEOUT_S: Final = 10.0  # s; limit for a request to arrive, and for its response to be read
 SOCKET_RESERVE: Final = 64  # sockets; of the quota, kept free for outgoing calls to store, cloud and peers
 POOL_IDLE_S: Final = 20.0  # s; a pooled connection that was idle for longer is not used again
 POOL_MAX: Final = 8  # connections; pooled per address
-CONNECT_S: Final = 0.7  # s; timeout for opening a connection
-HEAD_PLAIN: Final = 1024  # bytes; longer heads of requests and responses are not cached
-HEADS_KEPT: Final = 2048  # heads; per cache of request or response heads, some 2 MB at most
+CONNECT_TIMEOUT_S: Final = 0.7  # s; timeout for opening a connection
+CACHED_HEAD_MAX: Final = 1024  # bytes; longer heads of requests and responses are not cached
+HEAD_CACHE_SIZE: Final = 2048  # heads; per cache of request or response heads, some 2 MB at most
 PEER_SOCKETS: Final = 16  # sockets; for connections from the other controllers
 
 # --- placement --------------------------------------------------------------------------------------
--- a/sorrelsill/http/client.py
+++ b/sorrelsill/http/client.py
@@ -102,11 +102,13 @@
 
     async def _answer(self, conn: _PooledConnection, method: str) -> tuple[int, bytes]:
         buffer = bytearray()
-        while (end := buffer.find(heads.HEAD_END)) < 0 and len(buffer) <= constants.HEAD_PLAIN:
+        while (end := buffer.find(heads.HEAD_END)) < 0 and len(buffer) <= constants.CACHED_HEAD_MAX:
             if not await _receive(conn, buffer):
                 break
         end += len(heads.HEAD_END)
-        head = heads.read_reply(bytes(buffer[:end])) if len(heads.HEAD_END) <= end <= constants.HEAD_PLAIN else None
+        head = (
+            heads.read_reply(bytes(buffer[:end])) if len(heads.HEAD_END) <= end <= constants.CACHED_HEAD_MAX else None
+        )
         if head is None:
             return await self._read_with_h11(conn, method, buffer)
         while len(buffer) < end + head.length:
@@ -148,7 +150,7 @@
         return None
 
     async def _open(self) -> _PooledConnection:
-        with trio.move_on_after(constants.CONNECT_S):
+        with trio.move_on_after(constants.CONNECT_TIMEOUT_S):
             return _PooledConnection(await self._connect(self.addr))
         raise OSError("connecting took too long")
 
--- a/sorrelsill/http/heads.py
+++ b/sorrelsill/http/heads.py
@@ -51,7 +51,7 @@
     return length
 
 
-@lru_cache(maxsize=constants.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEAD_CACHE_SIZE)
 def read_request(head: bytes) -> RequestHead | None:
     """The head of a request, or None if it is not plain."""
     conn = h11.Connection(h11.SERVER)
@@ -69,7 +69,7 @@
     return RequestHead(event.method.decode("ascii"), path, query, length)
 
 
-@lru_cache(maxsize=constants.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEAD_CACHE_SIZE)
 def read_reply(head: bytes) -> ReplyHead | None:
     """The head of an answer, or None if it is not plain."""
     conn = h11.Connection(h11.CLIENT)
@@ -88,7 +88,7 @@
     return ReplyHead(event.status_code, length) if length is not None else None
 
 
-@lru_cache(maxsize=constants.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEAD_CACHE_SIZE)
 def write_reply(status: int, kind: str, headers: tuple[tuple[str, str], ...], length: int) -> bytes:
     """The head of an answer to a plain request."""
     conn = h11.Connection(h11.SERVER)
@@ -99,7 +99,7 @@
     return conn.send(h11.Response(status_code=status, headers=lines)) or b""
 
 
-@lru_cache(maxsize=constants.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEAD_CACHE_SIZE)
 def _request_template(method: str, target: str, body: bool) -> tuple[bytes, bytes]:
     """The parts of the head before and after the host. One serves all machines, however many there are."""
     head = _write_with_h11(method, target, _ANY_HOST, body)
--- a/sorrelsill/http/server.py
+++ b/sorrelsill/http/server.py
@@ -65,7 +65,7 @@
     only one: a new one ends the earlier, which a cut may have left dead, and none is ended for want of room."""
 
     def __init__(
-        self, handler: Handler, max_connections: int, name: str = "http", owner_idle_s: float = constants.IDLE_S
+        self, handler: Handler, max_connections: int, name: str = "http", owner_idle_s: float = constants.IDLE_TIMEOUT_S
     ) -> None:
         self._handler = handler
         self._max = max_connections
@@ -87,7 +87,7 @@
                 scope.shield = False
                 await trio.aclose_forcefully(stream)
             return
-        connection = _Connection(stream, constants.IDLE_S)
+        connection = _Connection(stream, constants.IDLE_TIMEOUT_S)
         self._connections.add(connection)
         try:
             await self._serve(connection)
@@ -150,7 +150,7 @@
         connection.last_used_at = trio.current_time()
         if reply.owner:
             self._assign_owner(connection, reply.owner)
-        scope.deadline = connection.last_used_at + constants.REQUEST_S
+        scope.deadline = connection.last_used_at + constants.REQUEST_TIMEOUT_S
         return reply
 
     async def _read_plain_request(self, connection: _Connection, scope: trio.CancelScope) -> Request | None:
@@ -159,19 +159,19 @@
         buffer = connection.buffer
         searched = 0
         while (end := buffer.find(heads.HEAD_END, searched)) < 0:
-            if len(buffer) > constants.HEAD_PLAIN:
+            if len(buffer) > constants.CACHED_HEAD_MAX:
                 return None
             searched = max(0, len(buffer) - len(heads.HEAD_END) + 1)
             if buffer:
-                scope.deadline = min(scope.deadline, trio.current_time() + constants.REQUEST_S)
+                scope.deadline = min(scope.deadline, trio.current_time() + constants.REQUEST_TIMEOUT_S)
             if not await self._receive(connection):
                 return None
         end += len(heads.HEAD_END)
-        head = heads.read_request(bytes(buffer[:end])) if end <= constants.HEAD_PLAIN else None
+        head = heads.read_request(bytes(buffer[:end])) if end <= constants.CACHED_HEAD_MAX else None
         if head is None:
             return None
         if len(buffer) < end + head.length:
-            scope.deadline = trio.current_time() + constants.REQUEST_S
+            scope.deadline = trio.current_time() + constants.REQUEST_TIMEOUT_S
             while len(buffer) < end + head.length:
                 if not await self._receive(connection):
                     return None
@@ -190,7 +190,7 @@
         conn.receive_data(bytes(connection.buffer))
         stream = connection.stream
         while True:
-            scope.deadline = trio.current_time() + constants.IDLE_S
+            scope.deadline = trio.current_time() + constants.IDLE_TIMEOUT_S
             try:
                 request = await self._read(conn, stream, scope)
             except h11.RemoteProtocolError:
@@ -223,7 +223,7 @@
                     return None
             elif isinstance(event, h11.Request):
                 head = event
-                scope.deadline = trio.current_time() + constants.REQUEST_S
+                scope.deadline = trio.current_time() + constants.REQUEST_TIMEOUT_S
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > constants.MAX_BODY:
--- a/sorrelsill/http/test_http.py
+++ b/sorrelsill/http/test_http.py
@@ -92,9 +92,9 @@
         await trio.sleep(0.1)
         assert server.open == 4
         await streams[0].send_all(b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc")
-        await trio.sleep(constants.REQUEST_S + 1)
+        await trio.sleep(constants.REQUEST_TIMEOUT_S + 1)
         assert server.open == 3, "a request that does not end is given up"
-        await trio.sleep(constants.IDLE_S)
+        await trio.sleep(constants.IDLE_TIMEOUT_S)
         assert server.open == 0
 
     _play(tell)
