--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -10,8 +10,8 @@
 CLOCK_DRIFT: Final = 0.0005  # ratio; maximum relative drift between two monotonic clocks
 SCALE_OUT_BATCH_MAX: Final = 50  # machines; the cloud's limit per rental request
 SCALE_IN_BATCH_MAX: Final = 100  # machine names; the cloud's limit per return request
-LIST_PAGE: Final = 500  # machines; the cloud's limit per page
-KV_PAGE: Final = 1000  # keys; the key-value store's limit per page
+MACHINE_LIST_PAGE_SIZE: Final = 500  # machines; the cloud's limit per page
+KV_PAGE_SIZE: Final = 1000  # keys; the key-value store's limit per page
 COMPARES_PER_OP: Final = 4  # conditions; allowed for each put or delete of a transaction
 MIN_TXN_OPS: Final = 2  # writes; a job's end needs this many in one transaction
 TXN_BYTES: Final = 56 * 1024  # bytes; below the 64 KiB limit of a transaction, which counts its JSON form
@@ -101,7 +101,7 @@
 BARRIER_RATE_OF_RPS: Final = 0.12  # ratio; of the store's request rate: read barriers per second of one controller
 WATCH_CACHE_STALE_S: Final = 3.0  # s; no task is started while the watch cache is older than this
 RETRY_S: Final = 0.25  # s; pause of a loop after a failed call to the store
-FINAL_CACHE: Final = 20_000  # jobs; ended jobs whose final record is cached in memory
+FINAL_RECORDS_CACHED: Final = 20_000  # jobs; ended jobs whose final record is cached in memory
 ENDED_MARGIN_S: Final = 10.0  # s; ended jobs are remembered for this much longer than their tasks may live
 CHUNK_TASKS: Final = 16_384  # tasks; per progress chunk; larger jobs keep their finished tasks in such separate keys
 # tasks; per small progress chunk, used where the store does not accept values as long as a full chunk: at most 0.7 KB
@@ -125,13 +125,13 @@
 RETRY_AFTER_S: Final = 1  # s; the Retry-After header of 503 and 429, the least that users wait in any case
 ADMIT_QUEUE: Final = 256  # submissions; waiting for one batch; further ones get 429 at once
 POLL_QUEUE: Final = 1024  # polls; waiting for one shared read; further ones get 503 at once
-LOOKUPS_AT_ONCE: Final = 32  # reads; of final records, in flight for polls; a poll that needs one more gets 503
+FINAL_READS_AT_ONCE: Final = 32  # reads; of final records, in flight for polls; a poll that needs one more gets 503
 ADMIT_TRIES: Final = 3  # tries; to commit a batch that the store throttles or that contains an existing job
 ADMIT_DEADLINE_S: Final = 3.0  # s; to answer a submission or cancellation, since users wait 5 s
 POLL_DEADLINE_S: Final = 1.4  # s; to answer a poll, since users wait 2 s
 # s; a controller that alone cannot reach the store for this long reports that it is not ready
 READY_STORE_S: Final = 3.0
-TEAM_PAGE: Final = 200  # jobs; per page of a team's list, well below the size limit of a response
+TEAM_JOBS_PAGE_SIZE: Final = 200  # jobs; per page of a team's list, well below the size limit of a response
 REASONS_KEPT: Final = 8  # notes; the newest ones kept per job on why its tasks stopped or wait
 
 # --- http -------------------------------------------------------------------------------------------
@@ -170,8 +170,8 @@
 PREEMPT_BASE_S: Final = 5.0
 # s; how long a job waits for room freed by preemption on machines that hold its image, before it may use any machine
 WARM_PREEMPTION_WAIT_S: Final = 1.0
-# samples; of PREEMPT_SAMPLE machines each, drawn for a gang, since it needs room on several machines at once
-GANG_SAMPLES: Final = 4
+# factor; on PREEMPT_SAMPLE for gangs, which need room on several machines at once
+GANG_SAMPLE_FACTOR: Final = 4
 # gangs; for each job class whose tasks should start within seconds, headroom for this many is kept free in one zone
 GANG_HEADROOM: Final = 1.0
 GANG_HOLD_S: Final = 30.0  # s; draining machines are held for a gang for this long, in which most of their tasks end
@@ -180,7 +180,7 @@
 PREEMPTION_WAIT_S: Final = 5.0  # s; how long a job waits for room freed by preemption before it preempts more
 
 AMOUNT_TOLERANCE: Final = 1e-6  # CPUs, GPUs or GB; amounts that differ by less are considered equal
-ROOM_CLASSES: Final = 65  # classes; of machines by whole free CPUs: 0 to 63, and the last one for 64 and more
+FREE_CPU_CLASSES: Final = 65  # classes; of machines by whole free CPUs: 0 to 63, and the last one for 64 and more
 
 # --- fleet ------------------------------------------------------------------------------------------
 CLOUD_SHARE: Final = 0.8  # ratio; of the cloud's rate limit, planned to be used by the leader
@@ -197,7 +197,7 @@
 # s; how long an idle machine is kept where latency is optimised for, as objectives leave no time to boot another
 IDLE_RETURN_LATENCY_S: Final = 600.0
 # ratio; of the CPUs in use, kept free where latency is optimised for, since bursts arrive within minutes
-HEADROOM: Final = 0.3
+LATENCY_HEADROOM: Final = 0.3
 # ratio; of the published boot time of its type, after which an instance is late: most take 0.6 to 1.5 of it
 BOOT_LATE: Final = 1.6
 # ratio; of the median observed boot time, after which an instance is late if that exceeds the limit by BOOT_LATE
@@ -212,8 +212,8 @@
 # s; added to the limit for a late and for a failed boot: short boot times say little about the time until the first
 # heartbeat
 BOOT_EXTRA_S: Final = 10.0
-BOOTS_KEPT: Final = 32  # boots; latest ones of each machine type whose times are kept
-BOOTS_ENOUGH: Final = 8  # boots; with fewer observations only the published boot time is used
+BOOT_TIMES_KEPT: Final = 32  # boots; latest ones of each machine type whose times are kept
+MIN_BOOT_TIMES: Final = 8  # boots; with fewer observations only the published boot time is used
 # ratio; of the late instances, replaced while they may still come up; not all, since if all are late, replacements
 # would be late as well
 LATE_REPLACED_SHARE: Final = 0.5
@@ -221,7 +221,7 @@
 # s; a machine whose tasks are lost and that sends no heartbeat for this much longer is returned
 UNRESPONSIVE_RETURN_S: Final = 30.0
 SCALE_OUT_TRIES: Final = 4  # tries; of one rental request before its capacity is planned again
-DEADLINE_USE: Final = 0.9  # ratio; of the time to a deadline, planned for, since estimates are often wrong
+DEADLINE_SHARE: Final = 0.9  # ratio; of the time to a deadline, planned for, since estimates are often wrong
 ESTIMATE_SLACK: Final = 1.3  # ratio; factor on estimated run times, which are often wrong by half
 # s; slack on top of boot, fetch and run time. With less, an on-demand machine is rented for work that may use spot
 # machines, which cost less than half.
@@ -230,11 +230,11 @@
 PLAN_EVERY_S: Final = 1.0
 FLEET_TICK_S: Final = 0.25  # s; interval of the fleet loop, which rents, lists and returns machines
 UTILISATION_LOG_S: Final = 10.0  # s; interval between debug log lines on the fleet's utilisation
-DRAIN_EVERY_S: Final = 5.0  # s; interval between rebalancings, which move services to fuller machines
+REBALANCE_INTERVAL_S: Final = 5.0  # s; interval between rebalancings, which move services to fuller machines
 # ratio; of the ready machines, drained at once by a rebalancing, at least one; none while more than this are booting
-DRAIN_SHARE: Final = 0.01
+REBALANCE_DRAIN_SHARE: Final = 0.01
 # machines; per machine to drain, checked in detail for whether they can be drained, the least utilised first
-DRAIN_TRIES: Final = 8
+REBALANCE_CANDIDATES: Final = 8
 MIN_RUN_BEFORE_MOVE_S: Final = 60.0  # s; a replica must have run for this long before it is moved to save cost
 MIN_CHARGE_S: Final = 60.0  # s; minimum charge for a machine: returning it sooner saves nothing
 
@@ -244,8 +244,8 @@
 GAPS_ENOUGH: Final = 8  # intervals; with fewer the configured heartbeat interval is used
 PRESENCE_RENEW_OF_LEASE: Final = 0.25  # ratio; of the presence lease: renewal interval, so that three may be missed
 HANDOVERS_KEPT: Final = 100  # handovers; latest ones to this controller, kept for its metrics
-DRAIN_WAIT_S: Final = 10.0  # s; a controller that shuts down waits for a successor for this long at most
-DRAIN_LINGER_S: Final = 1.0  # s; a controller that shuts down redirects clients to its successor for this long
+SHUTDOWN_WAIT_S: Final = 10.0  # s; a controller that shuts down waits for a successor for this long at most
+SHUTDOWN_LINGER_S: Final = 1.0  # s; a controller that shuts down redirects clients to its successor for this long
 REFUSAL_LOG_INTERVAL_S: Final = 10.0  # s; minimum interval between log lines on refused membership messages
 
 # --- peers ------------------------------------------------------------------------------------------
@@ -260,5 +260,5 @@
 # ratio; of `cancel_s`: how long a cancellation is remembered; its tasks have ended after 1.0
 CANCELLED_KEPT: Final = 2.0
 # jobs; cancellations listed in one answer to a peer, some 30 of the 64 KB of a body; if there are more, none is listed
-CANCELLED_NAMED: Final = 2000
+CANCELLATIONS_LISTED_MAX: Final = 2000
 PEER_TIMEOUT_S: Final = 0.6  # s; for a response of another controller
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -297,10 +297,10 @@
             await self.membership.leave()
         await self.elector.resign()
         if self.settings.members:
-            with trio.move_on_after(constants.DRAIN_WAIT_S):
+            with trio.move_on_after(constants.SHUTDOWN_WAIT_S):
                 while self.elector.leader_label() in (None, self.settings.label):
                     await trio.sleep(constants.RETRY_S / 5)
-        await trio.sleep(constants.DRAIN_LINGER_S)
+        await trio.sleep(constants.SHUTDOWN_LINGER_S)
 
     async def _loop(self, name: str, step: Callable[[], Awaitable[None]], tick_s: float) -> None:
         """A leader's loop: an error is logged and the next round goes on; beats feed the watchdog."""
--- a/sorrelsill/fleet/boot_times.py
+++ b/sorrelsill/fleet/boot_times.py
@@ -20,7 +20,7 @@
 
     def record(self, machine_type: str, boot_s: float) -> None:
         """An instance rented by this process has sent its first heartbeat, `boot_s` seconds after it was rented."""
-        self._observed_s.setdefault(machine_type, deque(maxlen=constants.BOOTS_KEPT)).append(boot_s)
+        self._observed_s.setdefault(machine_type, deque(maxlen=constants.BOOT_TIMES_KEPT)).append(boot_s)
 
     def late_after_s(self, machine_type: str, catalog: Catalog) -> float:
         """An instance that takes longer than so many seconds is late: the plan no longer counts on it."""
@@ -40,7 +40,7 @@
 
     def _enough_observed(self, machine_type: str) -> deque[float] | None:
         observed_s = self._observed_s.get(machine_type)
-        return observed_s if observed_s is not None and len(observed_s) >= constants.BOOTS_ENOUGH else None
+        return observed_s if observed_s is not None and len(observed_s) >= constants.MIN_BOOT_TIMES else None
 
 
 def _published_s(machine_type: str, catalog: Catalog) -> float:
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -90,7 +90,7 @@
             used += machine.cpus
             free += machine.capacity_cpus - machine.cpus
         cheapest = min(machine_types, key=lambda each: each.cost(False) / max(each.cpus, SMALLEST_AMOUNT))
-        missing = int((constants.HEADROOM * used - free) / max(cheapest.cpus, SMALLEST_AMOUNT))
+        missing = int((constants.LATENCY_HEADROOM * used - free) / max(cheapest.cpus, SMALLEST_AMOUNT))
         if missing <= 0:
             return []
         return [CapacityDemand(missing, cheapest.cpus, 0.0, cheapest.memory_gb, None, None, True, None)]
@@ -165,7 +165,7 @@
         job, spec = item.job, item.job.spec
         assert spec.deadline_s is not None
         boot_s, fetch_s = lead_time_s(spec, self._cluster.catalog)
-        left_s = (job.submitted + spec.deadline_s - now) * constants.DEADLINE_USE - boot_s - fetch_s
+        left_s = (job.submitted + spec.deadline_s - now) * constants.DEADLINE_SHARE - boot_s - fetch_s
         waves = max(1, int(left_s / max(1.0, spec.expected_run_s)))
         tasks = spec.task_count - job.done.count
         return max(0, -(-tasks // waves) - len(job.bound))
--- a/sorrelsill/fleet/machine_list.py
+++ b/sorrelsill/fleet/machine_list.py
@@ -60,7 +60,7 @@
         if self._found is None:
             self._found, self._last, self._pages = {}, "", 0
             self._begun_at = now
-        target = f"/rentals?page={constants.LIST_PAGE}" + (f"&from={self._last}" if self._last else "")
+        target = f"/rentals?page={constants.MACHINE_LIST_PAGE_SIZE}" + (f"&from={self._last}" if self._last else "")
         try:
             answer = await self._cloud.call("GET", target)
             machines = msgspec.convert(answer.get("hosts") or [], list[ListedMachine])
--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -159,7 +159,7 @@
     headroom = _ServiceHeadroom(headroom_spec, zones) if headroom_spec is not None else None
     plan = _MovePlan(usable, jobs, headroom)
     drained: list[Machine] = []
-    for machine in movable[: constants.DRAIN_TRIES * most]:
+    for machine in movable[: constants.REBALANCE_CANDIDATES * most]:
         if len(drained) == most:
             break
         if machine.name in plan.targets or not plan.move(machine):
--- a/sorrelsill/fleet/service_mover.py
+++ b/sorrelsill/fleet/service_mover.py
@@ -28,9 +28,9 @@
         """Drain a few machines at a time. One at a time was too slow for hundreds, and so was waiting for a moment
         when none is booting: there is none."""
         cluster = self._state.cluster
-        if self._state.settings.optimise_latency or now - self._drained_at < constants.DRAIN_EVERY_S:
+        if self._state.settings.optimise_latency or now - self._drained_at < constants.REBALANCE_INTERVAL_S:
             return
-        few = int(constants.DRAIN_SHARE * len(cluster.index.ready))
+        few = int(constants.REBALANCE_DRAIN_SHARE * len(cluster.index.ready))
         if len(self._state.booting) > few or cluster.failover.unconfirmed:
             return
         if any(item.count for item in self._state.unschedulable()):
--- a/sorrelsill/jobs/cancellations.py
+++ b/sorrelsill/jobs/cancellations.py
@@ -154,7 +154,7 @@
             return {}
         since = max(now - back, self._complete_since)
         named = [job_id for job_id, at in self._learnt_at.items() if at >= since]
-        if len(named) > constants.CANCELLED_NAMED:
+        if len(named) > constants.CANCELLATIONS_LISTED_MAX:
             return {}
         return PeerKnowledge(
             job_ids=named,
--- a/sorrelsill/jobs/team_jobs.py
+++ b/sorrelsill/jobs/team_jobs.py
@@ -25,7 +25,7 @@
     ]
     owned.sort(key=lambda item: item[0])
     page: list[JobAnswer] = []
-    for job_id, record in owned[: constants.TEAM_PAGE]:
+    for job_id, record in owned[: constants.TEAM_JOBS_PAGE_SIZE]:
         state = live_state(job_id, record)
         state.workload = submitted_field(record, "workload")
         page.append(state)
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -227,7 +227,7 @@
         search_class = ("gang", spec.priority, spec.team, guaranteed, spec.cpus, spec.task_count, spec.spot_allowed)
         if self._reservations.search_failed_recently(search_class, now):
             return False
-        sample = self._rng.sample(machines, min(len(machines), constants.PREEMPT_SAMPLE * constants.GANG_SAMPLES))
+        sample = self._rng.sample(machines, min(len(machines), constants.PREEMPT_SAMPLE * constants.GANG_SAMPLE_FACTOR))
         eligible = [
             m
             for m in sample
--- a/sorrelsill/store/client.py
+++ b/sorrelsill/store/client.py
@@ -235,7 +235,7 @@
         last = ""
         first_rev: int | None = None
         while True:
-            target = f"/kv?starts={prefix}&page={constants.KV_PAGE}" + (f"&from={last}" if last else "")
+            target = f"/kv?starts={prefix}&page={constants.KV_PAGE_SIZE}" + (f"&from={last}" if last else "")
             status, answer = await self._call("GET", target)
             if status != 200 or not isinstance(answer.get("pairs"), list):
                 raise AmbiguousError(f"the store answers {status} to a list")
--- a/sorrelsill/store/watch_cache.py
+++ b/sorrelsill/store/watch_cache.py
@@ -117,7 +117,7 @@
         """Keep a final record in memory, and tell the listener of it."""
         self._final_records[job_id] = value
         self._on_final(job_id, value)
-        while len(self._final_records) > constants.FINAL_CACHE:
+        while len(self._final_records) > constants.FINAL_RECORDS_CACHED:
             self._final_records.popitem(last=False)
 
     # --- keeping it ---
--- a/sorrelsill/workers/machine_sets.py
+++ b/sorrelsill/workers/machine_sets.py
@@ -8,7 +8,7 @@
 from itertools import chain
 from typing import TYPE_CHECKING, overload
 
-from sorrelsill.constants import AMOUNT_TOLERANCE, ROOM_CLASSES
+from sorrelsill.constants import AMOUNT_TOLERANCE, FREE_CPU_CLASSES
 
 if TYPE_CHECKING:
     from sorrelsill.workers.machine import Machine
@@ -111,7 +111,7 @@
     """Machines with CPUs left, by how many: what is too full for a task is never looked at."""
 
     def __init__(self) -> None:
-        self._classes = [MachineSet() for _ in range(ROOM_CLASSES)]
+        self._classes = [MachineSet() for _ in range(FREE_CPU_CLASSES)]
         self._class_of: dict[str, int] = {}  # by name
         self._counted: dict[str, tuple[str, int]] = {}  # ordinary machine -> its zone, and its millionths of free CPUs
         self._ordinary: dict[str, int] = {}  # zone -> millionths of CPUs free on ordinary machines
@@ -122,7 +122,7 @@
         if free <= AMOUNT_TOLERANCE:
             self.discard(machine.name)
             return
-        number = min(int(free + AMOUNT_TOLERANCE), ROOM_CLASSES - 1)
+        number = min(int(free + AMOUNT_TOLERANCE), FREE_CPU_CLASSES - 1)
         former = self._class_of.get(machine.name)
         if former != number:
             if former is not None:
@@ -159,7 +159,7 @@
 
     def with_room(self, cpus: float) -> MachineUnion:
         """Machines that may have so many CPUs free; those that certainly have fewer are left out."""
-        return MachineUnion(self._classes[min(int(cpus), ROOM_CLASSES - 1) :])
+        return MachineUnion(self._classes[min(int(cpus), FREE_CPU_CLASSES - 1) :])
 
     def names(self) -> set[str]:
         """For tests and checks."""
--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -231,7 +231,7 @@
 
 def test_more_cancellations_than_one_answer_may_name(monkeypatch: pytest.MonkeyPatch) -> None:
     """The list is left out then, not cut: no answer counts as one that names all."""
-    monkeypatch.setattr(constants, "CANCELLED_NAMED", 3)
+    monkeypatch.setattr(constants, "CANCELLATIONS_LISTED_MAX", 3)
 
     async def scenario(simulation: SimulatedCluster) -> None:
         names = [f"run-c{i}" for i in range(5)]
--- a/tests/scenarios/test_overload.py
+++ b/tests/scenarios/test_overload.py
@@ -77,7 +77,7 @@
             simulation.net.release()
             await trio.sleep(5)
         assert at_once["run-a"] >= 2 * constants.POLL_QUEUE
-        assert at_once["run-never"] >= 3 * constants.POLL_QUEUE - constants.LOOKUPS_AT_ONCE
+        assert at_once["run-never"] >= 3 * constants.POLL_QUEUE - constants.FINAL_READS_AT_ONCE
         await simulation.wait_for_convergence()
 
     run_scenario(scenario)
