--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -38,7 +38,8 @@
 NO_HEARTBEAT_MACHINES: Final = 2
 # s; a leader that resigned for missing heartbeats leaves the key to others for this long
 NO_HEARTBEAT_STANDBY_S: Final = 20.0
-# s; the controller that precedes the former leader in the workers' order tries to acquire the key this much later
+# s; the controller that precedes the former leader in the workers' order tries to acquire the key this much later; also
+# its timeout for asking peers whether they could acquire it instead
 ACQUIRE_DEFER_S: Final = 0.2
 # s; upper bound of the followers' random delay before they try to acquire a free key. Far below the 0.05 s of the
 # previous version, so that during an upgrade the key goes to a controller that does not restart again.
@@ -100,7 +101,7 @@
 LEADER_WRITE_SHARE: Final = 0.6  # ratio; of the planned write rate, for the leader
 BARRIER_RATE_OF_RPS: Final = 0.12  # ratio; of the store's request rate: read barriers per second of one controller
 WATCH_CACHE_STALE_S: Final = 3.0  # s; no task is started while the watch cache is older than this
-RETRY_S: Final = 0.25  # s; pause of a loop after a failed call to the store
+RETRY_S: Final = 0.25  # s; pause before a failed call is tried again, mostly one to the store
 FINAL_RECORDS_CACHED: Final = 20_000  # jobs; ended jobs whose final record is cached in memory
 ENDED_MARGIN_S: Final = 10.0  # s; ended jobs are remembered for this much longer than their tasks may live
 CHUNK_TASKS: Final = 16_384  # tasks; per progress chunk; larger jobs keep their finished tasks in such separate keys
@@ -174,7 +175,7 @@
 GANG_SAMPLE_FACTOR: Final = 4
 # gangs; for each job class whose tasks should start within seconds, headroom for this many is kept free in one zone
 GANG_HEADROOM: Final = 1.0
-GANG_HOLD_S: Final = 30.0  # s; draining machines are held for a gang for this long, in which most of their tasks end
+GANG_HOLD_S: Final = 30.0  # s; machines are held for a gang for this long, in which most of their tasks end
 GANG_HOLD_MACHINES: Final = 16  # machines; held for one gang at most
 GANG_HOLD_SHARE: Final = 0.1  # ratio; of the machines, held for all gangs together
 PREEMPTION_WAIT_S: Final = 5.0  # s; how long a job waits for room freed by preemption before it preempts more
@@ -200,14 +201,15 @@
 LATENCY_HEADROOM: Final = 0.3
 # ratio; of the published boot time of its type, after which an instance is late: most take 0.6 to 1.5 of it
 BOOT_LATE: Final = 1.6
-# ratio; of the median observed boot time, after which an instance is late if that exceeds the limit by BOOT_LATE
+# ratio; of the median observed boot time, after which an instance is late if that is more than BOOT_LATE of the
+# published one
 BOOT_LATE_OF_OBSERVED: Final = 1.2
 # ratio; of the published boot time, after which a boot counts as failed while there are few observations
 BOOT_FAILED: Final = 4.0
 # ratio; of the published boot time, after which a boot counts as failed once there are enough observations
 BOOT_FAILED_OBSERVED: Final = 2.2
-# ratio; of the longest observed boot time, after which a boot counts as failed if that exceeds the limit by
-# BOOT_FAILED_OBSERVED
+# ratio; of the longest observed boot time, after which a boot counts as failed if that is more than
+# BOOT_FAILED_OBSERVED of the published one
 BOOT_FAILED_OF_OBSERVED: Final = 1.3
 # s; added to the limit for a late and for a failed boot: short boot times say little about the time until the first
 # heartbeat
@@ -245,7 +247,8 @@
 PRESENCE_RENEW_OF_LEASE: Final = 0.25  # ratio; of the presence lease: renewal interval, so that three may be missed
 HANDOVERS_KEPT: Final = 100  # handovers; latest ones to this controller, kept for its metrics
 SHUTDOWN_WAIT_S: Final = 10.0  # s; a controller that shuts down waits for a successor for this long at most
-SHUTDOWN_LINGER_S: Final = 1.0  # s; a controller that shuts down redirects clients to its successor for this long
+# s; a controller that shuts down answers and redirects clients for this long after its wait for a successor
+SHUTDOWN_LINGER_S: Final = 1.0
 REFUSAL_LOG_INTERVAL_S: Final = 10.0  # s; minimum interval between log lines on refused membership messages
 
 # --- peers ------------------------------------------------------------------------------------------
