--- a/sorrelsill/fleet/boot_times.py
+++ b/sorrelsill/fleet/boot_times.py
@@ -21,7 +21,7 @@
 
     def record(self, machine_type: str, boot_s: float) -> None:
         """Record that an instance sent its first heartbeat `boot_s` seconds after this process rented it."""
-        self._observed_s.setdefault(machine_type, deque(maxlen=constants.BOOTS_KEPT)).append(boot_s)
+        self._observed_s.setdefault(machine_type, deque(maxlen=constants.BOOT_TIMES_KEPT)).append(boot_s)
 
     def late_after_s(self, machine_type: str, catalog: Catalog) -> float:
         """Seconds after which a booting instance is late, so that the capacity plan no longer counts on it."""
@@ -42,7 +42,7 @@
     def _recent_boots(self, machine_type: str) -> deque[float] | None:
         """Recent boot times of the machine type, or None if too few were observed to rely on."""
         observed_s = self._observed_s.get(machine_type)
-        return observed_s if observed_s is not None and len(observed_s) >= constants.BOOTS_ENOUGH else None
+        return observed_s if observed_s is not None and len(observed_s) >= constants.MIN_BOOT_TIMES else None
 
 
 def _published_boot_s(machine_type: str, catalog: Catalog) -> float:
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -90,7 +90,7 @@
             bound_cpus += machine.cpus
             free_cpus += machine.capacity_cpus - machine.cpus
         cheapest = min(machine_types, key=lambda each: each.cost(False) / max(each.cpus, MIN_TASK_AMOUNT))
-        missing = int((constants.HEADROOM * bound_cpus - free_cpus) / max(cheapest.cpus, MIN_TASK_AMOUNT))
+        missing = int((constants.LATENCY_HEADROOM * bound_cpus - free_cpus) / max(cheapest.cpus, MIN_TASK_AMOUNT))
         if missing <= 0:
             return []
         return [CapacityDemand(missing, cheapest.cpus, 0.0, cheapest.memory_gb, None, None, True, None)]
@@ -166,7 +166,7 @@
         job, spec = item.job, item.job.spec
         assert spec.deadline_s is not None
         boot_s, fetch_s = lead_time_s(spec, self._cluster.catalog)
-        time_left_s = (job.submitted + spec.deadline_s - now) * constants.DEADLINE_USE - boot_s - fetch_s
+        time_left_s = (job.submitted + spec.deadline_s - now) * constants.DEADLINE_SHARE - boot_s - fetch_s
         # Rounds of tasks that can run one after another before the deadline.
         waves = max(1, int(time_left_s / max(1.0, spec.expected_run_s)))
         tasks = spec.task_count - job.done.count
--- a/sorrelsill/fleet/machine_list.py
+++ b/sorrelsill/fleet/machine_list.py
@@ -60,7 +60,9 @@
         if self._partial_list is None:
             self._partial_list, self._last_name, self._pages = {}, "", 0
             self._started_at = now
-        target = f"/rentals?page={constants.LIST_PAGE}" + (f"&from={self._last_name}" if self._last_name else "")
+        target = f"/rentals?page={constants.MACHINE_LIST_PAGE_SIZE}" + (
+            f"&from={self._last_name}" if self._last_name else ""
+        )
         try:
             answer = await self._cloud.call("GET", target)
             machines = msgspec.convert(answer.get("hosts") or [], list[ListedMachine])
--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -164,7 +164,7 @@
     headroom = _ServiceHeadroom(headroom_spec, zones) if headroom_spec is not None else None
     plan = _MovePlan(usable, jobs, headroom)
     drained: list[Machine] = []
-    for machine in movable[: constants.DRAIN_TRIES * max_machines]:
+    for machine in movable[: constants.REBALANCE_CANDIDATES * max_machines]:
         if len(drained) == max_machines:
             break
         if machine.name in plan.targets or not plan.plan_drain(machine):
--- a/sorrelsill/fleet/service_mover.py
+++ b/sorrelsill/fleet/service_mover.py
@@ -25,14 +25,15 @@
         self._last_drain_at = float("-inf")
 
     def rebalance(self, now: float) -> None:
-        """Drain up to `DRAIN_SHARE` of the machines, or one, if an interval has passed and no machine is draining.
+        """Drain up to `REBALANCE_DRAIN_SHARE` of the machines, or one, if an interval has passed and no machine is
+        draining.
 
         Draining one machine at a time was too slow for hundreds of machines. So was waiting until no machine is
         booting, since in a large fleet some always are."""
         cluster = self._state.cluster
-        if self._state.settings.optimise_latency or now - self._last_drain_at < constants.DRAIN_EVERY_S:
+        if self._state.settings.optimise_latency or now - self._last_drain_at < constants.REBALANCE_INTERVAL_S:
             return
-        max_drained = int(constants.DRAIN_SHARE * len(cluster.index.ready))
+        max_drained = int(constants.REBALANCE_DRAIN_SHARE * len(cluster.index.ready))
         if len(self._state.booting) > max_drained or cluster.failover.unconfirmed:
             return
         if any(item.count for item in self._state.unschedulable()):
--- a/sorrelsill/http/heads.py
+++ b/sorrelsill/http/heads.py
@@ -52,7 +52,7 @@
     return length
 
 
-@lru_cache(maxsize=constants.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEAD_CACHE_SIZE)
 def parse_request_head(head: bytes) -> RequestHead | None:
     """Parses the head of a request. Returns None if it is not plain or malformed."""
     conn = h11.Connection(h11.SERVER)
@@ -70,7 +70,7 @@
     return RequestHead(event.method.decode("ascii"), path, query, length)
 
 
-@lru_cache(maxsize=constants.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEAD_CACHE_SIZE)
 def parse_reply_head(head: bytes) -> ReplyHead | None:
     """Parses the head of a response. Returns None if it is not plain or malformed."""
     conn = h11.Connection(h11.CLIENT)
@@ -89,7 +89,7 @@
     return ReplyHead(event.status_code, length) if length is not None else None
 
 
-@lru_cache(maxsize=constants.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEAD_CACHE_SIZE)
 def encode_reply_head(status: int, content_type: str, headers: tuple[tuple[str, str], ...], length: int) -> bytes:
     """Encodes the head of the response to a plain request."""
     conn = h11.Connection(h11.SERVER)
@@ -100,7 +100,7 @@
     return conn.send(h11.Response(status_code=status, headers=lines)) or b""
 
 
-@lru_cache(maxsize=constants.HEADS_KEPT)
+@lru_cache(maxsize=constants.HEAD_CACHE_SIZE)
 def _request_template(method: str, target: str, body: bool) -> tuple[bytes, bytes]:
     """The parts of the head before and after the host, so that all machines share one cached template."""
     head = _encode_with_h11(method, target, _PLACEHOLDER_HOST, body)
--- a/sorrelsill/http/test_http.py
+++ b/sorrelsill/http/test_http.py
@@ -94,9 +94,9 @@
         await trio.sleep(0.1)
         assert server.open_connections == 4
         await streams[0].send_all(b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc")
-        await trio.sleep(constants.REQUEST_S + 1)
+        await trio.sleep(constants.REQUEST_TIMEOUT_S + 1)
         assert server.open_connections == 3, "an incomplete request times out"
-        await trio.sleep(constants.IDLE_S)
+        await trio.sleep(constants.IDLE_TIMEOUT_S)
         assert server.open_connections == 0
 
     _run(scenario)
--- a/sorrelsill/store/client.py
+++ b/sorrelsill/store/client.py
@@ -145,7 +145,7 @@
         self._client = client
         rps = limits.rps * constants.STORE_SHARE / max(1, nodes)
         self.requests = TokenBucket(rps, max(2.0, rps / 2))
-        reduced = limits.coming
+        reduced = limits.after_reductions
         self._write_rate = limits.write_rps * constants.STORE_SHARE
         self._reduced_write_rate = reduced.write_rps * constants.STORE_SHARE
         self._leading = False
@@ -240,7 +240,7 @@
         last_key = ""
         first_rev: int | None = None
         while True:
-            target = f"/kv?starts={prefix}&page={constants.KV_PAGE}" + (f"&from={last_key}" if last_key else "")
+            target = f"/kv?starts={prefix}&page={constants.KV_PAGE_SIZE}" + (f"&from={last_key}" if last_key else "")
             status, answer = await self._call("GET", target)
             if status != 200 or not isinstance(answer.get("pairs"), list):
                 raise AmbiguousError(f"the store answers {status} to a list")
--- a/sorrelsill/store/watch_cache.py
+++ b/sorrelsill/store/watch_cache.py
@@ -120,7 +120,7 @@
         """Caches a final record and passes it to `on_final`."""
         self._final_records[job_id] = value
         self._on_final(job_id, value)
-        while len(self._final_records) > constants.FINAL_CACHE:
+        while len(self._final_records) > constants.FINAL_RECORDS_CACHED:
             self._final_records.popitem(last=False)
 
     # --- updating the cache ---
--- a/sorrelsill/workers/machine_sets.py
+++ b/sorrelsill/workers/machine_sets.py
@@ -8,7 +8,7 @@
 from itertools import chain
 from typing import TYPE_CHECKING, overload
 
-from sorrelsill.constants import AMOUNT_TOLERANCE, ROOM_CLASSES
+from sorrelsill.constants import AMOUNT_TOLERANCE, FREE_CPU_CLASSES
 
 if TYPE_CHECKING:
     from sorrelsill.workers.machine import Machine
@@ -111,7 +111,7 @@
     """Machines by their number of free CPUs, so that machines too full for a task are skipped."""
 
     def __init__(self) -> None:
-        self._classes = [MachineSet() for _ in range(ROOM_CLASSES)]
+        self._classes = [MachineSet() for _ in range(FREE_CPU_CLASSES)]
         self._class_of: dict[str, int] = {}  # by name
         # On-demand machines only, in millionths of a CPU: machine -> (zone, free CPUs)
         self._free_cpus_by_machine: dict[str, tuple[str, int]] = {}
@@ -123,7 +123,7 @@
         if free <= AMOUNT_TOLERANCE:
             self.discard(machine.name)
             return
-        class_index = min(int(free + AMOUNT_TOLERANCE), ROOM_CLASSES - 1)
+        class_index = min(int(free + AMOUNT_TOLERANCE), FREE_CPU_CLASSES - 1)
         previous = self._class_of.get(machine.name)
         if previous != class_index:
             if previous is not None:
@@ -160,7 +160,7 @@
 
     def with_room(self, cpus: float) -> MachineUnion:
         """Machines that may have this many free CPUs, leaving out those that certainly have fewer."""
-        return MachineUnion(self._classes[min(int(cpus), ROOM_CLASSES - 1) :])
+        return MachineUnion(self._classes[min(int(cpus), FREE_CPU_CLASSES - 1) :])
 
     def names(self) -> set[str]:
         """The names of the machines in the index; for tests and consistency checks."""
