--- a/tests/scenarios/__init__.py
+++ b/tests/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios across slices: the whole service against stand-ins on a virtual clock."""
+"""Scenario tests: the whole service against simulated dependencies on a virtual clock."""
--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -1,6 +1,9 @@
-"""The state service refuses the leader alone, another controller confirms cancellations, then the service is out for
-all for longer than `cancel_s`, and the workers report to whoever answers. The stand-ins check that no cancelled task is
-on a machine for longer than that after the confirmation; each story says what else has to hold."""
+"""Confirmed cancellations hold during outages of the key-value store.
+
+The store first refuses only the leader, and another controller confirms cancellations. Then the store is out for all
+controllers for longer than `cancel_s`, and the workers send heartbeats to any controller that answers. In every
+scenario the simulation checks that no cancelled task runs for longer than `cancel_s` after the confirmation; each test
+states what else must hold."""
 
 import pytest
 import trio
@@ -12,25 +15,25 @@
 from tests.simulation.users import LABELS
 
 
-async def two_services(simulation: SimulatedCluster, *cancelled: str) -> str:
-    """`run-s`, which stays, and those to be cancelled. Returns the leader."""
-    for job_id in ("run-s", *cancelled):
+async def start_services(simulation: SimulatedCluster, *to_cancel: str) -> str:
+    """Starts `run-s`, which is never cancelled, and the given services. Returns the leader."""
+    for job_id in ("run-s", *to_cancel):
         await simulation.submit(service(job_id, vcpus=1.0))
-    await simulation.until(lambda: all(len(simulation.running(job_id)) == 2 for job_id in ("run-s", *cancelled)))
+    await simulation.until(lambda: all(len(simulation.running(job_id)) == 2 for job_id in ("run-s", *to_cancel)))
     return await simulation.until_leader()
 
 
-def others(leader: str) -> list[str]:
+def other_controllers(leader: str) -> list[str]:
     return [label for label in LABELS if label != leader]
 
 
 def drop_watch_answers(simulation: SimulatedCluster) -> None:
-    """What is committed from now on reaches no other controller's view."""
+    """From now on watch answers are lost, so commits reach no other controller's watch cache."""
     simulation.net.drop_answers = lambda src, dst, request: dst == "store" and request.path == "/follow"
 
 
 def workers_reach_only(simulation: SimulatedCluster, label: str) -> None:
-    simulation.net.refused = {(name, other) for name in simulation.workers for other in others(label)}
+    simulation.net.refused = {(name, other) for name in simulation.workers for other in other_controllers(label)}
 
 
 async def cancel_at(simulation: SimulatedCluster, label: str, job_id: str) -> None:
@@ -38,19 +41,20 @@
     assert status == 200 and answer["phase"] == "cancelled"
 
 
-def test_what_another_controller_cancelled_goes_while_the_old_leader_renews_leases() -> None:
-    """The gap: the old leader has followed nothing since it was refused, and went on renewing."""
+def test_cancelled_task_stops_while_refused_leader_renews_leases() -> None:
+    """A leader that the store refuses follows no changes, so it misses a cancellation that another controller
+    confirmed; it kept renewing its workers' leases nevertheless."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await two_services(simulation, "run-c")
-        simulation.store.refused.add(old)
+        old_leader = await start_services(simulation, "run-c")
+        simulation.store.refused.add(old_leader)
         await trio.sleep(0.5)
-        await cancel_at(simulation, others(old)[0], "run-c")
+        await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         await trio.sleep(1)
         simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
         assert simulation.running("run-c") == []
-        assert len(simulation.running("run-s")) == 2, "what was not cancelled lives through the whole outage"
+        assert len(simulation.running("run-s")) == 2, "services that were not cancelled run through the whole outage"
         simulation.store.end_outage()
         simulation.store.refused.clear()
         await simulation.until_leader()
@@ -61,12 +65,12 @@
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 0.02, 0.3])
-def test_the_outage_begins_within_the_same_second(pause_s: float) -> None:
+def test_cancelled_task_stops_when_outage_follows_at_once(pause_s: float) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await two_services(simulation, "run-c")
-        simulation.store.refused.add(old)
+        old_leader = await start_services(simulation, "run-c")
+        simulation.store.refused.add(old_leader)
         drop_watch_answers(simulation)
-        await cancel_at(simulation, others(old)[0], "run-c")
+        await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         await trio.sleep(pause_s)
         simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
@@ -75,27 +79,32 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("reached", ["the old leader", "the one that died", "the third"])
-@pytest.mark.parametrize("away_s", [0.2, 4.0])
-def test_the_confirming_controller_dies_right_after_its_answer(away_s: float, reached: str) -> None:
-    """Nobody else knows then. So leases are renewed only as long as what it confirmed still ends in time without a
-    stop command."""
+@pytest.mark.parametrize("reached_controller", ["the old leader", "the one that died", "the third"])
+@pytest.mark.parametrize("restart_after_s", [0.2, 4.0])
+def test_cancelled_task_stops_when_confirming_controller_crashes(
+    restart_after_s: float, reached_controller: str
+) -> None:
+    """No other controller then knows of the cancellation. Leases are renewed only as long as a cancelled task without a
+    stop command still ends in time when its lease expires."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await two_services(simulation, "run-c")
-        await trio.sleep(CANCEL_S + 5)  # all have followed for long enough to know what a blind process lacks
-        simulation.store.refused.add(old)
-        other, third = others(old)
+        old_leader = await start_services(simulation, "run-c")
+        await trio.sleep(CANCEL_S + 5)  # all watch caches have followed longer than a cancelled task may run
+        simulation.store.refused.add(old_leader)
+        other, third = other_controllers(old_leader)
         drop_watch_answers(simulation)
         await cancel_at(simulation, other, "run-c")
         simulation.store.begin_outage()
         simulation.kill(other)
         confirmed_at = trio.current_time()
-        await trio.sleep(away_s)
+        await trio.sleep(restart_after_s)
         simulation.start(other)
-        workers_reach_only(simulation, {"the old leader": old, "the one that died": other, "the third": third}[reached])
+        workers_reach_only(
+            simulation,
+            {"the old leader": old_leader, "the one that died": other, "the third": third}[reached_controller],
+        )
         await trio.sleep_until(confirmed_at + CANCEL_S - LEASE_S - constants.RENEW_MARGIN_S - 1.5)
-        assert len(simulation.running("run-s")) == 2, "as long as it is safe, leases are renewed"
+        assert len(simulation.running("run-s")) == 2, "leases are renewed as long as it is safe"
         await trio.sleep_until(confirmed_at + 2 * CANCEL_S)
         assert simulation.running("run-c") == []
         simulation.net.drop_answers = lambda src, dst, request: False
@@ -107,15 +116,15 @@
     run_scenario(scenario)
 
 
-def test_all_controllers_lose_their_memory_in_the_outage() -> None:
-    """Three blind processes can't know what their predecessors confirmed, so they renew no lease at all: the
-    cancellation may be older than the time that leases could still be renewed in."""
+def test_cancelled_task_stops_when_all_controllers_restart_in_outage() -> None:
+    """Controllers restarted during an outage can't know which cancellations the previous processes confirmed. They must
+    renew no lease, since a cancellation may already be too old for another renewal."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await two_services(simulation, "run-c")
-        simulation.store.refused.add(old)
+        old_leader = await start_services(simulation, "run-c")
+        simulation.store.refused.add(old_leader)
         drop_watch_answers(simulation)
-        await cancel_at(simulation, others(old)[0], "run-c")
+        await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
         simulation.net.drop_answers = lambda src, dst, request: False
         simulation.kill_all()
@@ -130,14 +139,15 @@
     run_scenario(scenario)
 
 
-def test_all_controllers_are_new_and_read_the_records_just_before_the_outage() -> None:
-    """None of them learnt of the cancellation, as they only read what is live: what is not live has to go."""
+def test_cancelled_task_stops_when_new_controllers_load_records_before_outage() -> None:
+    """New controllers load only the records of live jobs, so they never learn of the cancellation. They must stop tasks
+    of jobs that are not live."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await two_services(simulation, "run-c")
-        simulation.kill(old)
-        await cancel_at(simulation, others(old)[0], "run-c")
-        for label in others(old):
+        old_leader = await start_services(simulation, "run-c")
+        simulation.kill(old_leader)
+        await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
+        for label in other_controllers(old_leader):
             simulation.kill(label)
         await trio.sleep(0.2)
         simulation.start_all()
@@ -150,24 +160,25 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("confirms_old", [True, False])
-def test_a_confirmed_cancellation_holds_with_a_controller_of_the_former_version(confirms_old: bool) -> None:
-    """It names no cancellations, so the bound is what our own view and new peers prove. A leader of that version renews
-    without any bound; that can't be helped."""
+@pytest.mark.parametrize("old_version_confirms", [True, False])
+def test_cancelled_task_stops_with_controller_of_previous_version(old_version_confirms: bool) -> None:
+    """A peer of the previous version lists no cancellations, so only our own watch cache and peers of the current
+    version show how far knowledge is complete. A leader of the previous version renews leases without that check, which
+    can't be fixed."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        leader = await two_services(simulation, "run-c")
-        first, second = others(leader)
+        leader = await start_services(simulation, "run-c")
+        first, second = other_controllers(leader)
         simulation.kill(first)
         simulation.start(first, old=True)
         await trio.sleep(60)
         assert await simulation.until_leader() == leader
-        # The former version goes on renewing, so the workers only reach the refused leader.
+        # The previous version keeps renewing leases, so the workers may reach only the refused leader.
         workers_reach_only(simulation, leader)
         simulation.store.refused.add(leader)
         drop_watch_answers(simulation)
         await trio.sleep(0.3)
-        await cancel_at(simulation, first if confirms_old else second, "run-c")
+        await cancel_at(simulation, first if old_version_confirms else second, "run-c")
         simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
         assert simulation.running("run-c") == []
@@ -180,20 +191,20 @@
     run_scenario(scenario)
 
 
-def test_a_cancellation_whose_answer_was_lost_is_confirmed_from_a_later_read() -> None:
+def test_cancellation_with_lost_commit_answer_is_confirmed_by_later_read() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await two_services(simulation, "run-c")
-        simulation.store.refused.add(old)
-        first, second = others(old)
+        old_leader = await start_services(simulation, "run-c")
+        simulation.store.refused.add(old_leader)
+        first, second = other_controllers(old_leader)
         lost: list[str] = []
 
-        def drop(src: str, dst: str, request: Request) -> bool:
-            hit = src == first and dst == "store" and request.path == "/multi" and b"cancelled" in request.body
-            if hit:
+        def drop_commit_answer(src: str, dst: str, request: Request) -> bool:
+            matches = src == first and dst == "store" and request.path == "/multi" and b"cancelled" in request.body
+            if matches:
                 lost.append(src)
-            return hit
+            return matches
 
-        simulation.net.drop_answers = drop
+        simulation.net.drop_answers = drop_commit_answer
         assert (await simulation.ask(first, "POST", "/v2/runs/run-c/cancel"))[0] == 503
         assert lost
         assert (await simulation.poll("run-c", second))[1]["phase"] == "cancelled"
@@ -204,19 +215,20 @@
     run_scenario(scenario)
 
 
-def test_the_old_leader_goes_on_with_its_term_after_the_outage() -> None:
-    """It is valid at its next lease renewal, on a watch cache that may be a minute old."""
+def test_old_leader_continues_its_term_after_outage() -> None:
+    """The old leader becomes valid again with its next lease renewal, while its watch cache may be a minute out of date
+    and lack the cancellation."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await two_services(simulation, "run-c")
-        term = simulation.nodes[old].elector.term
-        simulation.store.refused.add(old)
-        await cancel_at(simulation, others(old)[0], "run-c")
+        old_leader = await start_services(simulation, "run-c")
+        term = simulation.nodes[old_leader].elector.term
+        simulation.store.refused.add(old_leader)
+        await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
         await trio.sleep(8)
-        # Its watches hang on, though it is served again.
-        node = simulation.nodes[old]
-        simulation.net.hold_request = lambda src, dst, request: src == old and request.path == "/follow"
+        # The store serves it again, but its watch requests still hang.
+        node = simulation.nodes[old_leader]
+        simulation.net.hold_request = lambda src, dst, request: src == old_leader and request.path == "/follow"
         simulation.store.refused.clear()
         simulation.store.end_outage()
         await simulation.until(node.elector.valid, 10)
@@ -229,29 +241,29 @@
     run_scenario(scenario)
 
 
-def test_more_cancellations_than_one_answer_may_name(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The list is left out then, not cut: no answer counts as one that names all."""
+def test_cancelled_tasks_stop_when_peer_answer_cannot_list_all(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A peer then omits the list instead of truncating it, so that no answer is taken as complete."""
     monkeypatch.setattr(constants, "CANCELLED_NAMED", 3)
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        names = [f"run-c{i}" for i in range(5)]
-        old = await two_services(simulation, *names)
-        simulation.store.refused.add(old)
+        job_ids = [f"run-c{i}" for i in range(5)]
+        old_leader = await start_services(simulation, *job_ids)
+        simulation.store.refused.add(old_leader)
         await trio.sleep(0.2)
-        for job_id in names:
-            await cancel_at(simulation, others(old)[0], job_id)
+        for job_id in job_ids:
+            await cancel_at(simulation, other_controllers(old_leader)[0], job_id)
         simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
-        assert not any(simulation.running(job_id) for job_id in names)
+        assert not any(simulation.running(job_id) for job_id in job_ids)
 
     run_scenario(scenario)
 
 
-def test_a_machine_hangs_with_the_stop_command_in_flight() -> None:
+def test_cancelled_task_stops_on_machine_that_hangs_with_stop_command_in_flight() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await two_services(simulation, "run-c")
-        simulation.store.refused.add(old)
-        await cancel_at(simulation, others(old)[0], "run-c")
+        old_leader = await start_services(simulation, "run-c")
+        simulation.store.refused.add(old_leader)
+        await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
         for _, name in simulation.running("run-c"):
             simulation.workers[name].hung = True
@@ -264,25 +276,25 @@
     run_scenario(scenario)
 
 
-def test_a_damaged_list_of_a_peer_proves_nothing() -> None:
-    """It must never be taken for 'nothing was cancelled'."""
+def test_malformed_cancellation_list_of_peer_is_not_taken_as_empty() -> None:
+    """A malformed list must never be taken to mean that nothing was cancelled."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await two_services(simulation, "run-c")
-        simulation.store.refused.add(old)
-        for label in others(old):
-            tell_all = simulation.nodes[label].cancellations.answer_peer
-            damaged = [{"cancelled": None}, {"cancelled": [7], "back": 1e9}, {"cancelled": [], "back": "x"}, [], None]
+        old_leader = await start_services(simulation, "run-c")
+        simulation.store.refused.add(old_leader)
+        for label in other_controllers(old_leader):
+            answer = simulation.nodes[label].cancellations.answer_peer
+            malformed = [{"cancelled": None}, {"cancelled": [7], "back": 1e9}, {"cancelled": [], "back": "x"}, [], None]
 
-            def lie(asked: dict[str, object], now: float, tell_all=tell_all, damaged=damaged) -> object:  # type: ignore[no-untyped-def]
-                tell_all(asked, now)
-                return damaged[int(now * 10) % len(damaged)]
+            def malformed_answer(asked: dict[str, object], now: float, answer=answer, malformed=malformed) -> object:  # type: ignore[no-untyped-def]
+                answer(asked, now)
+                return malformed[int(now * 10) % len(malformed)]
 
-            simulation.nodes[label].cancellations.answer_peer = lie  # type: ignore[method-assign, assignment]
+            simulation.nodes[label].cancellations.answer_peer = malformed_answer  # type: ignore[method-assign, assignment]
         await trio.sleep(0.2)
-        await cancel_at(simulation, others(old)[0], "run-c")
+        await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
-        workers_reach_only(simulation, old)
+        workers_reach_only(simulation, old_leader)
         await trio.sleep(2 * CANCEL_S)
         assert simulation.running("run-c") == []
 
