--- a/tests/scenarios/test_controller_restarts.py
+++ b/tests/scenarios/test_controller_restarts.py
@@ -1,4 +1,4 @@
-"""Controllers that are killed and started again: one, one after the other, or all for longer than a lease."""
+"""Crashes and restarts of controllers: one, one after the other, or all for longer than a lease."""
 
 import pytest
 import trio
@@ -10,33 +10,33 @@
 async def wait_for_steps(
     simulation: SimulatedCluster, began: float, services: list[str], starts_before: int
 ) -> dict[str, float]:
-    """Seconds from `began` until each step of a restart of all controllers."""
+    """Returns the seconds from `began` until each step of a restart of all controllers."""
     steps: dict[str, float] = {}
 
-    def note(step: str, reached: bool) -> None:
+    def record(step: str, reached: bool) -> None:
         if reached and step not in steps:
             steps[step] = trio.current_time() - began
 
     while len(steps) < 6:
         assert trio.current_time() - began < 90, steps
         up = [node for label, node in simulation.nodes.items() if label not in simulation.net.down]
-        note("process up", bool(up))
-        note("view loaded", any(node.watch_cache.loaded for node in up))
+        record("process up", bool(up))
+        record("view loaded", any(node.watch_cache.loaded for node in up))
         label = simulation.leader()
-        note("leading", label is not None)
+        record("leading", label is not None)
         cluster = simulation.nodes[label].cluster if label is not None else None
-        note(
+        record(
             "machines confirmed", cluster is not None and not cluster.failover.unconfirmed and bool(cluster.index.ready)
         )
-        note("first start", len(simulation.starts) > starts_before)
-        note("last service up", all(len(simulation.running(job_id)) == 3 for job_id in services))
+        record("first start", len(simulation.starts) > starts_before)
+        record("last service up", all(len(simulation.running(job_id)) == 3 for job_id in services))
         await trio.sleep(0.01)
     return steps
 
 
-@pytest.mark.parametrize("way", ["together", "one by one", "back and gone again"])
-def test_all_controllers_away_longer_than_a_lease(way: str) -> None:
-    """What was accepted is known and starts anew; users are answered as soon as one controller is up."""
+@pytest.mark.parametrize("restart_pattern", ["together", "one by one", "back and gone again"])
+def test_all_jobs_recover_after_all_controllers_were_down(restart_pattern: str) -> None:
+    """Accepted jobs are known and restarted, and user requests are answered as soon as one controller is up."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
@@ -51,22 +51,22 @@
         assert not any(worker.active_tasks for worker in simulation.workers.values())
         starts = len(simulation.starts)
         began = trio.current_time()
-        if way == "back and gone again":
+        if restart_pattern == "back and gone again":
             simulation.start_all()
             await trio.sleep(0.7)
             simulation.kill_all()
             await trio.sleep(5)
             began = trio.current_time()
-        if way == "one by one":
+        if restart_pattern == "one by one":
             simulation.start("n2")
             simulation.nursery.start_soon(_start_later, simulation, {"n0": 6.0, "n1": 12.0})
         else:
             simulation.start_all()
-        simulation.nursery.start_soon(_ask_soon, simulation, [*services, "run-a"])
+        simulation.nursery.start_soon(_query_before_election, simulation, [*services, "run-a"])
         steps = await wait_for_steps(simulation, began, services, starts)
-        print(f"{way}: " + ", ".join(f"{step} {at:.2f} s" for step, at in steps.items()))
+        print(f"{restart_pattern}: " + ", ".join(f"{step} {at:.2f} s" for step, at in steps.items()))
         assert steps["view loaded"] < 0.5
-        assert steps["leading"] < 2.6, "a promise of the former process, and the key"
+        assert steps["leading"] < 2.6, "waits for the previous process's promise, then takes the leader key"
         assert steps["first start"] - steps["leading"] < 2.0
         assert steps["last service up"] - steps["first start"] < 5.0
         await simulation.wait_for_convergence()
@@ -74,8 +74,8 @@
     run_scenario(scenario)
 
 
-async def _ask_soon(simulation: SimulatedCluster, job_ids: list[str]) -> None:
-    """Users are answered long before anybody leads."""
+async def _query_before_election(simulation: SimulatedCluster, job_ids: list[str]) -> None:
+    """User requests are answered long before any controller leads."""
     await trio.sleep(0.5)
     assert simulation.leader() is None
     for job_id in job_ids:
@@ -85,7 +85,7 @@
     job_id = "run-early"
     simulation.specs[job_id] = job(job_id, shards=1)
     status, _ = await simulation.ask("n2", "POST", "/v2/runs", simulation.specs[job_id])
-    assert status in (201, 503), "no machine types are known yet, or they are on record"
+    assert status in (201, 503), "503 while no machine types are known, 201 if they are stored"
 
 
 async def _start_later(simulation: SimulatedCluster, delays: dict[str, float]) -> None:
@@ -95,7 +95,7 @@
         simulation.start(label)
 
 
-def test_quick_restarts_in_the_middle_of_elections() -> None:
+def test_leader_is_elected_despite_restarts_during_elections() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
@@ -115,7 +115,7 @@
     run_scenario(scenario)
 
 
-def test_a_leader_back_at_once_does_not_leave_its_key_to_run_out() -> None:
+def test_leader_restarted_at_once_does_not_wait_for_its_key_to_expire() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await simulation.until_leader()
         simulation.kill(old)
@@ -128,7 +128,7 @@
     run_scenario(scenario)
 
 
-def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
+def test_one_controller_serves_users_after_all_were_down_longer_than_a_lease() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4, vcpus=1.0))
         await simulation.submit(job("run-a", shards=6, vcpus=1.0, expectedRunS=20.0))
@@ -148,7 +148,7 @@
     run_scenario(scenario)
 
 
-def test_all_controllers_restarted_forget_nothing() -> None:
+def test_restart_of_all_controllers_keeps_all_jobs() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-d"))
         await simulation.until_phase("run-d", "done")
@@ -169,7 +169,7 @@
     run_scenario(scenario)
 
 
-def test_controllers_restarted_one_after_the_other() -> None:
+def test_rolling_restart_interrupts_no_task() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
