--- a/tests/scenarios/test_delayed_messages.py
+++ b/tests/scenarios/test_delayed_messages.py
@@ -1,4 +1,4 @@
-"""Late copies and repeats of heartbeats and commands, and answers that are overtaken."""
+"""Delayed and duplicate heartbeats and commands, and responses overtaken by newer ones."""
 
 import msgspec
 import pytest
@@ -13,7 +13,7 @@
 from tests.simulation.users import LABELS
 
 
-def test_a_late_copy_of_a_heartbeat_does_not_bring_a_returned_machine_back() -> None:
+def test_delayed_heartbeat_does_not_restore_returned_machine() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         sent = record_messages(simulation, "/hello")
         await simulation.submit(job("run-a"))
@@ -29,30 +29,30 @@
     run_scenario(scenario)
 
 
-def test_a_late_copy_after_a_failover_does_not_stop_the_task_that_runs() -> None:
-    """The copy tells of a task that has long been moved; the one that runs must not give way to the phantom."""
+def test_delayed_heartbeat_after_failover_does_not_stop_running_task() -> None:
+    """The delayed heartbeat reports an attempt that was replaced long ago; the running attempt must not be stopped."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         sent = record_messages(simulation, "/hello")
         await simulation.run_service("run-s", shards=1)
         first = simulation.running("run-s")[0][1]
         await trio.sleep(3)
-        old_report = [s for s in sent if s[0] == first and b"running" in s[2].body][-1]
+        old_heartbeat = [s for s in sent if s[0] == first and b"running" in s[2].body][-1]
         simulation.cut_machine(first)
-        await simulation.until(lambda: any(h != first for _, h in simulation.running("run-s")), 60)
-        second = next(h for _, h in simulation.running("run-s") if h != first)
+        await simulation.until(lambda: any(machine != first for _, machine in simulation.running("run-s")), 60)
+        second = next(machine for _, machine in simulation.running("run-s") if machine != first)
         simulation.kill(await simulation.until_leader())
         await simulation.until(lambda: simulation.leader() is not None, 15)
         before = len(simulation.starts)
         leader = await simulation.until_leader()
-        await send_copy(simulation, leader, old_report)
+        await send_copy(simulation, leader, old_heartbeat)
         await trio.sleep(20)
-        assert [h for _, h in simulation.running("run-s")] == [second] and len(simulation.starts) == before
+        assert [machine for _, machine in simulation.running("run-s")] == [second] and len(simulation.starts) == before
 
     run_scenario(scenario)
 
 
-def test_a_late_copy_of_a_heartbeat_does_not_hide_a_silent_machine() -> None:
+def test_duplicate_heartbeats_do_not_hide_silent_machine() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         sent = record_messages(simulation, "/hello")
         await simulation.run_service("run-s", shards=1)
@@ -62,7 +62,7 @@
         simulation.cut_machine(name)
         leader = await simulation.until_leader()
         began = trio.current_time()
-        while not any(h != name for _, h in simulation.running("run-s")):
+        while not any(machine != name for _, machine in simulation.running("run-s")):
             await send_copy(simulation, leader, last)
             await trio.sleep(0.5)
             assert trio.current_time() - began < 30
@@ -70,7 +70,7 @@
     run_scenario(scenario)
 
 
-def test_a_repeat_of_a_direct_start_does_not_run_a_stopped_task_again() -> None:
+def test_duplicate_direct_start_does_not_restart_stopped_task() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-0", shards=2, vcpus=1.0)
         sent = record_messages(simulation, "/commands")
@@ -78,9 +78,9 @@
         await simulation.cancel("run-s")
         await simulation.until(lambda: not simulation.running("run-s"))
         await trio.sleep(20)
-        repeats = [s for s in sent if b"start" in s[2].body and b"run-s/0" in s[2].body]
-        assert repeats
-        for item in repeats:
+        duplicates = [s for s in sent if b"start" in s[2].body and b"run-s/0" in s[2].body]
+        assert duplicates
+        for item in duplicates:
             await send_copy(simulation, item[1], item)
         await trio.sleep(3)
         assert len([s for s in simulation.starts if s[1] == "run-s/0"]) == 1
@@ -88,8 +88,8 @@
     run_scenario(scenario)
 
 
-def test_absence_from_a_direct_answer_does_not_prove_that_a_start_in_flight_is_gone() -> None:
-    """The answer to a heartbeat carries a start; a direct answer made before it arrives lacks the task."""
+def test_direct_response_without_task_does_not_prove_that_start_in_flight_is_lost() -> None:
+    """A heartbeat response carries the start command; a direct response sent before it arrives lacks the task."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-0", shards=1, vcpus=1.0)
@@ -109,23 +109,23 @@
     run_scenario(scenario)
 
 
-def test_an_old_heartbeat_names_a_task_that_runs_elsewhere_now() -> None:
-    """It reaches the next leader first; the machine that truly has the task takes its time to find that leader."""
+def test_stale_heartbeat_after_failover_does_not_restart_moved_task() -> None:
+    """The stale heartbeat reaches the next leader before the machine that runs the task finds that leader."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=1, vcpus=6.0)
         first = simulation.running("run-s")[0][1]
-        old: list[Request] = []
+        old_heartbeats: list[Request] = []
 
-        def keep(src: str, dst: str, request: Request) -> None:
+        def record_heartbeat(src: str, dst: str, request: Request) -> None:
             if src == first and request.path == "/hello" and b"run-s/0" in request.body:
-                old.append(request)
+                old_heartbeats.append(request)
 
-        simulation.net.copy = keep
+        simulation.net.copy = record_heartbeat
         await trio.sleep(3)
         simulation.cut_machine(first)
-        await simulation.until(lambda: [h for _, h in simulation.running("run-s")] not in ([], [first]), 60)
-        second = next(h for _, h in simulation.running("run-s") if h != first)
+        await simulation.until(lambda: [machine for _, machine in simulation.running("run-s")] not in ([], [first]), 60)
+        second = next(machine for _, machine in simulation.running("run-s") if machine != first)
         await trio.sleep(3)
         before = len(simulation.starts)
         leader = await simulation.until_leader()
@@ -134,20 +134,20 @@
         simulation.cut_machine(second)
         await simulation.until_leader(15)
         for label in LABELS:
-            await simulation.net.deliver_copy(first, label, old[-1])
+            await simulation.net.deliver_copy(first, label, old_heartbeats[-1])
         simulation.net._cuts = {c for c in simulation.net._cuts if second in c}
         await trio.sleep(5)
         simulation.net.refused.clear()
         simulation.net.heal()
         simulation.start(leader)
         await simulation.wait_for_convergence()
-        assert len(simulation.starts) == before, "it ran on where it was"
+        assert len(simulation.starts) == before, "the task kept running where it was"
 
     run_scenario(scenario)
 
 
 @pytest.mark.parametrize("for_next", [True, False])
-def test_old_heartbeats_reach_every_controller_as_a_leader_begins(for_next: bool) -> None:
+def test_stale_heartbeats_do_not_disturb_new_leaders(for_next: bool) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=4, vcpus=1.0))
         await simulation.submit(job("run-a", shards=16, vcpus=1.0, expectedRunS=9.0))
