--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -1,5 +1,5 @@
-"""Some 930 machines, and many that fall together. Work is counted in calls of the package's own functions, in messages
-and in entries, so that the verdict is the same on every machine and every time."""
+"""A fleet of 930 machines, and the loss of many at once. Cost is counted in calls of the package's own functions, in
+messages and in entries, so that results do not depend on the machine that runs the tests."""
 
 from collections.abc import Callable
 
@@ -14,10 +14,10 @@
 from sorrelsill.workers import CallLimits, CommandSender
 from tests.simulation import LOSS_S, OVERDUE_S, VALIDITY_S, LeaderInMemory, array_job, count_calls
 
-MACHINES = 930  # the largest fleet of the site files and half as many again
+MACHINES = 930  # 1.5 times the largest fleet in the site files
 
 
-def test_a_regular_heartbeat_costs_the_same_in_a_small_and_in_a_large_fleet() -> None:
+def test_heartbeat_cost_does_not_grow_with_fleet() -> None:
     def calls(machines: int) -> int:
         leader = LeaderInMemory(machines)
         leader.fill(8)
@@ -29,8 +29,8 @@
     assert large <= calls(MACHINES // 3) and large < 60
 
 
-def test_hundreds_of_machines_lost_at_once_are_given_up_in_stretches() -> None:
-    """Thousands of tasks in one stretch would delay lease renewals."""
+def test_loss_of_hundreds_of_machines_is_handled_in_batches() -> None:
+    """Handling thousands of lost tasks in one batch would delay lease renewals."""
     leader = LeaderInMemory(MACHINES)
     leader.fill(16)
     silent = leader.names[:400]
@@ -41,18 +41,18 @@
         leader.all_send_heartbeats(leader.names[400:])
         assert not leader.cluster.expire_leases(leader.now)
     leader.now += 2.0
-    most, lost = 0, 0
+    largest_batch, lost_machines = 0, 0
     while batch := leader.cluster.expire_leases(leader.now):
-        lost += len(batch)
-        most = max(most, sum(len(leader.tasks[h.name]) for h in batch))
-    assert lost == 400 and most <= constants.EXPIRE_TASKS + 16
+        lost_machines += len(batch)
+        largest_batch = max(largest_batch, sum(len(leader.tasks[machine.name]) for machine in batch))
+    assert lost_machines == 400 and largest_batch <= constants.EXPIRE_TASKS + 16
     assert sum(j.waiting for j in leader.cluster.jobs.values()) == lost_tasks
     assert not any(leader.cluster.machines[n].attempts for n in silent)
     assert not leader.cluster.index.ready.names() & set(silent)
 
 
-def test_machines_with_an_overdue_heartbeat_get_no_new_work_before_the_next_one() -> None:
-    """Guards against this: what was bound to fifty machines that hung waited for a lease to be proved lost."""
+def test_machines_with_overdue_heartbeat_get_no_new_tasks() -> None:
+    """Tasks that were bound to fifty hung machines waited a whole lease until they were declared lost."""
     leader = LeaderInMemory(MACHINES)
     leader.fill(0)
     leader.now += OVERDUE_S + 0.5
@@ -66,8 +66,8 @@
     assert len(leader.cluster.index.ready) == MACHINES
 
 
-def test_machines_without_a_heartbeat_yet_reserve_only_what_may_run_on_them() -> None:
-    """After a failover with fifty silent machines, their whole size filled each small team's limit for a lease."""
+def test_unobserved_machines_reserve_only_tasks_they_may_run() -> None:
+    """After a failover with fifty silent machines, their full capacity used up small teams' limits for one lease."""
     leader = LeaderInMemory(MACHINES, registered=True)
     silent = [n for n in leader.names if leader.spot(n)][:50]
     leader.add(array_job("run-old", shards=40, owner="red"), old=True)
@@ -75,20 +75,22 @@
     leader.cluster.add_ended_job(array_job("run-over", shards=20, owner="red"), TaskSet(20))
     leader.cluster.add_ended_job(array_job("run-over-ordinary", shards=20, owner="red", reclaimable=False), TaskSet(20))
     leader.cluster.failover.set_all_ended_known(True)
-    heard = [n for n in leader.names if n not in silent]
-    leader.all_send_heartbeats(heard)
-    leader.all_send_heartbeats(heard)
+    reporting = [n for n in leader.names if n not in silent]
+    leader.all_send_heartbeats(reporting)
+    leader.all_send_heartbeats(reporting)
     leader.add(array_job("run-new", shards=700, owner="red"))
     leader.run_cycle()
     jobs = leader.cluster.jobs
-    assert not jobs["run-old"].bound, "its tasks may be running there"
-    assert len(jobs["run-ordinary"].bound) == 40, "a spot machine can't hold them"
-    assert len(jobs["run-new"].bound) == 600 - 40 - 40 - 20, "all that may be running counts toward the limit"
+    assert not jobs["run-old"].bound, "its tasks may be running on the silent machines"
+    assert len(jobs["run-ordinary"].bound) == 40, "the silent machines are spot machines, which can't run them"
+    assert len(jobs["run-new"].bound) == 600 - 40 - 40 - 20, "all tasks that may be running count toward the limit"
     leader.cluster.failover.set_all_ended_known(False)
-    assert leader.cluster.unobserved("red") == (50 * 16.0, 0.0), "and the whole machines if that can't be told"
+    assert leader.cluster.unobserved("red") == (50 * 16.0, 0.0), (
+        "the full capacity of the machines if their possible tasks are not known"
+    )
 
 
-def test_a_job_that_ends_unseen_still_counts_toward_its_teams_limit() -> None:
+def test_ended_job_with_unobserved_tasks_counts_toward_team_limit() -> None:
     leader = LeaderInMemory(60, registered=True)
     leader.add(array_job("run-old", shards=200, owner="red"), old=True)
     leader.cluster.failover.set_all_ended_known(True)
@@ -100,7 +102,7 @@
     assert not leader.cluster.failover.unconfirmed and leader.cluster.unobserved("red") == (0.0, 0.0)
 
 
-def test_a_damaged_or_older_registry_entry_reserves_whatever_may_run_there() -> None:
+def test_malformed_or_old_registry_entry_reserves_all_tasks_it_may_run() -> None:
     leader = LeaderInMemory(60)
     for number, entry in enumerate(({"f": "std", "a": "10.1.9.9:9000"}, None, {"f": 7, "z": 7, "s": 7})):
         leader.cluster.failover.expect_machines([(f"m-old-{number}", entry)])
@@ -108,13 +110,13 @@
             array_job(f"run-{number}", shards=10, owner="red", flavours=["std"], region="a", reclaimable=False), True
         )
         assert not leader.cluster.failover.reconciled(leader.cluster.jobs[f"run-{number}"])
-    assert leader.cluster.unobserved("red")[0] > 1000, "of a type that is not known the size is not known either"
+    assert leader.cluster.unobserved("red")[0] > 1000, "the size of a machine of an unknown type is unknown too"
     leader.cluster.failover.set_all_ended_known(True)
     assert leader.cluster.unobserved("red") == (30.0, 0.0)
 
 
-class _Silent(Client):
-    """A machine that hangs: calls run into their time-out."""
+class _HungClient(Client):
+    """A client of a hung machine: every call times out."""
 
     asked: list[float]
 
@@ -126,13 +128,13 @@
         raise NoAnswerError("hangs")
 
 
-def test_probes_of_silent_machines_back_off_and_leave_capacity_for_starts() -> None:
+def test_probes_of_silent_machines_back_off_and_leave_capacity_for_commands() -> None:
     asked: list[float] = []
 
     def client(addr: str) -> Client:
-        made = _Silent(addr)
-        made.asked = asked
-        return made
+        hung_client = _HungClient(addr)
+        hung_client.asked = asked
+        return hung_client
 
     async def main() -> None:
         leader = LeaderInMemory(300, registered=True)
@@ -151,8 +153,8 @@
     assert len(asked) <= 300 * 5
 
 
-def test_a_registry_of_all_machines_fits_the_smallest_value() -> None:
-    """Its parts hold machines of the past as well until they are proved empty."""
+def test_registry_of_all_machines_fits_smallest_value_limit() -> None:
+    """The registry's parts also hold former machines until these are known to run no tasks."""
 
     parts: dict[str, dict[str, object]] = {}
     for number in range(2 * MACHINES):
@@ -162,7 +164,7 @@
     assert max(len(msgspec.json.encode(p)) for p in parts.values()) < 8 * 1024 - 100
 
 
-def test_a_failover_costs_each_job_the_same_however_many_there_are() -> None:
+def test_failover_cost_per_job_does_not_grow_with_jobs() -> None:
 
     def calls(jobs: int) -> float:
         watch_cache = WatchCache.__new__(WatchCache)
@@ -171,12 +173,12 @@
         for number in range(jobs):
             watch_cache.apply_change(job_key(f"run-{number}"), {"n": 0}, number + 1, True)
             watch_cache.apply_change(chunk_key(f"run-{number}", 0), "", number + 1, True)
-        found: Callable[[], object] = lambda: [watch_cache.chunks(job_id) for job_id, _, _ in watch_cache.jobs()]  # noqa: E731
-        steps = 0
+        list_chunks: Callable[[], object] = lambda: [watch_cache.chunks(job_id) for job_id, _, _ in watch_cache.jobs()]  # noqa: E731
+        chunk_keys = 0
         for job_id, _, _ in watch_cache.jobs():
-            steps += len(watch_cache._chunk_keys[job_id])
-        assert steps == jobs
-        return count_calls(found) / jobs
+            chunk_keys += len(watch_cache._chunk_keys[job_id])
+        assert chunk_keys == jobs
+        return count_calls(list_chunks) / jobs
 
     assert calls(900) <= 1.1 * calls(100)
 
