--- a/tests/scenarios/test_job_lifecycle.py
+++ b/tests/scenarios/test_job_lifecycle.py
@@ -1,4 +1,4 @@
-"""A job from its submission to its end."""
+"""Jobs from submission to completion or cancellation."""
 
 import trio
 
@@ -6,7 +6,7 @@
 from tests.simulation import SimulatedCluster, job, run_scenario
 
 
-def test_a_job_runs_to_its_end_and_stays_done() -> None:
+def test_job_completes_and_stays_done() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         assert await simulation.submit(job("run-1", shards=5)) == 201
         await simulation.until_phase("run-1", "done")
@@ -15,12 +15,12 @@
         assert await simulation.submit(job("run-1", shards=5)) == 200
         await trio.sleep(40)
         assert len(simulation.starts) == 5
-        assert simulation.cloud.machines == {}, "idle machines go back"
+        assert simulation.cloud.machines == {}, "idle machines are returned"
 
     run_scenario(scenario)
 
 
-def test_cancelled_services_go_and_stay_gone() -> None:
+def test_cancelled_service_stops_and_stays_cancelled() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-s", shape="standing", shards=4, scatter=True, expectedRunS=0.0))
         await simulation.until(lambda: len(simulation.running("run-s")) == 4)
@@ -33,7 +33,7 @@
     run_scenario(scenario)
 
 
-def test_limits_hold_and_what_waits_runs_later() -> None:
+def test_job_over_team_limit_waits_and_completes_later() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-1", shards=12))
         await simulation.submit(job("run-2", shards=6, owner="blue"))
@@ -45,7 +45,7 @@
     run_scenario(scenario, teams=[Team("red", cpus_max=8.0), Team("blue")])
 
 
-def test_a_job_of_a_hundred_thousand_tasks_is_kept_in_parts() -> None:
+def test_progress_of_very_large_job_survives_failover() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-big", shards=100_000, vcpus=0.5, memoryGb=0.5, expectedRunS=1.0))
         await simulation.until(lambda: len(simulation.finished) > 500, 120)
