--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -1,5 +1,7 @@
-"""4,000 machines with jobs in proportion: what each event costs is counted in calls of the package's own functions, in
-messages and in entries, and must not grow with the fleet. The verdict is the same on every machine and every time."""
+"""A fleet of 4,000 machines with jobs in proportion: the cost of each event must not grow with the fleet.
+
+Cost is counted in calls of the package's own functions, in messages and in entries, so that results do not depend on
+the machine that runs the tests."""
 
 from collections.abc import Callable
 
@@ -24,7 +26,8 @@
 
 
 def busy_leader(machines: int, memory_gb: float) -> LeaderInMemory:
-    """Half of all CPUs are in use, with one job for eight machines; `memory_gb` of a task limits how many share one."""
+    """A leader with half of all CPUs in use and one job per eight machines. `memory_gb` per task limits how many tasks
+    share a machine."""
     leader = LeaderInMemory(machines)
     leader.all_send_heartbeats()
     leader.all_send_heartbeats()
@@ -42,22 +45,22 @@
 
 @pytest.fixture(scope="module")
 def leaders() -> dict[int, LeaderInMemory]:
-    """A small and a large fleet; each test leaves them busy and settled."""
+    """A small and a large fleet, shared by tests: each test leaves them as busy as before, with no pending changes."""
     return {machines: busy_leader(machines, 64.0 / TASKS_PER_MACHINE) for machines in (SMALL, LARGE)}
 
 
-def same_cost(calls: Callable[[LeaderInMemory], int], leaders: dict[int, LeaderInMemory]) -> int:
-    """The cost of an event in the large fleet, which is that in the small one."""
+def check_same_cost(calls: Callable[[LeaderInMemory], int], leaders: dict[int, LeaderInMemory]) -> int:
+    """Checks that an event costs the same in both fleets. Returns its cost in the large one."""
     small, large = (calls(leaders[machines]) for machines in (SMALL, LARGE))
     assert large <= 1.1 * small + 5, (small, large)
     return large
 
 
-# --- steady ---
+# --- steady state ---
 
 
-def test_a_heartbeat_a_start_and_an_end_cost_the_same_in_a_large_fleet(leaders: dict[int, LeaderInMemory]) -> None:
-    def report(leader: LeaderInMemory) -> int:
+def test_cost_of_heartbeat_start_and_end_does_not_grow_with_fleet(leaders: dict[int, LeaderInMemory]) -> None:
+    def heartbeat(leader: LeaderInMemory) -> int:
         name = next(name for name in leader.names if len(leader.tasks[name]) == TASKS_PER_MACHINE)
         return count_calls(lambda: leader.send_heartbeat(name))
 
@@ -73,19 +76,19 @@
         leader.cluster.end_job("run-new")
         return cost + count_calls(leader.run_cycle)
 
-    assert same_cost(report, leaders) < 80
-    assert same_cost(start, leaders) < 400
-    assert same_cost(end, leaders) < 250
+    assert check_same_cost(heartbeat, leaders) < 80
+    assert check_same_cost(start, leaders) < 400
+    assert check_same_cost(end, leaders) < 250
 
 
-def test_a_scheduling_cycle_without_changes_asks_nobody(leaders: dict[int, LeaderInMemory]) -> None:
-    assert same_cost(lambda leader: count_calls(leader.run_cycle), leaders) < 60
+def test_cost_of_cycle_without_changes_does_not_grow_with_fleet(leaders: dict[int, LeaderInMemory]) -> None:
+    assert check_same_cost(lambda leader: count_calls(leader.run_cycle), leaders) < 60
 
 
-def test_an_unschedulable_job_costs_a_scheduling_cycle_the_same(leaders: dict[int, LeaderInMemory]) -> None:
-    """Nobody has 16 CPUs free; what is too full is never asked."""
+def test_cost_of_unschedulable_job_does_not_grow_with_fleet(leaders: dict[int, LeaderInMemory]) -> None:
+    """No machine has 16 CPUs free; machines without enough free CPUs are not even checked."""
 
-    def wait(leader: LeaderInMemory) -> int:
+    def add_unschedulable(leader: LeaderInMemory) -> int:
         leader.add(array_job("run-large", shards=1, vcpus=16.0, owner="blue", rank="best_effort"))
         cost = count_calls(leader.run_cycle)
         assert leader.scheduler.unschedulable["run-large"].count == 1
@@ -93,42 +96,42 @@
         leader.run_cycle()
         return cost
 
-    assert same_cost(wait, leaders) < 200
+    assert check_same_cost(add_unschedulable, leaders) < 200
 
 
 # --- loss of a zone ---
 
 
-def test_a_zone_with_half_of_4000_machines_is_lost_in_stretches() -> None:
+def test_loss_of_zone_with_half_of_machines_is_handled_in_batches() -> None:
     leader = busy_leader(LARGE, 3.0)
-    dark = {name for name in leader.names if leader.zone(name) == "a"}
-    others = [name for name in leader.names if name not in dark]
-    lost_tasks = sum(len(leader.tasks[name]) for name in dark)
+    lost = {name for name in leader.names if leader.zone(name) == "a"}
+    others = [name for name in leader.names if name not in lost]
+    lost_tasks = sum(len(leader.tasks[name]) for name in lost)
     assert lost_tasks > 15_000
     while leader.now < LOSS_S + 0.3:
         leader.now += 1.0
         leader.all_send_heartbeats(others)
         if leader.now > OVERDUE_S + 1.0:
             leader.cluster.expire_leases(leader.now)
-            assert len(leader.cluster.index.ready) <= len(others), "no new work goes where silence began"
-    stretches, declared = [], len([m for m in leader.cluster.machines.values() if m.lease_expired])
-    assert declared < 100
+            assert len(leader.cluster.index.ready) <= len(others), "silent machines get no new tasks"
+    batch_sizes, declared_lost = [], len([m for m in leader.cluster.machines.values() if m.lease_expired])
+    assert declared_lost < 100
     while batch := leader.cluster.expire_leases(leader.now):
-        stretches.append(sum(len(leader.tasks[machine.name]) for machine in batch))
-        declared += len(batch)
-    assert declared == len(dark) and max(stretches) <= constants.EXPIRE_TASKS + TASKS_PER_MACHINE * 2
-    assert len(stretches) <= lost_tasks / constants.EXPIRE_TASKS + 2
+        batch_sizes.append(sum(len(leader.tasks[machine.name]) for machine in batch))
+        declared_lost += len(batch)
+    assert declared_lost == len(lost) and max(batch_sizes) <= constants.EXPIRE_TASKS + TASKS_PER_MACHINE * 2
+    assert len(batch_sizes) <= lost_tasks / constants.EXPIRE_TASKS + 2
     waiting = sum(job.waiting for job in leader.cluster.jobs.values())
     assert waiting == lost_tasks
     leader.run_cycle()
-    assert sum(job.waiting for job in leader.cluster.jobs.values()) == 0, "the other zone had room for all"
+    assert sum(job.waiting for job in leader.cluster.jobs.values()) == 0, "the other zone has room for all"
 
 
 # --- change of leader ---
 
 
-class _Answering(Client):
-    """A worker that answers probes; half of the machines hang."""
+class _HalfHungClient(Client):
+    """A client of workers: odd-numbered machines hang, the others answer probes."""
 
     asked: dict[str, int]
 
@@ -158,13 +161,13 @@
 
 
 @pytest.mark.parametrize("machines", [LARGE, 2 * LARGE])
-def test_a_new_leader_probes_each_machine_once_and_hanging_ones_ever_less(machines: int) -> None:
+def test_new_leader_probes_each_machine_and_backs_off_from_hung_ones(machines: int) -> None:
     asked: dict[str, int] = {}
 
     def client(addr: str) -> Client:
-        made = _Answering(addr)
-        made.asked = asked
-        return made
+        worker_client = _HalfHungClient(addr)
+        worker_client.asked = asked
+        return worker_client
 
     async def main() -> None:
         leader = LeaderInMemory(machines, registered=True)
@@ -183,11 +186,11 @@
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
     answering = [count for addr, count in asked.items() if int(addr.split(".")[3].partition(":")[0]) % 2 == 0]
-    assert set(answering) == {2}, "one question for its state, one that shows the token"
+    assert set(answering) == {2}, "one call for its state, one that shows the fencing token"
     assert sum(asked.values()) <= machines + machines // 2 * 5
 
 
-def test_a_failover_costs_each_machine_the_same_in_a_large_fleet() -> None:
+def test_failover_cost_per_machine_does_not_grow_with_fleet() -> None:
     def cost(machines: int) -> float:
         leader = LeaderInMemory(machines, registered=True)
         for number in range(machines // MACHINES_PER_JOB):
@@ -200,7 +203,7 @@
     assert cost(LARGE) <= 1.1 * cost(SMALL)
 
 
-def test_what_jobs_lately_over_left_costs_each_machine_the_same_in_a_large_fleet() -> None:
+def test_cost_of_tasks_left_by_ended_jobs_does_not_grow_with_fleet() -> None:
     def cost(machines: int) -> float:
         leader = LeaderInMemory(machines, registered=True, teams=[Team("red", cpus_max=float(machines))])
         tasks = 2 * MACHINES_PER_JOB
@@ -210,9 +213,9 @@
         for number, name in enumerate(leader.names):
             job_id, index = f"run-{number // MACHINES_PER_JOB}", 2 * (number % MACHINES_PER_JOB)
             leader.tasks[name] = {(f"{job_id}/{index + more}", 1): "running" for more in (0, 1)}
-        assert leader.cluster.team_use("red").total.cpus == 2.0 * machines, "as many as may be left of these jobs"
+        assert leader.cluster.team_use("red").total.cpus == 2.0 * machines, "all tasks that may be left of these jobs"
         calls = count_calls(lambda: leader.all_send_heartbeats(leader.names))
-        assert leader.cluster.team_use("red").total.cpus == 2.0 * machines, "all are found, and none is gone yet"
+        assert leader.cluster.team_use("red").total.cpus == 2.0 * machines, "all are found, and none has ended yet"
         leader.all_send_heartbeats(leader.names)
         assert leader.cluster.team_use("red").total.cpus == 0.0
         return calls / machines
@@ -224,21 +227,21 @@
 
 
 @pytest.mark.parametrize("machines", [LARGE, 2 * LARGE])
-def test_machines_that_come_up_together_are_registered_at_the_smallest_stores_rate(machines: int) -> None:
-    """In values of 8 KiB, of which one holds some 60 machines: the parts go on in further keys, and each machine is
-    written once."""
+def test_machines_starting_together_are_registered_within_store_limits(machines: int) -> None:
+    """With values of 8 KiB, which hold about 60 machines each, the registry's parts continue in further keys, and each
+    machine is written once."""
 
     async def main() -> None:
         leader = LeaderInMemory(machines)
         async with trio.open_nursery() as nursery:
-            net, fake = FakeNet(nursery), FakeStore(txn_ops=40, value_kb=8.0)
-            fake.lower_limits(8.0, 40, 50.0)
-            net.handlers["store"] = fake.handle
+            net, fake_store = FakeNet(nursery), FakeStore(txn_ops=40, value_kb=8.0)
+            fake_store.lower_limits(8.0, 40, 50.0)
+            net.handlers["store"] = fake_store.handle
             store = KeyValueStore(net.client("n0")("store"), StateLimits(150.0, 50.0, 8.0, 40), 3)
             store.set_leading(True)
             watch_cache = WatchCache(store, 60.0)
             nursery.start_soon(watch_cache.run)
-            fake.kv["s/leader"] = ({"label": "n0"}, TERM, None)
+            fake_store.kv["s/leader"] = ({"label": "n0"}, TERM, None)
             for name in leader.names:
                 leader.send_heartbeat(name)
                 leader.send_heartbeat(name)
@@ -247,8 +250,8 @@
                 await writer.step()
                 await trio.sleep(constants.WRITER_TICK_S)
             assert len(leader.cluster.index.ready) == machines and trio.current_time() < 20.0
-            assert not fake.refusals
-            entries = [name for key, (value, _, _) in fake.kv.items() if key.startswith("s/m/") for name in value]
+            assert not fake_store.refusals
+            entries = [name for key, (value, _, _) in fake_store.kv.items() if key.startswith("s/m/") for name in value]
             assert sorted(entries) == leader.names
             nursery.cancel_scope.cancel()
 
