--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -1,4 +1,4 @@
-"""Jobs that start together or not at all."""
+"""Gangs: jobs whose tasks start together or not at all."""
 
 import random
 from typing import Any
@@ -14,108 +14,110 @@
 from tests.simulation import SimulatedCluster, job, run_scenario
 
 
-def group(name: str, **fields: Any) -> dict[str, Any]:
+def gang_job(name: str, **fields: Any) -> dict[str, Any]:
     base = {"shape": "group", "oneZone": True, "shards": 6, "expectedRunS": 20.0}
     return job(name, **{**base, **fields})
 
 
-def saving(name: str, **fields: Any) -> dict[str, Any]:
-    return group(name, **{"snapshotEveryS": 8.0, "snapshotCostS": 2.0, "expectedRunS": 40.0, **fields})
+def checkpointing_gang(name: str, **fields: Any) -> dict[str, Any]:
+    return gang_job(name, **{"snapshotEveryS": 8.0, "snapshotCostS": 2.0, "expectedRunS": 40.0, **fields})
 
 
-async def runs(simulation: SimulatedCluster, job_id: str, limit: float = 60.0) -> list[str]:
-    """Until all tasks run, as the workers tell it; the machines they are on."""
+async def until_all_running(simulation: SimulatedCluster, job_id: str, limit: float = 60.0) -> list[str]:
+    """Waits until the workers run all tasks of the job. Returns the machines of the tasks."""
     shards: int = simulation.specs[job_id]["shards"]
 
-    def whole() -> bool:
+    def all_running() -> bool:
         tasks = [t for w in simulation.workers.values() for (s, _), t in w.tasks.items() if s.startswith(job_id + "/")]
         return sum(1 for t in tasks if t["phase"] == "running") == shards
 
-    await simulation.until(whole, limit)
+    await simulation.until(all_running, limit)
     return sorted({machine for _, machine in simulation.running(job_id)})
 
 
-def test_a_gang_runs_as_one_and_needs_the_whole_limit_of_its_team() -> None:
+def test_gang_runs_as_a_whole_and_must_fit_team_limit() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        assert await simulation.submit(group("run-g")) == 201
-        assert await simulation.submit(group("run-big", shards=11)) == 422, "22 CPUs of 20, together"
-        assert await simulation.submit(group("run-bad", oneZone=None)) == 400
-        await runs(simulation, "run-g")
+        assert await simulation.submit(gang_job("run-g")) == 201
+        assert await simulation.submit(gang_job("run-big", shards=11)) == 422, (
+            "the gang needs 22 CPUs, and the limit is 20"
+        )
+        assert await simulation.submit(gang_job("run-bad", oneZone=None)) == 400
+        await until_all_running(simulation, "run-g")
         await simulation.until_phase("run-g", "running", 3)
         await simulation.until_phase("run-g", "done")
-        assert await simulation.submit(group("run-g")) == 200
+        assert await simulation.submit(gang_job("run-g")) == 200
         assert len(simulation.gangs.begun) == 1 and simulation.gangs.reasons == ["done"] * 6
 
     run_scenario(scenario, teams=[Team("red", cpus_max=20.0)])
 
 
-def test_waiting_tasks_are_not_running_to_users() -> None:
+def test_gang_tasks_waiting_for_others_are_not_reported_as_running() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 2
         await simulation.submit(job("run-warm", shards=8, expectedRunS=1.0))
         await simulation.until(lambda: len(simulation.workers) >= 2, 60)
-        slow = sorted(simulation.workers)[1]
-        simulation.workers[slow].pull_rate = 0.02
-        await simulation.submit(group("run-g", shards=8, sizeGb=0.4, bundle="other", oneZone=False))
+        slow_machine = sorted(simulation.workers)[1]
+        simulation.workers[slow_machine].pull_rate = 0.02
+        await simulation.submit(gang_job("run-g", shards=8, sizeGb=0.4, bundle="other", oneZone=False))
         await simulation.until(
             lambda: any(t["phase"] == "waiting" for w in simulation.workers.values() for t in w.tasks.values())
         )
         await trio.sleep(8)
         assert (await simulation.poll("run-g"))[1] == {"uid": "run-g", "phase": "pending", "done": 0, "running": 0}
-        await runs(simulation, "run-g")
+        await until_all_running(simulation, "run-g")
         await simulation.until_phase("run-g", "done")
 
     run_scenario(scenario)
 
 
-def test_a_gang_that_loses_a_machine_restarts_as_a_whole() -> None:
+def test_gang_restarts_as_a_whole_after_machine_failure() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(saving("run-g"))
-        machines = await runs(simulation, "run-g")
+        await simulation.submit(checkpointing_gang("run-g"))
+        machines = await until_all_running(simulation, "run-g")
         await trio.sleep(11)
         simulation.kill_machine(machines[0])
         await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
-        assert simulation.gangs.saved["run-g"] >= 8, "from the last checkpoint"
+        assert simulation.gangs.saved["run-g"] >= 8, "it resumes from the last checkpoint"
         await simulation.until_phase("run-g", "done")
-        assert len({n for _, n in simulation.gangs.begun}) == 2, "each start has a number of its own"
+        assert len({n for _, n in simulation.gangs.begun}) == 2, "each start of the gang has its own attempt number"
         _, answer = await simulation.ask("n0", "GET", "/v2/runs/run-g/why")
         assert any("started anew" in note or "not whole" in note for note in answer["why"])
 
     run_scenario(scenario)
 
 
-def test_a_machine_that_dies_before_the_start_costs_no_more_than_a_new_start() -> None:
+def test_machine_failure_before_gang_start_only_delays_it() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(group("run-g", sizeGb=4.0))
+        await simulation.submit(gang_job("run-g", sizeGb=4.0))
         await simulation.until(lambda: sum(1 for w in simulation.workers.values() for _ in w.tasks) == 6)
-        victim = next(n for n, w in simulation.workers.items() if w.tasks)
-        simulation.kill_machine(victim)
+        failed_machine = next(n for n, w in simulation.workers.items() if w.tasks)
+        simulation.kill_machine(failed_machine)
         await simulation.until_phase("run-g", "done", 120)
         assert len(simulation.gangs.begun) == 1
 
     run_scenario(scenario)
 
 
-def test_a_spot_reclaim_notice_for_one_machine_checkpoints_the_whole_gang() -> None:
+def test_spot_reclaim_notice_for_one_machine_checkpoints_whole_gang() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(saving("run-g", reclaimable=True, expectedRunS=60.0, snapshotEveryS=40.0))
-        machines = await runs(simulation, "run-g")
+        await simulation.submit(checkpointing_gang("run-g", reclaimable=True, expectedRunS=60.0, snapshotEveryS=40.0))
+        machines = await until_all_running(simulation, "run-g")
         await trio.sleep(10)
         simulation.workers[machines[0]].spot_reclaim_at = trio.current_time() + 12
         await trio.sleep(12)
         simulation.kill_machine(machines[0])
-        assert simulation.gangs.saved.get("run-g", 0) > 10, "in order, and as late as is safe"
+        assert simulation.gangs.saved.get("run-g", 0) > 10, "stopped in order, with a checkpoint as late as is safe"
         assert simulation.gangs.reasons == ["halted"] * 6
         await simulation.until_phase("run-g", "done", 200)
 
     run_scenario(scenario)
 
 
-def test_production_preempts_a_gang_as_a_whole_but_arrays_first() -> None:
+def test_production_preempts_arrays_before_a_whole_gang() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 3
-        await simulation.submit(group("run-g", shards=4, rank="best_effort", expectedRunS=300.0, oneZone=False))
-        await runs(simulation, "run-g")
+        await simulation.submit(gang_job("run-g", shards=4, rank="best_effort", expectedRunS=300.0, oneZone=False))
+        await until_all_running(simulation, "run-g")
         await simulation.submit(job("run-a", shards=8, rank="best_effort", expectedRunS=300.0))
         await simulation.until(lambda: len(simulation.running("run-a")) == 8)
         await simulation.submit(job("run-s", shape="standing", shards=2, rank="prod", expectedRunS=0.0))
@@ -128,36 +130,36 @@
     run_scenario(scenario)
 
 
-def test_a_gang_is_preempted_as_a_whole_or_not_at_all() -> None:
+def test_gang_preempts_only_if_all_its_tasks_then_fit() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 2
         await simulation.submit(job("run-low", shards=8, rank="best_effort", expectedRunS=300.0))
         await simulation.until(lambda: len(simulation.running("run-low")) == 8)
-        await simulation.submit(group("run-huge", shards=6, vcpus=4.0, owner="blue"))
+        await simulation.submit(gang_job("run-huge", shards=6, vcpus=4.0, owner="blue"))
         await trio.sleep(10)
-        assert len(simulation.running("run-low")) == 8, "twelve CPUs more than there are: nothing is stopped in vain"
+        assert len(simulation.running("run-low")) == 8, "the gang needs 24 CPUs of 16: nothing is preempted in vain"
         await simulation.cancel("run-huge")
-        await simulation.submit(group("run-g", shards=3, owner="blue", oneZone=False))
-        await runs(simulation, "run-g", 15)
+        await simulation.submit(gang_job("run-g", shards=3, owner="blue", oneZone=False))
+        await until_all_running(simulation, "run-g", 15)
 
     run_scenario(scenario, teams=[Team("red"), Team("blue", cpus=16.0)])
 
 
-def test_a_stream_of_small_tasks_does_not_starve_a_gang_nor_the_gang_them() -> None:
+def test_gang_and_stream_of_small_jobs_do_not_starve_each_other() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 4
 
-        async def stream() -> None:
+        async def submit_small_jobs() -> None:
             for number in range(200):
                 await simulation.submit(job(f"run-{number}", shards=2, expectedRunS=6.0))
                 await trio.sleep(0.8)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(stream)
+            nursery.start_soon(submit_small_jobs)
             await trio.sleep(40)
             began = trio.current_time()
-            await simulation.submit(group("run-g", shards=8, expectedRunS=30.0))
-            await runs(simulation, "run-g", 240)
+            await simulation.submit(gang_job("run-g", shards=8, expectedRunS=30.0))
+            await until_all_running(simulation, "run-g", 240)
             assert trio.current_time() - began < 200
             before = len(simulation.finished)
             await simulation.until_phase("run-g", "done")
@@ -167,13 +169,13 @@
     run_scenario(scenario)
 
 
-def test_a_cancelled_gang_ends_in_time_also_while_it_waits_or_checkpoints() -> None:
+def test_cancelled_gang_stops_in_time_while_running_or_waiting() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(saving("run-g"))
-        await runs(simulation, "run-g")
+        await simulation.submit(checkpointing_gang("run-g"))
+        await until_all_running(simulation, "run-g")
         await simulation.cancel("run-g")
         await simulation.until(lambda: not simulation.running("run-g"), 5)
-        await simulation.submit(group("run-w", sizeGb=20.0))
+        await simulation.submit(gang_job("run-w", sizeGb=20.0))
         await simulation.until(
             lambda: any(k[0].startswith("run-w/") for w in simulation.workers.values() for k in w.tasks)
         )
@@ -184,10 +186,10 @@
     run_scenario(scenario)
 
 
-def test_one_done_completes_the_gang_though_the_others_die() -> None:
+def test_gang_is_done_if_one_task_is_done_and_others_are_lost() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(group("run-g", shards=4, vcpus=4.0))
-        machines = await runs(simulation, "run-g")
+        await simulation.submit(gang_job("run-g", shards=4, vcpus=4.0))
+        machines = await until_all_running(simulation, "run-g")
         assert len(machines) == 2
         await trio.sleep(15)
         simulation.net.hold_request = lambda src, dst, request: src == machines[0]
@@ -201,7 +203,7 @@
     run_scenario(scenario)
 
 
-def test_a_failover_with_half_of_the_starts_sent_starts_no_second_attempt_beside_the_first() -> None:
+def test_failover_with_half_of_starts_sent_starts_gang_once() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-warm", shards=12, expectedRunS=1.0))
         await simulation.until_phase("run-warm", "done")
@@ -211,31 +213,31 @@
         simulation.net.hold_request = lambda src, dst, request: (
             src == leader and dst in lost and request.path == "/commands"
         )
-        await simulation.submit(group("run-g", shards=8, oneZone=False))
+        await simulation.submit(gang_job("run-g", shards=8, oneZone=False))
         await simulation.until(
             lambda: any(k[0].startswith("run-g/") for w in simulation.workers.values() for k in w.tasks)
         )
         simulation.kill(leader)
         simulation.net.hold_request = lambda src, dst, request: False
         await trio.sleep(3)
-        simulation.net.release()  # the late starts come while nobody leads, or a new one does
+        simulation.net.release()  # the delayed start commands arrive while there is no leader or a new one
         await simulation.until_phase("run-g", "done", 120)
         assert len(simulation.gangs.begun) == 1
 
     run_scenario(scenario)
 
 
-def test_a_leader_that_dies_while_it_checkpoints_a_gang_leaves_it_to_its_successor() -> None:
-    """The next leader finds some saving and some running; nothing runs twice and the gang goes on."""
+def test_gang_continues_after_leader_crash_during_its_checkpoint() -> None:
+    """The new leader finds some tasks saving and some running; no task may run twice, and the gang must continue."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(saving("run-g", snapshotCostS=4.0, expectedRunS=60.0))
-        machines = await runs(simulation, "run-g")
+        await simulation.submit(checkpointing_gang("run-g", snapshotCostS=4.0, expectedRunS=60.0))
+        machines = await until_all_running(simulation, "run-g")
         leader = await simulation.until_leader()
         node = simulation.nodes[leader]
         assert node.cluster is not None
-        other = machines[-1]
-        simulation.net.hold_request = lambda src, dst, request: dst == other and src == leader
+        unreached_machine = machines[-1]
+        simulation.net.hold_request = lambda src, dst, request: dst == unreached_machine and src == leader
         attempt = next(iter(node.cluster.gangs["run-g"].bound.values()))
         node.cluster.stop(attempt, "for the story")
         await trio.sleep(1.2)
@@ -248,19 +250,19 @@
     run_scenario(scenario)
 
 
-def test_a_hung_machine_and_a_one_way_partition_cost_a_restart_and_no_rule() -> None:
+def test_gang_restarts_after_hung_machine_and_one_way_partition() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(saving("run-g"))
-        machines = await runs(simulation, "run-g")
+        await simulation.submit(checkpointing_gang("run-g"))
+        machines = await until_all_running(simulation, "run-g")
         simulation.workers[machines[0]].hung = True
         await trio.sleep(8)
         assert set(simulation.gangs.reasons) == {"peers"}
         simulation.workers[machines[0]].hung = False
         await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
-        machines = await runs(simulation, "run-g")
-        hears_no_worker = machines[0]
-        simulation.net.drop_answers = lambda src, dst, request: src == hears_no_worker and request.path == "/hello"
-        simulation.net.hold_request = lambda src, dst, request: dst == hears_no_worker
+        machines = await until_all_running(simulation, "run-g")
+        unreachable = machines[0]
+        simulation.net.drop_answers = lambda src, dst, request: src == unreachable and request.path == "/hello"
+        simulation.net.hold_request = lambda src, dst, request: dst == unreachable
         await trio.sleep(25)
         simulation.net.drop_answers = lambda src, dst, request: False
         simulation.net.hold_request = lambda src, dst, request: False
@@ -269,22 +271,22 @@
     run_scenario(scenario)
 
 
-def test_exits_with_peers_or_alone_count_as_no_failure() -> None:
+def test_exits_with_cause_peers_or_alone_are_not_failures() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.gangs.wait_s = 3.0
         await simulation.submit(job("run-warm", shards=8, expectedRunS=1.0))
         await simulation.until_phase("run-warm", "done")
         for worker in list(simulation.workers.values())[1:]:
             worker.pull_rate = 0.05
-        await simulation.submit(group("run-g", shards=8, bundle="other", oneZone=False))
+        await simulation.submit(gang_job("run-g", shards=8, bundle="other", oneZone=False))
         await simulation.until(lambda: "alone" in simulation.gangs.reasons, 60)
         leader = simulation.nodes[await simulation.until_leader()]
         await trio.sleep(2)
         assert leader.cluster is not None
-        held = leader.cluster.gangs["run-g"]
+        gang = leader.cluster.gangs["run-g"]
         assert (
-            not held.avoid
-            and not held.failures.failures
+            not gang.avoid
+            and not gang.failures.failures
             and not any(h.quarantined for h in leader.cluster.machines.values())
         )
         for worker in simulation.workers.values():
@@ -295,12 +297,12 @@
     run_scenario(scenario)
 
 
-def test_a_new_attempt_waits_for_the_old_one_and_for_its_zone() -> None:
-    """A task of the old attempt on a machine that is cut off holds the zone until it is proved gone."""
+def test_new_gang_attempt_waits_until_old_one_is_gone() -> None:
+    """A task of the old attempt on a partitioned machine ties the gang to its zone until it is known to be gone."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(group("run-g", shards=6, expectedRunS=60.0))
-        machines = await runs(simulation, "run-g")
+        await simulation.submit(gang_job("run-g", shards=6, expectedRunS=60.0))
+        machines = await until_all_running(simulation, "run-g")
         simulation.cut_machine(machines[0])
         began = trio.current_time()
         await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
@@ -311,10 +313,10 @@
     run_scenario(scenario)
 
 
-def test_a_damaged_heartbeat_or_record_of_one_gang_never_stops_the_rest() -> None:
+def test_malformed_heartbeat_or_record_of_gang_does_not_affect_others() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await simulation.submit(group("run-g"))
-        await runs(simulation, "run-g")
+        await simulation.submit(gang_job("run-g"))
+        await until_all_running(simulation, "run-g")
         for worker in simulation.workers.values():
             worker.tasks[("run-g/x", 1)] = {"phase": "dreaming", "exitCause": "bored"}
             worker.tasks[("run-g/99", 2)] = {"phase": "dreaming"}
@@ -322,19 +324,18 @@
         simulation.store.kv["s/j/run-odd"] = ({"s": {"shape": "group"}}, simulation.store.rev, None)
         simulation.kill(await simulation.until_leader())
         await simulation.until_phase("run-g", "done")
-        await simulation.submit(group("run-h"))
+        await simulation.submit(gang_job("run-h"))
         await simulation.until_phase("run-h", "done")
 
     run_scenario(scenario)
 
 
-def test_attempt_numbers_of_waiting_gangs_are_not_used_up() -> None:
-    """Guards against this: each search for capacity took an attempt number, some hundreds a second of 16 million a
-    term."""
+def test_waiting_gang_uses_up_no_attempt_numbers() -> None:
+    """Each search for capacity used to take an attempt number: some hundreds per second of the 16 million of a term."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 1
-        await simulation.submit(group("run-g"))
+        await simulation.submit(gang_job("run-g"))
         await trio.sleep(30)
         leader = simulation.nodes[await simulation.until_leader()]
         assert (
@@ -345,42 +346,45 @@
     run_scenario(scenario)
 
 
-def test_capacity_is_kept_ready_for_one_more_gang_where_cost_counts_but_not_for_ever() -> None:
-    """Guards against this: arrays filled every gap, and gangs that should start within seconds waited for 20."""
+def test_capacity_kept_for_next_gang_is_released_to_starved_jobs() -> None:
+    """Where cost is optimised, arrays used to fill every gap, and gangs that should start within seconds waited for
+    20 s. Headroom is now kept for the next gang, but a starved job may use it."""
 
-    kind = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 5.0, ("a", "b"))
-    cluster = ClusterState(1, 0.0, Catalog({"c8": kind}), 11.0, 3.0)
+    machine_type = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 5.0, ("a", "b"))
+    cluster = ClusterState(1, 0.0, Catalog({"c8": machine_type}), 11.0, 3.0)
     for number in range(4):
         machine = cluster.get_or_add_machine(f"m-{number}", "c8", "ab"[number % 2], False, 0.0)
         machine.token_acknowledged = machine.reachable = machine.registered = True
-    aims = [Objective("wait", "ceremony", 8.0), Objective("deadline", "w", times=1.0)]
-    scheduler = Scheduler([Team("red")], aims, random.Random(1), constants.CANDIDATE_SAMPLE)
-    first = cluster.add_job(parse_spec(group("run-g", workload="ceremony", shards=4)), TaskSet(4), 2, False, 0.0, [])
+    objectives = [Objective("wait", "ceremony", 8.0), Objective("deadline", "w", times=1.0)]
+    scheduler = Scheduler([Team("red")], objectives, random.Random(1), constants.CANDIDATE_SAMPLE)
+    first = cluster.add_job(parse_spec(gang_job("run-g", workload="ceremony", shards=4)), TaskSet(4), 2, False, 0.0, [])
     scheduler.run_cycle(cluster, 0.0, lambda: 0.0, 1.0)
     assert len(first.bound) == 4 and len({a.machine.zone for a in first.bound.values()}) == 1
     array = cluster.add_job(parse_spec(job("run-a", shards=40)), TaskSet(40), 3, False, 0.0, [])
     scheduler.run_cycle(cluster, 1.0, lambda: 0.0, 1.0)
-    assert len(array.bound) == 8, "24 CPUs were free; 8 are kept in one zone"
-    second = cluster.add_job(parse_spec(group("run-h", workload="ceremony", shards=4)), TaskSet(4), 4, False, 1.0, [])
+    assert len(array.bound) == 8, "of 24 free CPUs, 8 in one zone are kept for a gang"
+    second = cluster.add_job(
+        parse_spec(gang_job("run-h", workload="ceremony", shards=4)), TaskSet(4), 4, False, 1.0, []
+    )
     scheduler.run_cycle(cluster, 2.0, lambda: 0.0, 1.0)
     assert len(second.bound) == 4
     for attempt in list(second.bound.values()):
         cluster.attempts.remove(attempt)
         cluster.unbind(attempt, 3.0)
     cluster.end_job("run-h")
-    late = cluster.add_job(parse_spec(job("run-b", shards=4)), TaskSet(4), 5, False, 3.0, [])
+    late_array = cluster.add_job(parse_spec(job("run-b", shards=4)), TaskSet(4), 5, False, 3.0, [])
     scheduler.run_cycle(cluster, 4.0, lambda: 0.0, 1.0)
-    assert not late.bound
+    assert not late_array.bound
     scheduler.run_cycle(cluster, 5.0 + constants.STARVATION_S, lambda: 0.0, 1.0)
-    assert late.bound, "what waited too long may take it"
+    assert late_array.bound, "a job that waited too long may use that capacity"
 
 
-def test_a_gang_starts_whole_or_not_at_all() -> None:
+def test_gang_starts_as_a_whole_or_not_at_all() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 1
         await simulation.submit(job("run-g", shape="group", shards=6))
         await trio.sleep(30)
-        assert simulation.running("run-g") == [], "four of six would fit"
+        assert simulation.running("run-g") == [], "only four of six tasks would fit"
         simulation.cloud.capacity = 2
         await simulation.until_phase("run-g", "done")
         attempts = {k for w in simulation.workers.values() for k in w.tasks}
