--- a/tests/scenarios/test_handover.py
+++ b/tests/scenarios/test_handover.py
@@ -1,4 +1,4 @@
-"""Changes of leader, planned and not: who gives what away, what the successor's trace says, how the work goes on."""
+"""Planned and unplanned changes of leader: the handover, its trace at the new leader, and how work continues."""
 
 import pytest
 import trio
@@ -12,7 +12,7 @@
 SETTINGS = MembershipSettings()
 
 
-def status_of(simulation: SimulatedCluster, observer: str, label: str) -> Status:
+def peer_status(simulation: SimulatedCluster, observer: str, label: str) -> Status:
     membership = simulation.nodes[observer].membership
     assert membership is not None
     return membership.view.peers[label].status
@@ -24,37 +24,39 @@
     return membership.handovers()
 
 
-async def busy(simulation: SimulatedCluster) -> str:
-    """A service runs and heartbeats are regular; returns the leader."""
+async def start_busy_cluster(simulation: SimulatedCluster) -> str:
+    """Starts a service and waits until heartbeats are regular. Returns the leader."""
     await simulation.run_service("run-s", shards=4)
     await trio.sleep(10)
     return await simulation.until_leader()
 
 
-async def new_leader(simulation: SimulatedCluster, old: str) -> str:
-    await simulation.until(lambda: simulation.leader() not in (None, old), 15)
+async def until_new_leader(simulation: SimulatedCluster, old_leader: str) -> str:
+    await simulation.until(lambda: simulation.leader() not in (None, old_leader), 15)
     label = simulation.leader()
     assert label is not None
     return label
 
 
-def test_a_leader_that_stops_as_planned_is_followed_within_a_second_and_no_task_notices() -> None:
+def test_planned_stop_hands_over_within_a_second_and_interrupts_no_task() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await busy(simulation)
+        old_leader = await start_busy_cluster(simulation)
         starts = len(simulation.starts)
         began = trio.current_time()
-        simulation.nursery.start_soon(simulation.stop, old)
-        successor = await new_leader(simulation, old)
+        simulation.nursery.start_soon(simulation.stop, old_leader)
+        successor = await until_new_leader(simulation, old_leader)
         assert trio.current_time() - began < 1.0
         await simulation.submit(job("run-a", shards=2))
         await simulation.until_phase("run-a", "done")
-        assert [task for _, task, _ in simulation.starts[starts:]] == ["run-a/0", "run-a/1"], "nothing was started anew"
+        assert [task for _, task, _ in simulation.starts[starts:]] == ["run-a/0", "run-a/1"], (
+            "no running task was restarted"
+        )
         for label in LABELS:
-            if label != old:
-                assert status_of(simulation, label, old) is Status.LEFT
+            if label != old_leader:
+                assert peer_status(simulation, label, old_leader) is Status.LEFT
                 assert not simulation.nodes[label].counts.get("membership_suspected")
         (handover,) = handovers_to(simulation, successor)
-        assert handover.planned and (handover.former, handover.successor) == (old, successor)
+        assert handover.planned and (handover.former, handover.successor) == (old_leader, successor)
         assert handover.suspected_at is handover.confirmed_at is None
         assert began <= handover.begun_at <= handover.key_taken_at <= handover.first_start_at
         assert handover.key_taken_at - began < 1.0
@@ -62,20 +64,20 @@
     run_scenario(scenario, membership=SETTINGS)
 
 
-def test_a_leader_that_dies_is_followed_and_the_trace_says_from_its_last_sign_of_life() -> None:
+def test_handover_trace_after_crash_begins_at_last_heartbeat() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await busy(simulation)
-        died = trio.current_time()
-        simulation.kill(old)
+        old_leader = await start_busy_cluster(simulation)
+        crashed_at = trio.current_time()
+        simulation.kill(old_leader)
         await simulation.submit(job("run-a", shards=2))
-        successor = await new_leader(simulation, old)
+        successor = await until_new_leader(simulation, old_leader)
         await simulation.until_phase("run-a", "done")
         (handover,) = handovers_to(simulation, successor)
-        assert not handover.planned and handover.former == old
-        assert died - SETTINGS.heartbeat_s <= handover.begun_at <= died
-        assert handover.suspected_at is not None and died < handover.suspected_at < handover.key_taken_at
+        assert not handover.planned and handover.former == old_leader
+        assert crashed_at - SETTINGS.heartbeat_s <= handover.begun_at <= crashed_at
+        assert handover.suspected_at is not None and crashed_at < handover.suspected_at < handover.key_taken_at
         lease_s = simulation.nodes[successor].timings.lease_s
-        assert handover.key_taken_at - died < lease_s + 1.0
+        assert handover.key_taken_at - crashed_at < lease_s + 1.0
         assert handover.first_start_at > handover.key_taken_at, "the machine for the new job had to be rented first"
         metrics = (await simulation.ask_raw(successor, "/metrics")).decode()
         assert "sorrelsill_handover_seconds_count 1.0" in metrics
@@ -83,14 +85,14 @@
     run_scenario(scenario, membership=SETTINGS)
 
 
-@pytest.mark.parametrize("dies_after_s", [0.0, 0.05, 0.5])
-def test_a_leader_that_dies_while_it_resigns_is_succeeded_all_the_same(dies_after_s: float) -> None:
+@pytest.mark.parametrize("crash_after_s", [0.0, 0.05, 0.5])
+def test_leader_crash_during_planned_stop_is_followed_by_successor(crash_after_s: float) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await busy(simulation)
-        with trio.move_on_after(dies_after_s):
-            await simulation.stop(old)
-        simulation.kill(old)
-        successor = await new_leader(simulation, old)
+        old_leader = await start_busy_cluster(simulation)
+        with trio.move_on_after(crash_after_s):
+            await simulation.stop(old_leader)
+        simulation.kill(old_leader)
+        successor = await until_new_leader(simulation, old_leader)
         await simulation.submit(job("run-a", shards=2))
         await simulation.until_phase("run-a", "done")
         assert len(simulation.running("run-s")) == 4 and simulation.leader() == successor
@@ -98,24 +100,24 @@
     run_scenario(scenario, membership=SETTINGS)
 
 
-def test_the_successor_dies_just_as_it_takes_over() -> None:
+def test_third_controller_leads_after_successor_crashes_on_takeover() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await busy(simulation)
-        simulation.nursery.start_soon(simulation.stop, old)
-        taker = await new_leader(simulation, old)
-        simulation.kill(taker)
-        third = next(label for label in LABELS if label not in (old, taker))
+        old_leader = await start_busy_cluster(simulation)
+        simulation.nursery.start_soon(simulation.stop, old_leader)
+        first_successor = await until_new_leader(simulation, old_leader)
+        simulation.kill(first_successor)
+        third = next(label for label in LABELS if label not in (old_leader, first_successor))
         await simulation.until(lambda: simulation.leader() == third, 15)
         await simulation.submit(job("run-a", shards=2))
         await simulation.until_phase("run-a", "done")
-        assert handovers_to(simulation, third)[-1].former == taker
+        assert handovers_to(simulation, third)[-1].former == first_successor
 
     run_scenario(scenario, membership=SETTINGS)
 
 
-def test_all_controllers_are_restarted_as_planned_one_after_the_other() -> None:
+def test_planned_rolling_restart_interrupts_no_task() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        await busy(simulation)
+        await start_busy_cluster(simulation)
         starts = len(simulation.starts)
         for label in LABELS:
             await simulation.stop(label)
@@ -123,23 +125,23 @@
             await simulation.until(lambda node=simulation.nodes[label]: node.ready(), 15)  # type: ignore[misc]
             await simulation.until_leader()
             await trio.sleep(5)
-        assert len(simulation.starts) == starts, "no task was started anew"
+        assert len(simulation.starts) == starts, "no task was restarted"
         assert not any(node.counts.get("membership_confirmed") for node in simulation.nodes.values())
         await simulation.wait_for_convergence()
 
     run_scenario(scenario, membership=SETTINGS)
 
 
-def test_a_controller_shut_down_in_an_outage_ends_in_bounded_time_and_never_leads_again() -> None:
+def test_planned_stop_in_outage_is_bounded_and_another_controller_leads() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await busy(simulation)
+        old_leader = await start_busy_cluster(simulation)
         simulation.store.begin_outage()
         began = trio.current_time()
-        await simulation.stop(old)
+        await simulation.stop(old_leader)
         assert trio.current_time() - began < 20
         await trio.sleep(2)
         simulation.store.end_outage()
-        successor = await new_leader(simulation, old)
-        assert successor != old
+        successor = await until_new_leader(simulation, old_leader)
+        assert successor != old_leader
 
     run_scenario(scenario, membership=SETTINGS)
