--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -1,4 +1,4 @@
-"""Leaders that crash, stall, lose their key or their workers, and controllers that are restarted."""
+"""Leaders that crash, stall, are paused or partitioned, or lose their key or their workers."""
 
 import msgspec
 import trio
@@ -11,7 +11,7 @@
 from tests.simulation.recorded_messages import record_messages, send_copy
 
 
-def test_a_leader_crash_costs_no_running_task() -> None:
+def test_leader_crash_interrupts_no_task() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
@@ -24,23 +24,23 @@
         simulation.start(leader)
         await trio.sleep(20)
         assert len(simulation.running("run-s")) == 4
-        assert len(simulation.starts) == before + 2, "nothing was started anew"
+        assert len(simulation.starts) == before + 2, "no running task was restarted"
 
     run_scenario(scenario)
 
 
-def test_a_paused_leader_resumes_and_does_nothing_on_its_stale_leadership() -> None:
+def test_resumed_leader_does_not_act_on_stale_leadership() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
-        old = await simulation.until_leader()
+        old_leader = await simulation.until_leader()
         for other in ("store", "cloud", "n0", "n1", "n2", *simulation.workers):
-            if other != old:
-                simulation.net.cut(old, other)
-        await simulation.until(lambda: simulation.leader() not in (None, old), 15)
-        assert not simulation.nodes[old].elector.valid()
+            if other != old_leader:
+                simulation.net.cut(old_leader, other)
+        await simulation.until(lambda: simulation.leader() not in (None, old_leader), 15)
+        assert not simulation.nodes[old_leader].elector.valid()
         await simulation.submit(job("run-n"))
         await simulation.until_phase("run-n", "done")
-        simulation.net.heal()  # all that was held arrives now: lease renewals, records, commands of the old term
+        simulation.net.heal()  # all held messages arrive now: lease renewals, records and commands of the old term
         await trio.sleep(20)
         leading = [n for n, node in simulation.nodes.items() if node.elector.valid()]
         assert len(leading) == 1
@@ -49,36 +49,39 @@
     run_scenario(scenario)
 
 
-def test_two_leaders_overlapping_after_an_early_end_of_the_key() -> None:
-    """The key should not end early; if it does, tokens and conditional writes keep the old leader harmless."""
+def test_two_leaders_after_early_key_expiry_do_no_harm() -> None:
+    """The leader key should not expire early. If it does, fencing tokens and conditional writes must keep the old
+    leader from doing harm."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=2))
         await simulation.submit(job("run-a", shards=20, expectedRunS=8.0))
         await simulation.until(lambda: len(simulation.running("run-a")) > 3)
-        old = await simulation.until_leader()
-        node = simulation.nodes[old]
-        node.watch_cache.listeners.remove(node.elector.on_key_changed)  # it does not notice
+        old_leader = await simulation.until_leader()
+        node = simulation.nodes[old_leader]
+        node.watch_cache.listeners.remove(node.elector.on_key_changed)  # the old leader does not notice
         lease = next(iter(simulation.store.leases))
         simulation.store._end_lease(lease)
-        await simulation.until(lambda: any(n.elector.valid() for k, n in simulation.nodes.items() if k != old), 5)
+        await simulation.until(
+            lambda: any(n.elector.valid() for k, n in simulation.nodes.items() if k != old_leader), 5
+        )
         await simulation.until_phase("run-a", "done", 200)
         assert len(simulation.running("run-s")) == 2
 
     run_scenario(scenario)
 
 
-def test_a_late_transaction_of_an_old_leader_changes_nothing() -> None:
+def test_delayed_transaction_of_old_leader_has_no_effect() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-a", shards=3, expectedRunS=3.0))
-        old = await simulation.until_leader()
+        old_leader = await simulation.until_leader()
 
-        def records(src: str, dst: str, request: Request) -> bool:
-            return src == old and dst == "store" and request.path == "/multi" and b"s/f/run-a" in request.body
+        def is_final_record(src: str, dst: str, request: Request) -> bool:
+            return src == old_leader and dst == "store" and request.path == "/multi" and b"s/f/run-a" in request.body
 
-        simulation.net.hold_request = records
+        simulation.net.hold_request = is_final_record
         await simulation.until(lambda: len(simulation.finished) == 3)
-        simulation.kill(old)
+        simulation.kill(old_leader)
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until_phase("run-a", "done")
         revision = simulation.store.rev
@@ -91,33 +94,33 @@
     run_scenario(scenario)
 
 
-def test_a_late_registry_removal_of_an_old_leader_changes_nothing() -> None:
-    """Or the next leader would not wait for a machine that holds work."""
+def test_delayed_registry_removal_of_old_leader_has_no_effect() -> None:
+    """Otherwise the next leader would not wait for a machine that runs tasks."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 2
         await simulation.run_service("run-s", shards=2, vcpus=5.0)
-        old = await simulation.until_leader()
+        old_leader = await simulation.until_leader()
         name = simulation.running("run-s")[0][1]
         key = registry_key(name)
         assert name in simulation.store.kv[key][0]
         held: list[Request] = []
 
-        def removal(src: str, dst: str, request: Request) -> bool:
-            if src != old or request.path != "/multi":
+        def is_registry_removal(src: str, dst: str, request: Request) -> bool:
+            if src != old_leader or request.path != "/multi":
                 return False
             body = msgspec.msgpack.decode(request.body)
-            hit = any(w.get("set") == key and name not in w["value"] for w in body["writes"])
-            if hit:
+            matches = any(w.get("set") == key and name not in w["value"] for w in body["writes"])
+            if matches:
                 held.append(request)
-            return hit
+            return matches
 
-        simulation.net.hold_request = removal
+        simulation.net.hold_request = is_registry_removal
         simulation.cut_machine(name)
         await simulation.until(lambda: bool(held))
-        simulation.kill(old)
+        simulation.kill(old_leader)
         simulation.net._cuts.clear()
-        await simulation.until(lambda: simulation.leader() not in (None, old))
+        await simulation.until(lambda: simulation.leader() not in (None, old_leader))
         await simulation.until(lambda: name in simulation.workers and bool(simulation.workers[name].active_tasks), 90)
         simulation.net.hold_request = lambda src, dst, request: False
         simulation.net.release()
@@ -127,7 +130,7 @@
     run_scenario(scenario)
 
 
-def test_a_leader_that_promised_starts_nothing_until_the_promise_is_over() -> None:
+def test_leader_starts_no_task_before_its_promise_expires() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-0"))
         await simulation.until_phase("run-0", "done")
@@ -143,24 +146,25 @@
     run_scenario(scenario)
 
 
-def test_a_leader_that_loses_only_the_workers_steps_down_in_time() -> None:
-    """Guards against this: it kept renewing its key while every worker's lease ran out."""
+def test_leader_that_reaches_no_worker_steps_down_in_time() -> None:
+    """A leader that reached no worker used to keep renewing its key while the lease of every worker expired."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=6)
         before = len(simulation.starts)
-        old = await simulation.until_leader()
+        old_leader = await simulation.until_leader()
         for name in simulation.workers:
-            simulation.net.cut(old, name)
-        await simulation.until(lambda: simulation.leader() not in (None, old), 15)
+            simulation.net.cut(old_leader, name)
+        await simulation.until(lambda: simulation.leader() not in (None, old_leader), 15)
         await trio.sleep(20)
         assert len(simulation.starts) == before and len(simulation.running("run-s")) == 6
 
     run_scenario(scenario)
 
 
-def test_a_leader_that_was_paused_for_a_moment_does_not_take_the_workers_for_silent() -> None:
-    """Seen in an incident: thawed, it blamed the workers and left the key to others for a while, though it had it."""
+def test_leader_keeps_its_term_after_a_short_pause() -> None:
+    """Seen in an incident: after a pause, the leader took its workers to be silent and left the key to other
+    controllers for a while, although it still held it."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
@@ -168,7 +172,7 @@
         node = simulation.nodes[label]
         term = node.elector.term
         await trio.sleep(5)
-        # As after a pause of the process: no heartbeat was taken in and no lease renewal went out meanwhile.
+        # The state after a pause of the process: no heartbeat was processed and no lease renewal sent meanwhile.
         cluster = node.cluster
         assert cluster is not None
         now = trio.current_time()
@@ -179,7 +183,7 @@
     run_scenario(scenario)
 
 
-def test_a_cancellation_during_a_failover() -> None:
+def test_cancellation_during_failover_stops_tasks() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         leader = await simulation.until_leader()
@@ -190,42 +194,42 @@
     run_scenario(scenario)
 
 
-def test_what_was_cancelled_while_nobody_led_still_counts_toward_the_limit() -> None:
-    """Found in an incident (quota): the new leader started a team's next job before the last one was gone."""
+def test_job_cancelled_without_leader_counts_toward_limit_until_it_ends() -> None:
+    """Found in a quota incident: the new leader started a team's next job before the cancelled one had ended."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-k", owner="blue", region="b", shards=1, sizeGb=0.0))
         await simulation.submit(service("run-s", region="a", shards=4, sizeGb=0.0))
         await simulation.until(lambda: len(simulation.running("run-s")) == 4 and bool(simulation.running("run-k")))
-        there = {name for _, name in simulation.running("run-s")}
+        machines = {name for _, name in simulation.running("run-s")}
         simulation.kill(await simulation.until_leader())
         await simulation.cancel("run-s")
         await simulation.submit(service("run-n", region="b", shards=3, sizeGb=0.0))
-        simulation.net.hold_request = lambda src, dst, request: dst in there and b"halt" in request.body
+        simulation.net.hold_request = lambda src, dst, request: dst in machines and b"halt" in request.body
         await simulation.until(lambda: len(simulation.running("run-n")) == 3, 40)
 
     run_scenario(scenario, teams=[Team("red", cpus_max=8.0), Team("blue")])
 
 
-def test_a_stalled_loop_makes_the_leader_step_down() -> None:
+def test_leader_with_stalled_loop_steps_down() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await simulation.until_leader()
-        node = simulation.nodes[old]
+        old_leader = await simulation.until_leader()
+        node = simulation.nodes[old_leader]
         node.scheduler.run_cycle = None  # type: ignore[assignment, method-assign]
 
-        async def stuck() -> None:
+        async def stalled_loop() -> None:
             await trio.sleep_forever()
 
-        node._record = stuck  # type: ignore[method-assign]
+        node._record = stalled_loop  # type: ignore[method-assign]
         node.watchdog.record_exit("record")
-        await simulation.until(lambda: simulation.leader() not in (None, old), 10)
+        await simulation.until(lambda: simulation.leader() not in (None, old_leader), 10)
         await trio.sleep(20)
-        assert simulation.leader() != old
+        assert simulation.leader() != old_leader
 
     run_scenario(scenario)
 
 
-def test_two_runs_of_one_scenario_are_alike() -> None:
+def test_scenario_with_same_seed_is_deterministic() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-a", shards=8))
         await simulation.until_phase("run-a", "done")
@@ -236,23 +240,23 @@
     assert run_scenario(scenario, seed=5).starts == first
 
 
-def test_a_controller_that_reaches_only_its_workers_redirects_them() -> None:
+def test_old_leader_that_reaches_only_workers_redirects_them() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
-        old = await simulation.until_leader()
-        others = [n for n in simulation.nodes if n != old]
+        old_leader = await simulation.until_leader()
+        others = [n for n in simulation.nodes if n != old_leader]
         for other in ("store", "cloud", *others, *(f"{n}:peer" for n in others)):
-            simulation.net.cut(old, other)
-        simulation.net.cut(f"{old}:peer", f"{old}:peer")
+            simulation.net.cut(old_leader, other)
+        simulation.net.cut(f"{old_leader}:peer", f"{old_leader}:peer")
         for other in others:
-            simulation.net.cut(other, f"{old}:peer")
+            simulation.net.cut(other, f"{old_leader}:peer")
         sent = record_messages(simulation, "/hello")
-        await simulation.until(lambda: simulation.leader() not in (None, old), 15)
+        await simulation.until(lambda: simulation.leader() not in (None, old_leader), 15)
         await trio.sleep(1)
-        for item in [s for s in sent if s[1] == old][-3:]:
-            assert (await send_copy(simulation, old, item)).status in (421, 503)
-        assert not simulation.nodes[old].degraded_mode.active()
+        for item in [s for s in sent if s[1] == old_leader][-3:]:
+            assert (await send_copy(simulation, old_leader, item)).status in (421, 503)
+        assert not simulation.nodes[old_leader].degraded_mode.active()
         await trio.sleep(20)
         assert len(simulation.running("run-s")) == 4 and len(simulation.starts) == before
 
