--- a/tests/scenarios/test_machine_failures.py
+++ b/tests/scenarios/test_machine_failures.py
@@ -1,4 +1,4 @@
-"""Machines that are silent, hang, are cut off or taken back."""
+"""Machines that stop sending heartbeats, hang, are partitioned from the controllers or are reclaimed by the cloud."""
 
 import trio
 
@@ -6,18 +6,18 @@
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 
 
-def test_a_new_leader_does_not_return_machines_without_a_heartbeat_yet() -> None:
-    """Guards against this: old machines that were slow to reach the new leader all went back."""
+def test_new_leader_keeps_machines_without_a_heartbeat_yet() -> None:
+    """Guards against a new leader that returns every registered machine whose first heartbeat takes a few seconds."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=6)
         await trio.sleep(120)
         machines = set(simulation.cloud.machines)
-        old = await simulation.until_leader()
+        old_leader = await simulation.until_leader()
         for name in simulation.workers:
             for label in simulation.nodes:
                 simulation.net.cut(name, label)
-        simulation.kill(old)
+        simulation.kill(old_leader)
         await simulation.until_leader(10)
         await trio.sleep(3)
         simulation.net.heal()
@@ -27,43 +27,43 @@
     run_scenario(scenario)
 
 
-def test_a_worker_silent_within_its_lease_keeps_its_tasks() -> None:
+def test_worker_silent_within_its_lease_keeps_its_tasks() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=2)
-        before = len(simulation.starts)
-        name = simulation.running("run-s")[0][1]
-        simulation.cut_machine(name)
+        starts_before = len(simulation.starts)
+        machine = simulation.running("run-s")[0][1]
+        simulation.cut_machine(machine)
         await trio.sleep(8)
-        assert len(simulation.starts) == before
+        assert len(simulation.starts) == starts_before
         simulation.net.heal()
         await trio.sleep(10)
-        assert len(simulation.starts) == before and len(simulation.running("run-s")) == 2
+        assert len(simulation.starts) == starts_before and len(simulation.running("run-s")) == 2
 
     run_scenario(scenario)
 
 
-def test_a_worker_silent_past_its_lease_is_replaced_but_not_before() -> None:
+def test_silent_worker_is_replaced_only_after_its_lease() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=2)
-        name = simulation.running("run-s")[0][1]
-        simulation.cut_machine(name)
-        began = trio.current_time()
+        machine = simulation.running("run-s")[0][1]
+        simulation.cut_machine(machine)
+        cut_at = trio.current_time()
         await simulation.until(
             lambda: (
-                len({h for _, h in simulation.running("run-s")} - {name}) > 0
-                and len([1 for _, h in simulation.running("run-s") if h != name]) == 2
+                len({m for _, m in simulation.running("run-s")} - {machine}) > 0
+                and len([1 for _, m in simulation.running("run-s") if m != machine]) == 2
             ),
             60,
         )
-        assert trio.current_time() - began > 10
-        simulation.net.heal()  # late heartbeats of the old incarnation, late commands of ours
+        assert trio.current_time() - cut_at > 10
+        simulation.net.heal()  # now late heartbeats of the old incarnation and late commands of the leader arrive
         await trio.sleep(30)
         assert len(simulation.running("run-s")) == 2
 
     run_scenario(scenario)
 
 
-def test_a_hung_machine_resumes_past_its_lease() -> None:
+def test_hung_machine_resumes_after_its_lease() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-a", shards=4, expectedRunS=20.0))
         await simulation.until(lambda: len(simulation.running("run-a")) == 4)
@@ -79,13 +79,13 @@
     run_scenario(scenario)
 
 
-def test_late_direct_orders_find_nothing_to_do() -> None:
-    """A direct start that is held while the job is cancelled must not bring a task back minutes later."""
+def test_delayed_direct_start_of_a_cancelled_job_has_no_effect() -> None:
+    """A direct start command that is delayed while its job is cancelled must not start the task when it arrives."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-0", shards=4, vcpus=1.0)
-        names = set(simulation.workers)
-        simulation.net.hold_request = lambda src, dst, request: dst in names and request.path == "/commands"
+        machines = set(simulation.workers)
+        simulation.net.hold_request = lambda src, dst, request: dst in machines and request.path == "/commands"
         await simulation.submit(service("run-s", shards=2, vcpus=1.0, sizeGb=0.0))
         await trio.sleep(0.5)
         await simulation.cancel("run-s")
@@ -98,31 +98,32 @@
     run_scenario(scenario)
 
 
-def test_a_failover_with_a_silent_worker_waits_for_its_lease() -> None:
-    """What the silent machine runs may not be started elsewhere; a job that came later need not wait."""
+def test_failover_replaces_tasks_of_a_silent_worker_after_its_lease() -> None:
+    """Tasks of the silent machine must not start elsewhere before its lease has ended; a new job need not wait for
+    that."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4, scatter=True)
-        name = simulation.running("run-s")[0][1]
-        simulation.cut_machine(name)
+        silent_machine = simulation.running("run-s")[0][1]
+        simulation.cut_machine(silent_machine)
         leader = await simulation.until_leader()
         simulation.kill(leader)
         await simulation.until_leader(10)
-        began = trio.current_time()
+        new_leader_at = trio.current_time()
         await simulation.submit(job("run-n", expectedRunS=2.0))
         await simulation.until_phase("run-n", "done")
-        assert trio.current_time() - began < 12
-        await simulation.until(lambda: len([1 for _, h in simulation.running("run-s") if h != name]) == 4, 60)
+        assert trio.current_time() - new_leader_at < 12
+        await simulation.until(lambda: len([1 for _, m in simulation.running("run-s") if m != silent_machine]) == 4, 60)
 
     run_scenario(scenario)
 
 
-def test_zone_spread_and_limits_count_what_is_not_proved_lost() -> None:
+def test_tasks_of_a_partitioned_zone_count_until_proved_lost() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4, scatter=True)
-        zone_a = {h for _, h in simulation.running("run-s") if simulation.workers[h].zone == "a"}
-        for name in zone_a:
-            simulation.cut_machine(name)
+        zone_a_machines = {m for _, m in simulation.running("run-s") if simulation.workers[m].zone == "a"}
+        for machine in zone_a_machines:
+            simulation.cut_machine(machine)
         simulation.kill(await simulation.until_leader())
         await trio.sleep(40)
         simulation.net.heal()
@@ -131,7 +132,7 @@
     run_scenario(scenario, teams=[Team("red", cpus_max=8.0)])
 
 
-def test_a_whole_zone_dark_and_back() -> None:
+def test_zone_partition_and_recovery() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=6, scatter=True, vcpus=1.0))
         await simulation.submit(job("run-a", shards=10, expectedRunS=15.0))
@@ -146,7 +147,7 @@
     run_scenario(scenario)
 
 
-def test_a_spot_machine_is_reclaimed_with_notice() -> None:
+def test_tasks_are_checkpointed_before_a_spot_machine_is_reclaimed() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         fields = {"reclaimable": True, "snapshotEveryS": 5.0, "snapshotCostS": 1.0, "expectedRunS": 30.0}
         await simulation.submit(job("run-a", shards=2, **fields))
@@ -157,7 +158,7 @@
         worker.spot_reclaim_at = trio.current_time() + 8
         await trio.sleep(8)
         saved = [t for t in worker.tasks.values() if t.get("saved")]
-        assert saved or not worker.tasks, "its work was saved before the machine went"
+        assert saved or not worker.tasks, "its task was checkpointed before the machine was reclaimed"
         simulation.cloud.machines.pop(name, None)
         simulation.kill_machine(name)
         await simulation.until_phase("run-a", "done")
@@ -165,17 +166,17 @@
     run_scenario(scenario)
 
 
-def test_a_task_without_checkpoints_leaves_a_spot_machine_before_it_is_reclaimed() -> None:
-    """Guards against this: it died with its machine and was known lost only after a lease of silence."""
+def test_task_without_checkpoints_moves_before_its_spot_machine_is_reclaimed() -> None:
+    """Guards against a task that is lost with its spot machine and restarted only after the lease of the machine."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-a", shards=1, reclaimable=True, expectedRunS=60.0))
         await simulation.until(lambda: len(simulation.running("run-a")) == 1)
-        name = simulation.running("run-a")[0][1]
+        spot_machine = simulation.running("run-a")[0][1]
         await simulation.run_service("run-k", shards=4)
-        simulation.workers[name].spot_reclaim_at = trio.current_time() + 8
-        began = trio.current_time()
-        await simulation.until(lambda: any(h != name for _, h in simulation.running("run-a")), 10)
-        assert trio.current_time() - began < 8
+        simulation.workers[spot_machine].spot_reclaim_at = trio.current_time() + 8
+        notice_at = trio.current_time()
+        await simulation.until(lambda: any(m != spot_machine for _, m in simulation.running("run-a")), 10)
+        assert trio.current_time() - notice_at < 8
 
     run_scenario(scenario)
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -1,6 +1,7 @@
-"""Failure detection between three controllers that are slow, cut, paused, killed or of the former version.
+"""Failure detection between three controllers that are slow, partitioned, paused, killed or of the previous version.
 
-Whatever it finds, leading still needs the leased key; the rules are checked in every scenario as always."""
+Leadership depends on the leased key alone, whatever failure detection finds; each scenario checks the usual rules
+too."""
 
 from itertools import product
 
@@ -26,32 +27,34 @@
     return membership.view.peers[label].status
 
 
-def events(simulation: SimulatedCluster, label: str) -> dict[str, int]:
+def event_counts(simulation: SimulatedCluster, label: str) -> dict[str, int]:
     return simulation.nodes[label].counts
 
 
 def never_confirmed(simulation: SimulatedCluster) -> bool:
-    return not any(events(simulation, label).get("membership_confirmed") for label in simulation.nodes)
+    return not any(event_counts(simulation, label).get("membership_confirmed") for label in simulation.nodes)
 
 
 async def until_all_alive(simulation: SimulatedCluster) -> None:
-    pairs = [(a, b) for a, b in product(LABELS, LABELS) if a != b]
-    await simulation.until(lambda: all(status_of(simulation, a, b) is Status.ALIVE for a, b in pairs), 30)
-    await trio.sleep(10)  # heartbeats enough to know their spread
+    pairs = [(observer, peer) for observer, peer in product(LABELS, LABELS) if observer != peer]
+    await simulation.until(
+        lambda: all(status_of(simulation, observer, peer) is Status.ALIVE for observer, peer in pairs), 30
+    )
+    await trio.sleep(10)  # enough heartbeats to estimate the spread of their intervals
 
 
-def test_a_dead_controller_is_suspected_and_then_confirmed_by_all_others() -> None:
+def test_dead_controller_is_suspected_then_confirmed_by_all_others() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
         simulation.kill("n2")
-        died = trio.current_time()
+        killed_at = trio.current_time()
         await simulation.until(lambda: all(status_of(simulation, o, "n2") is Status.SUSPECTED for o in ("n0", "n1")), 5)
-        assert trio.current_time() - died < 4
+        assert trio.current_time() - killed_at < 4
         both = ("n0", "n1")
         await simulation.until(
             lambda: all(status_of(simulation, o, "n2") is Status.CONFIRMED for o in both), LONGEST_DETECTION_S
         )
-        assert trio.current_time() - died > SETTINGS.presence_lease_s - SETTINGS.presence_lease_s / 4
+        assert trio.current_time() - killed_at > SETTINGS.presence_lease_s - SETTINGS.presence_lease_s / 4
         assert status_of(simulation, "n0", "n1") is status_of(simulation, "n1", "n0") is Status.ALIVE
         simulation.start("n2")
         await until_all_alive(simulation)
@@ -59,37 +62,39 @@
     run_scenario(scenario, membership=SETTINGS)
 
 
-@pytest.mark.parametrize("times", [1, 2])
-def test_a_controller_back_within_a_fraction_of_a_second_is_a_new_process_and_never_confirmed(times: int) -> None:
+@pytest.mark.parametrize("restarts", [1, 2])
+def test_quickly_restarted_controller_is_never_confirmed(restarts: int) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
         membership = simulation.nodes["n0"].membership
         assert membership is not None
-        before = membership.view.peers["n2"].incarnation
-        for _ in range(times):
+        incarnation_before = membership.view.peers["n2"].incarnation
+        for _ in range(restarts):
             simulation.kill("n2")
             await trio.sleep(0.2)
             simulation.start("n2")
         await trio.sleep(2 * LONGEST_DETECTION_S)
-        assert membership.view.peers["n2"].incarnation.process > before.process
+        assert membership.view.peers["n2"].incarnation.process > incarnation_before.process
         assert status_of(simulation, "n0", "n2") is status_of(simulation, "n1", "n2") is Status.ALIVE
         assert never_confirmed(simulation)
 
     run_scenario(scenario, membership=SETTINGS)
 
 
-@pytest.mark.parametrize("slower", [3, 20])
-def test_a_slow_controller_half_of_whose_packets_are_lost_is_never_confirmed(slower: int) -> None:
+@pytest.mark.parametrize("latency_factor", [3, 20])
+def test_slow_controller_with_packet_loss_is_never_confirmed(latency_factor: int) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
         leader = await simulation.until_leader()
         slow = next(label for label in LABELS if label != leader)
 
-        def involved(src: str, dst: str) -> bool:
+        def to_or_from_slow(src: str, dst: str) -> bool:
             return slow in (src.partition(":")[0], dst.partition(":")[0]) and dst.endswith(":peer")
 
-        simulation.net.latency *= slower
-        simulation.net.drop_answers = lambda src, dst, request: involved(src, dst) and simulation.rng.random() < 0.5
+        simulation.net.latency *= latency_factor
+        simulation.net.drop_answers = lambda src, dst, request: (
+            to_or_from_slow(src, dst) and simulation.rng.random() < 0.5
+        )
         await trio.sleep(60)
         assert never_confirmed(simulation) and simulation.leader() == leader
         simulation.net.drop_answers = lambda src, dst, request: False
@@ -99,46 +104,49 @@
 
 
 @pytest.mark.parametrize("pause_s", [2.0, SETTINGS.confirm_s, 25.0])
-def test_a_paused_controller_suspects_nobody_and_is_alive_again_when_it_resumes(pause_s: float) -> None:
+def test_resumed_controller_suspects_nobody_and_is_alive(pause_s: float) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
         leader = await simulation.until_leader()
-        sleeper = next(label for label in LABELS if label != leader)
-        simulation.freeze(sleeper, pause_s)
+        paused = next(label for label in LABELS if label != leader)
+        simulation.freeze(paused, pause_s)
         await trio.sleep(pause_s + 0.01)
         for _ in range(100):
-            assert not events(simulation, sleeper).get("membership_suspected"), "it slept through the silence"
+            assert not event_counts(simulation, paused).get("membership_suspected"), (
+                "it was itself paused during the silence"
+            )
             await trio.sleep(0.05)
-        others = [label for label in LABELS if label != sleeper]
-        await simulation.until(lambda: all(status_of(simulation, o, sleeper) is Status.ALIVE for o in others), 5)
+        others = [label for label in LABELS if label != paused]
+        await simulation.until(lambda: all(status_of(simulation, o, paused) is Status.ALIVE for o in others), 5)
         confirmed = not never_confirmed(simulation)
         assert confirmed == (pause_s > LONGEST_DETECTION_S)
 
     run_scenario(scenario, membership=SETTINGS)
 
 
-NINE_CUTS = [(a, b) for a in LABELS for b in LABELS if a != b] + [("all", label) for label in LABELS]
+ONE_WAY_CUTS = [(a, b) for a in LABELS for b in LABELS if a != b] + [("all", label) for label in LABELS]
 
 
-@pytest.mark.parametrize(("deaf", "unheard"), NINE_CUTS)
-def test_a_controller_in_a_one_way_partition_is_alive_while_anybody_answers_for_it(deaf: str, unheard: str) -> None:
-    """One way between two: it is heard through the third. All ways of one, but not the state service: its lease is
-    kept, and it is suspected and never confirmed."""
+@pytest.mark.parametrize(("receiver", "sender"), ONE_WAY_CUTS)
+def test_controller_in_a_one_way_partition_is_never_confirmed(receiver: str, sender: str) -> None:
+    """If one receiver doesn't hear the sender, an indirect probe through the third controller shows that it is
+    alive. If nobody hears it but it still renews its lease in the state service, it is suspected and never
+    confirmed."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
         for other in LABELS:
-            if other != unheard and deaf in (other, "all"):
-                # Heartbeats that it sends, and its answers, don't arrive there.
-                simulation.net.cut(unheard, f"{other}:peer", both=False)
-                simulation.net.cut(f"{unheard}:peer", other, both=False)
+            if other != sender and receiver in (other, "all"):
+                # Drops the sender's heartbeats and its answers to this controller.
+                simulation.net.cut(sender, f"{other}:peer", both=False)
+                simulation.net.cut(f"{sender}:peer", other, both=False)
         await trio.sleep(3 * LONGEST_DETECTION_S)
         assert never_confirmed(simulation)
-        if deaf != "all":
-            membership = simulation.nodes[deaf].membership
+        if receiver != "all":
+            membership = simulation.nodes[receiver].membership
             assert membership is not None
-            await simulation.until(lambda: status_of(simulation, deaf, unheard) is Status.ALIVE, 5)
-            assert "through" in membership.view.peers[unheard].evidence
+            await simulation.until(lambda: status_of(simulation, receiver, sender) is Status.ALIVE, 5)
+            assert "through" in membership.view.peers[sender].evidence
         simulation.net.heal()
         await until_all_alive(simulation)
 
@@ -146,8 +154,8 @@
 
 
 @pytest.mark.parametrize("refused", ["all", "one"])
-def test_an_outage_of_the_state_service_confirms_nobody(refused: str) -> None:
-    """Without a fresh watch cache a missing key proves nothing, and in an outage leases stand still."""
+def test_nobody_is_confirmed_during_a_store_outage(refused: str) -> None:
+    """Without a fresh watch cache a missing key proves nothing; during an outage of the store leases don't expire."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
@@ -159,7 +167,7 @@
         simulation.kill("n2")
         await trio.sleep(2 * LONGEST_DETECTION_S)
         assert status_of(simulation, "n0", "n2") is Status.SUSPECTED
-        assert not events(simulation, "n0").get("membership_confirmed")
+        assert not event_counts(simulation, "n0").get("membership_confirmed")
         simulation.store.end_outage()
         simulation.store.refused.clear()
         await simulation.until(lambda: status_of(simulation, "n0", "n2") is Status.CONFIRMED, LONGEST_DETECTION_S)
@@ -167,8 +175,8 @@
     run_scenario(scenario, membership=SETTINGS)
 
 
-def test_a_controller_that_begins_in_an_outage_confirms_nobody() -> None:
-    """It has never read the keys, so that it knows of none proves nothing."""
+def test_controller_started_during_a_store_outage_confirms_nobody() -> None:
+    """It has never read the keys from the store, so a key missing in its cache proves nothing."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
@@ -189,29 +197,29 @@
     run_scenario(scenario, membership=SETTINGS)
 
 
-def test_late_copies_of_heartbeats_bring_nobody_back() -> None:
+def test_late_heartbeats_do_not_revive_a_confirmed_controller() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        kept: list[tuple[str, str, Request]] = []
+        recorded: list[tuple[str, str, Request]] = []
 
-        def keep(src: str, dst: str, request: Request) -> None:
+        def record(src: str, dst: str, request: Request) -> None:
             if request.path.startswith("/membership/") and src == "n2":
-                kept.append((src, dst, request))
+                recorded.append((src, dst, request))
 
-        simulation.net.copy = keep
+        simulation.net.copy = record
         await until_all_alive(simulation)
         simulation.kill("n2")
         both = ("n0", "n1")
         for _ in range(int(LONGEST_DETECTION_S)):
-            for src, dst, request in kept[-20:]:
+            for src, dst, request in recorded[-20:]:
                 await simulation.net.deliver_copy(src, dst, request)
             await trio.sleep(1.0)
         assert all(status_of(simulation, observer, "n2") is Status.CONFIRMED for observer in both)
-        assert not any(events(simulation, observer).get("membership_cleared") for observer in both)
+        assert not any(event_counts(simulation, observer).get("membership_cleared") for observer in both)
 
     run_scenario(scenario, membership=SETTINGS)
 
 
-def test_a_controller_of_the_former_version_counts_as_living_and_the_work_goes_on() -> None:
+def test_controller_of_the_previous_version_counts_as_alive() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.kill("n2")
         simulation.start("n2", old=True)
@@ -229,16 +237,16 @@
     run_scenario(scenario, membership=SETTINGS)
 
 
-def test_a_controller_that_goes_back_to_the_former_version_is_not_suspected_for_ever() -> None:
+def test_controller_rolled_back_to_the_previous_version_is_alive_again() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
         simulation.kill("n2")
         await trio.sleep(0.5)
         simulation.start("n2", old=True)
         await trio.sleep(30)
-        suspected = events(simulation, "n0").get("membership_suspected", 0)
+        suspicions = event_counts(simulation, "n0").get("membership_suspected", 0)
         await trio.sleep(30)
-        assert events(simulation, "n0").get("membership_suspected", 0) == suspected <= 1
+        assert event_counts(simulation, "n0").get("membership_suspected", 0) == suspicions <= 1
         assert status_of(simulation, "n0", "n2") is Status.ALIVE and never_confirmed(simulation)
 
     run_scenario(scenario, membership=SETTINGS)
@@ -256,7 +264,7 @@
 ]
 
 
-def test_malformed_foreign_and_older_messages_are_refused_counted_and_change_nothing() -> None:
+def test_malformed_foreign_and_stale_messages_change_nothing() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
         node = simulation.nodes["n0"]
@@ -266,18 +274,20 @@
             for body in BAD_BODIES:
                 reply = await node.handle_peer(Request("POST", path, "", body))
                 assert reply.status == 400, (path, body)
-        assert events(simulation, "n0")["membership_refused"] == 2 * len(BAD_BODIES)
+        assert event_counts(simulation, "n0")["membership_refused"] == 2 * len(BAD_BODIES)
         assert (await node.handle_peer(Request("GET", "/membership/heartbeat", "", b""))).status == 405
         assert (await node.handle_peer(Request("POST", "/membership/other", "", b""))).status == 404
         known = membership.view.peers["n1"]
-        older = PeerHeartbeat("n0,n1,n2", "n1", Incarnation(known.incarnation.process - 1, 5), known.sequence + 99)
-        reply = await node.handle_peer(Request("POST", "/membership/heartbeat", "", encode(older)))
+        older_heartbeat = PeerHeartbeat(
+            "n0,n1,n2", "n1", Incarnation(known.incarnation.process - 1, 5), known.sequence + 99
+        )
+        reply = await node.handle_peer(Request("POST", "/membership/heartbeat", "", encode(older_heartbeat)))
         assert reply.status == 200 and membership.view.peers["n1"].incarnation == known.incarnation
 
     run_scenario(scenario, membership=SETTINGS)
 
 
-def test_operators_see_each_controllers_status_and_its_evidence() -> None:
+def test_operators_see_status_and_evidence_of_each_controller() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
         simulation.kill("n2")
--- a/tests/scenarios/test_one_way_partitions.py
+++ b/tests/scenarios/test_one_way_partitions.py
@@ -1,4 +1,4 @@
-"""Machines whose heartbeats arrive while answers and commands to them are lost."""
+"""Machines that send heartbeats but receive neither the answers nor any command."""
 
 import trio
 
@@ -6,59 +6,61 @@
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 
 
-def test_a_machine_in_a_one_way_partition_is_replaced_and_gets_no_work_until_it_heals() -> None:
+def test_machine_in_a_one_way_partition_is_replaced_and_gets_no_tasks() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 3
         await simulation.run_service("run-s", shards=2)
-        name = simulation.running("run-s")[0][1]
-        simulation.drop_inbound(name)
-        await simulation.until(lambda: len([1 for _, h in simulation.running("run-s") if h != name]) == 2, 60)
-        before = [s for s in simulation.starts if s[2] == name]
+        machine = simulation.running("run-s")[0][1]
+        simulation.drop_inbound(machine)
+        await simulation.until(lambda: len([1 for _, m in simulation.running("run-s") if m != machine]) == 2, 60)
+        starts_before = [start for start in simulation.starts if start[2] == machine]
         await simulation.submit(job("run-a", shards=12, expectedRunS=3.0))
         await simulation.until_phase("run-a", "done")
-        assert [s for s in simulation.starts if s[2] == name] == before, "work was bound to it that it can't hear of"
-        simulation.net.end_cuts_to(name)
+        assert [start for start in simulation.starts if start[2] == machine] == starts_before, (
+            "tasks were bound to a machine that no command reaches"
+        )
+        simulation.net.end_cuts_to(machine)
         await trio.sleep(10)
-        if name in simulation.workers:
+        if machine in simulation.workers:
             await simulation.submit(job("run-b", shards=12, expectedRunS=30.0))
-            await simulation.until(lambda: any(h == name for _, h in simulation.running("run-b")), 60)
+            await simulation.until(lambda: any(m == machine for _, m in simulation.running("run-b")), 60)
 
     run_scenario(scenario)
 
 
-def test_a_start_lost_in_a_one_way_partition_is_moved() -> None:
+def test_lost_start_command_is_moved_to_another_machine() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 2
         await simulation.submit(service("run-s", shards=1, region="a"))
         await simulation.submit(service("run-t", shards=1, region="b"))
         await simulation.until(lambda: len(simulation.running("run-s")) == 1 and len(simulation.running("run-t")) == 1)
-        name = simulation.running("run-s")[0][1]
-        simulation.drop_inbound(name)
+        machine = simulation.running("run-s")[0][1]
+        simulation.drop_inbound(machine)
         await simulation.submit(service("run-n", shards=2, vcpus=1.0))
-        await simulation.until(lambda: len([1 for _, h in simulation.running("run-n") if h != name]) == 2, 40)
+        await simulation.until(lambda: len([1 for _, m in simulation.running("run-n") if m != machine]) == 2, 40)
 
     run_scenario(scenario)
 
 
-def test_a_one_way_partition_does_not_block_a_failover_for_long() -> None:
-    """Registered machines were only given up when silent; one that sends heartbeats but never shows our term blocked
-    all old jobs and counted toward every team's limit for ever."""
+def test_one_way_partition_does_not_block_a_failover() -> None:
+    """Guards against a machine that sends heartbeats but never acknowledges the leader's term: as only silent
+    machines were given up, it blocked all old jobs and counted toward every team's limit for ever."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4, scatter=True)
-        name = simulation.running("run-s")[0][1]
-        simulation.drop_inbound(name)
+        machine = simulation.running("run-s")[0][1]
+        simulation.drop_inbound(machine)
         simulation.kill(await simulation.until_leader())
-        began = trio.current_time()
-        await simulation.until(lambda: len([1 for _, h in simulation.running("run-s") if h != name]) == 4, 60)
-        assert trio.current_time() - began < 35
+        killed_at = trio.current_time()
+        await simulation.until(lambda: len([1 for _, m in simulation.running("run-s") if m != machine]) == 4, 60)
+        assert trio.current_time() - killed_at < 35
         leader = await simulation.until_leader()
         assert not simulation.cluster_state(leader).failover.unconfirmed
 
     run_scenario(scenario, teams=[Team("red", cpus_max=10.0)])
 
 
-def test_a_cancellation_reaches_an_unreachable_machine_by_its_lease() -> None:
+def test_cancelled_tasks_on_an_unreachable_machine_end_with_its_lease() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         simulation.drop_inbound(simulation.running("run-s")[0][1])
