--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -1,4 +1,4 @@
-"""Failures of machines, controllers and the store that overlap, with late copies and repeats behind them."""
+"""Overlapping failures of machines, controllers and the store, with messages that arrive late or twice."""
 
 import pytest
 import trio
@@ -11,7 +11,7 @@
 
 
 async def start_mixed_load(simulation: SimulatedCluster) -> None:
-    """Some twenty machines with services and arrays of two teams on them."""
+    """Fills some twenty machines with services and arrays of two teams."""
     simulation.cloud.capacity = 24
     for number in range(4):
         await simulation.submit(service(f"run-s{number}", shards=6, scatter=True, rank="prod", workload="live"))
@@ -22,15 +22,19 @@
 
 
 async def send_copies(simulation: SimulatedCluster, sent: list[SentMessage], count: int) -> None:
-    """Copies reach whoever is there now: machines that still are, and every controller."""
+    """Delivers copies of recorded messages to the machines that still exist and to every running controller."""
     for src, dst, request in simulation.rng.sample(sent, min(count, len(sent))):
-        targets = [dst] if dst in simulation.workers else [n for n in simulation.nodes if n not in simulation.net.down]
+        targets = (
+            [dst]
+            if dst in simulation.workers
+            else [label for label in simulation.nodes if label not in simulation.net.down]
+        )
         for target in targets:
             with trio.move_on_after(1):
                 await simulation.net.handlers[target](src, request)
 
 
-async def until_all_served(simulation: SimulatedCluster) -> None:
+async def until_work_recovered(simulation: SimulatedCluster) -> None:
     for number in range(4):
         await simulation.until_phase(f"run-{number}", "done", 240)
     for number in range(4):
@@ -38,7 +42,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_half_the_machines_cut_and_others_hanging_around_a_failover(seed: int) -> None:
+def test_failover_with_partitioned_and_hung_machines(seed: int) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await start_mixed_load(simulation)
         sent = record_messages(simulation, "/hello", "/commands")
@@ -73,7 +77,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_every_controller_in_turn_while_machines_die(seed: int) -> None:
+def test_restart_of_each_controller_while_machines_fail(seed: int) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await start_mixed_load(simulation)
         sent = record_messages(simulation, "/hello", "/commands")
@@ -86,12 +90,12 @@
             simulation.start(label)
             await trio.sleep(5)
             await send_copies(simulation, sent, 30)
-        await until_all_served(simulation)
+        await until_work_recovered(simulation)
 
     run_scenario(scenario, seed)
 
 
-def test_all_controllers_at_once_with_an_outage_and_a_cut_zone() -> None:
+def test_restart_of_all_controllers_in_an_outage_with_a_partitioned_zone() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await start_mixed_load(simulation)
         sent = record_messages(simulation, "/hello", "/commands")
@@ -107,12 +111,12 @@
         await send_copies(simulation, sent, 60)
         await trio.sleep(6)
         simulation.net.heal()
-        await until_all_served(simulation)
+        await until_work_recovered(simulation)
 
     run_scenario(scenario)
 
 
-def test_after_the_last_failure_every_job_is_answered_soon() -> None:
+def test_every_job_is_answered_soon_after_the_last_failure() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         for number in range(30):
             await simulation.submit(job(f"run-{number}", shards=2, expectedRunS=15.0))
@@ -123,40 +127,40 @@
         simulation.start_all()
         await trio.sleep(10)
         simulation.store.end_outage()
-        ended = trio.current_time()
+        outage_ended_at = trio.current_time()
         for number in range(30):
             status, answer = await simulation.poll(f"run-{number}")
             assert status == 200 and answer["phase"] in ("pending", "running", "done")
-        assert trio.current_time() - ended < 75
+        assert trio.current_time() - outage_ended_at < 75
         for number in range(30):
             await simulation.until_phase(f"run-{number}", "done")
 
     run_scenario(scenario)
 
 
-def test_jobs_are_cancelled_in_the_seconds_of_a_failover() -> None:
+def test_jobs_cancelled_during_a_failover_end() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        names = [f"run-{n}" for n in range(9)]
-        for job_id in names:
+        job_ids = [f"run-{number}" for number in range(9)]
+        for job_id in job_ids:
             await simulation.submit(service(job_id, shards=2, vcpus=1.0))
-        await simulation.until(lambda: all(len(simulation.running(job_id)) == 2 for job_id in names))
-        for turn in range(3):
+        await simulation.until(lambda: all(len(simulation.running(job_id)) == 2 for job_id in job_ids))
+        for round_number in range(3):
             leader = await simulation.until_leader()
-            await simulation.cancel(names[3 * turn])
+            await simulation.cancel(job_ids[3 * round_number])
             simulation.kill(leader)
-            await simulation.cancel(names[3 * turn + 1])
+            await simulation.cancel(job_ids[3 * round_number + 1])
             simulation.start(leader)
             await simulation.until_leader()
-            await simulation.cancel(names[3 * turn + 2])
+            await simulation.cancel(job_ids[3 * round_number + 2])
         assert simulation.started_cancelled == 0
-        await simulation.until(lambda: not any(simulation.running(job_id) for job_id in names), 15)
+        await simulation.until(lambda: not any(simulation.running(job_id) for job_id in job_ids), 15)
 
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("trouble", ["cut", "hang", "inbound_lost", "outbound_refused"])
-def test_full_teams_whose_cancelled_jobs_stay_on_machines_that_cannot_be_asked(trouble: str) -> None:
-    """The leader changes as well. What may still run counts toward the limit until it is proved gone."""
+@pytest.mark.parametrize("fault", ["cut", "hang", "inbound_lost", "outbound_refused"])
+def test_cancelled_jobs_of_full_teams_on_unreachable_machines(fault: str) -> None:
+    """The leader changes as well. A task counts toward its team's limit until it is proved to have ended."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 8
@@ -168,14 +172,14 @@
             for number in range(4, 6):
                 await simulation.submit(service(f"run-{team}{number}", owner=team, shards=2, vcpus=2.0))
         unreachable = {name for job_id in ("run-red0", "run-blue0") for _, name in simulation.running(job_id)}
-        act = {
+        inject_fault = {
             "cut": simulation.cut_machine,
             "hang": simulation.hang,
             "inbound_lost": simulation.drop_inbound,
             "outbound_refused": simulation.refuse_outbound,
-        }[trouble]
+        }[fault]
         for name in unreachable:
-            act(name)
+            inject_fault(name)
         leader = await simulation.until_leader()
         await simulation.cancel("run-red0")
         simulation.kill(leader)
@@ -187,14 +191,15 @@
         simulation.start(leader)
         await trio.sleep(3 * LEASE_S)
         for job_id in ("run-blue1", "run-red2", "run-blue2"):
-            await simulation.cancel(job_id)  # so that all that is left has room in its team
+            await simulation.cancel(job_id)  # so that all remaining jobs fit into the limits of their teams
         await simulation.wait_for_convergence()
 
     run_scenario(scenario, teams=[Team("red", cpus_max=16.0), Team("blue", cpus_max=16.0)])
 
 
-def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends() -> None:
-    """The registry's write gets no answer and comes late; the machines take their time to find the next leader."""
+def test_new_machines_get_work_while_registry_writes_lag_and_leaders_fail() -> None:
+    """Writes of the machine registry get no answer and are committed 12 s late; half of the machines reach the next
+    leader late."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
@@ -220,40 +225,38 @@
     run_scenario(scenario)
 
 
-def test_ten_changes_of_leader_in_two_minutes_also_in_an_outage() -> None:
+def test_ten_leader_changes_in_two_minutes_with_outages() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4, vcpus=1.0)
-        for turn in range(10):
-            began = trio.current_time()
-            await simulation.submit(job(f"run-{turn}", shards=2, vcpus=1.0, expectedRunS=4.0), 5.0)
-            leader = simulation.leader() or LABELS[turn % 3]
+        for round_number in range(10):
+            round_started_at = trio.current_time()
+            await simulation.submit(job(f"run-{round_number}", shards=2, vcpus=1.0, expectedRunS=4.0), 5.0)
+            leader = simulation.leader() or LABELS[round_number % 3]
             simulation.kill(leader)
-            simulation.cut_machine(
-                simulation.running("run-s")[0][1]
-            )  # one machine does not find the next leader at once
-            if turn in (3, 7):
+            simulation.cut_machine(simulation.running("run-s")[0][1])  # this machine reaches the next leader late
+            if round_number in (3, 7):
                 simulation.store.begin_outage()
-            await trio.sleep(0.2 if turn % 2 else 4.0)
+            await trio.sleep(0.2 if round_number % 2 else 4.0)
             simulation.start(leader)
             await trio.sleep(3)
             simulation.store.end_outage()
             simulation.net.heal()
-            await trio.sleep_until(began + 12)
+            await trio.sleep_until(round_started_at + 12)
         await simulation.wait_for_convergence()
         assert len(simulation.leader_terms) > 5
 
     run_scenario(scenario)
 
 
-def test_one_task_jobs_four_a_second_a_quarter_cancelled() -> None:
-    """Every job is answered for, starts and ends; the leader changes in the middle."""
+def test_stream_of_small_jobs_with_cancellations_and_a_failover() -> None:
+    """Each job is accepted, and runs to its end or is cancelled, although the leader changes half-way."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 16
         await simulation.until_leader()
         cancelled = 0
 
-        async def one(number: int) -> None:
+        async def submit_and_maybe_cancel(number: int) -> None:
             nonlocal cancelled
             job_id = f"run-{number}"
             await simulation.submit(job(job_id, shards=1, vcpus=0.5, memoryGb=1.0, expectedRunS=10.0))
@@ -263,7 +266,7 @@
 
         async with trio.open_nursery() as nursery:
             for number in range(360):
-                nursery.start_soon(one, number)
+                nursery.start_soon(submit_and_maybe_cancel, number)
                 if number == 180:
                     leader = await simulation.until_leader()
                     simulation.kill(leader)
--- a/tests/scenarios/test_overload.py
+++ b/tests/scenarios/test_overload.py
@@ -1,4 +1,4 @@
-"""Storms of requests: polls, heartbeats, lease renewals and submissions share one processor."""
+"""Overload by user requests: polls, heartbeats, lease renewals and submissions share one CPU."""
 
 import trio
 
@@ -7,8 +7,8 @@
 from tests.simulation.users import LABELS
 
 
-def test_a_storm_of_polls_does_not_starve_lease_renewals_heartbeats_and_submissions() -> None:
-    """Each request costs a controller 2 ms of its only processor; 450 polls a second take most of it."""
+def test_many_polls_do_not_delay_renewals_heartbeats_or_submissions() -> None:
+    """Each request costs a controller 2 ms of its only CPU; 450 polls a second use most of it."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
@@ -23,50 +23,50 @@
 
         async def poll(number: int) -> None:
             job_id = job_ids[number % 10] if number % 5 else f"run-never-{number}"
-            began = trio.current_time()
+            sent_at = trio.current_time()
             status, _ = await simulation.ask(LABELS[number % 3], "GET", f"/v2/runs/{job_id}")
             statuses[status] = statuses.get(status, 0) + 1
-            latencies.append(trio.current_time() - began)
+            latencies.append(trio.current_time() - sent_at)
 
         async with trio.open_nursery() as nursery:
             for number in range(9000):
                 nursery.start_soon(poll, number)
                 if number % 900 == 450:
-                    began = trio.current_time()
+                    sent_at = trio.current_time()
                     job_id = f"run-new-{number}"
                     assert await simulation.submit(job(job_id, shards=1, vcpus=1.0, expectedRunS=1.0)) in (200, 201)
-                    assert trio.current_time() - began < 0.3, "a submission keeps its latency"
-                    began = trio.current_time()
+                    assert trio.current_time() - sent_at < 0.3, "submission latency stays bounded"
+                    sent_at = trio.current_time()
                     assert (await simulation.cancel(job_id))["phase"] in ("cancelled", "done")
-                    assert trio.current_time() - began < 0.5, "a cancellation keeps its latency"
+                    assert trio.current_time() - sent_at < 0.5, "cancellation latency stays bounded"
                 await trio.sleep(1 / 450)
-        spent_s = 9000 / 450
-        assert len(simulation.leader_terms) == terms_before, "lease renewals are in time"
+        polling_s = 9000 / 450
+        assert len(simulation.leader_terms) == terms_before, "the leader renewed its lease in time"
         assert all(len(simulation.running(job_id)) == 2 for job_id in job_ids), "heartbeats are answered"
         assert set(statuses) <= {200, 404, 503}, statuses
         assert statuses[200] > 5000, statuses
-        assert max(latencies) < 1.6, "answered or refused within a user's time-out"
-        assert len(simulation.store.requests) - reads_before < 500 * spent_s, "reads are shared"
+        assert max(latencies) < 1.6, "each poll is answered or refused within a user's timeout"
+        assert len(simulation.store.requests) - reads_before < 500 * polling_s, "polls share reads of the store"
         simulation.request_cost_s = 0.0
         await simulation.wait_for_convergence()
 
     run_scenario(scenario)
 
 
-def test_the_queue_of_polls_is_bounded_while_the_store_does_not_answer() -> None:
-    """Polls that find the queue full are refused at once, with the time to come back."""
+def test_poll_queue_is_bounded_while_the_store_does_not_answer() -> None:
+    """Polls that find the queue full are refused at once, with a time to retry after."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
         await simulation.submit(job("run-a", shards=1, expectedRunS=200.0))
         follower = next(label for label in LABELS if label != simulation.leader())
-        at_once = {"run-a": 0, "run-never": 0}
+        refused_at_once = {"run-a": 0, "run-never": 0}
 
         async def poll(job_id: str) -> None:
-            began = trio.current_time()
+            sent_at = trio.current_time()
             status, _ = await simulation.ask(follower, "GET", f"/v2/runs/{job_id}")
             assert status in (200, 404, 503)
-            at_once[job_id] += status == 503 and trio.current_time() - began < 0.3
+            refused_at_once[job_id] += status == 503 and trio.current_time() - sent_at < 0.3
 
         for job_id, path in (("run-a", "/follow"), ("run-never", "/kv/")):
             simulation.net.hold_request = lambda src, dst, r, path=path: src == follower and r.path.startswith(path)  # type: ignore[misc]
@@ -76,8 +76,8 @@
             simulation.net.hold_request = lambda src, dst, request: False
             simulation.net.release()
             await trio.sleep(5)
-        assert at_once["run-a"] >= 2 * constants.POLL_QUEUE
-        assert at_once["run-never"] >= 3 * constants.POLL_QUEUE - constants.LOOKUPS_AT_ONCE
+        assert refused_at_once["run-a"] >= 2 * constants.POLL_QUEUE
+        assert refused_at_once["run-never"] >= 3 * constants.POLL_QUEUE - constants.LOOKUPS_AT_ONCE
         await simulation.wait_for_convergence()
 
     run_scenario(scenario)
--- a/tests/scenarios/test_preemption.py
+++ b/tests/scenarios/test_preemption.py
@@ -1,4 +1,4 @@
-"""Work with a deadline or a higher priority takes the place of other work."""
+"""Preemption of borrowed or low-priority capacity for jobs with a deadline or a higher priority."""
 
 import trio
 
@@ -6,9 +6,9 @@
 from tests.simulation import SimulatedCluster, job, run_scenario, service
 
 
-def test_borrowed_capacity_is_reclaimed_for_work_with_a_deadline_within_seconds() -> None:
-    """An array of a team without a guarantee holds every machine that the cloud has; it loses the tasks that ran for
-    the shortest time."""
+def test_borrowed_capacity_is_preempted_for_a_deadline() -> None:
+    """An array of a team without a guarantee uses every machine that the cloud has; the tasks that have run for the
+    shortest time are preempted."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 6
@@ -19,10 +19,10 @@
         await simulation.until(lambda: len(simulation.running("run-g")) >= 96, 60)
         await trio.sleep(5)
         await simulation.submit(job("run-d", shards=10, vcpus=4.0, expectedRunS=10.0, dueS=28.0))
-        submitted = trio.current_time()
+        submitted_at = trio.current_time()
         await simulation.until(lambda: len(simulation.running("run-d")) == 10, 6)
         await simulation.until_phase("run-d", "done", 28)
-        assert trio.current_time() - submitted < 28, "in time"
+        assert trio.current_time() - submitted_at < 28, "done before its deadline"
         await simulation.submit(service("run-s", shards=2, rank="prod", vcpus=4.0))
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 3)
         await simulation.wait_for_convergence()
@@ -30,31 +30,31 @@
     run_scenario(scenario, teams=[Team("red"), Team("guests")])
 
 
-def test_borrowed_capacity_is_kept_while_machines_can_still_be_rented_in_time() -> None:
+def test_no_preemption_while_machines_can_be_rented_in_time() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
         await simulation.submit(
             job("run-g", owner="guests", rank="best_effort", shards=60, vcpus=0.5, memoryGb=0.5, expectedRunS=60.0)
         )
         await simulation.until(lambda: len(simulation.running("run-g")) == 60, 60)
-        before = len(simulation.starts)
+        starts_before = len(simulation.starts)
         await simulation.submit(job("run-d", shards=10, vcpus=4.0, expectedRunS=10.0, dueS=60.0))
         await simulation.until_phase("run-d", "done", 60)
-        assert len(simulation.starts) == before + 10, "no task on borrowed capacity was stopped"
+        assert len(simulation.starts) == starts_before + 10, "no task on borrowed capacity was preempted"
         await simulation.wait_for_convergence()
 
     run_scenario(scenario, teams=[Team("red"), Team("guests")])
 
 
-def test_production_makes_room_at_once() -> None:
+def test_production_service_preempts_at_once() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 2
         await simulation.submit(job("run-low", shards=8, rank="best_effort", expectedRunS=300.0))
         await simulation.until(lambda: len(simulation.running("run-low")) == 8)
-        began = trio.current_time()
+        submitted_at = trio.current_time()
         await simulation.submit(job("run-live", shape="standing", shards=2, rank="prod"))
         await simulation.until(lambda: len(simulation.running("run-live")) == 2, 10)
-        assert trio.current_time() - began < 3
+        assert trio.current_time() - submitted_at < 3
         _, answer = await simulation.ask("n1", "GET", "/v2/runs/run-low/why")
         assert any("making room for run-live" in note for note in answer["why"])
 
--- a/tests/scenarios/test_process_pause.py
+++ b/tests/scenarios/test_process_pause.py
@@ -1,4 +1,4 @@
-"""A controller that stands still for seconds while its clocks run on, at each point of the path of an action."""
+"""Controllers that are paused for seconds while their clocks run on, at each step of an action."""
 
 from collections.abc import Callable
 
@@ -11,11 +11,11 @@
 from tests.simulation import SimulatedCluster, job, run_scenario
 from tests.simulation.users import LABELS
 
-FROZEN_S = 9.0  # longer than the leader's lease, shorter than the workers'
-SHORT_S = 3.9  # longer than the leader's validity, shorter than its lease and than a call to the cloud may take
-Matches = Callable[[Request], bool]
+LONG_PAUSE_S = 9.0  # longer than the leader's lease, shorter than the workers' leases
+SHORT_PAUSE_S = 3.9  # longer than the leader's validity, shorter than its lease and than the timeout of a cloud call
+RequestFilter = Callable[[Request], bool]
 
-ACTIONS: dict[str, Matches] = {
+ACTIONS: dict[str, RequestFilter] = {
     "a command to a worker": lambda r: r.path == "/commands",
     "a rental": lambda r: r.path == "/rentals" and r.method == "POST",
     "a return": lambda r: r.path == "/rentals/return",
@@ -27,35 +27,35 @@
 
 
 def freeze_once(
-    simulation: SimulatedCluster, label: str, matches: Matches, answered: bool, for_s: float
+    simulation: SimulatedCluster, label: str, matches: RequestFilter, after_sending: bool, pause_s: float
 ) -> list[float]:
-    """Freeze a controller at its next request of a kind: decided and not yet written, or written and not yet answered.
-    Returns a list that holds the moment once it has come."""
-    moments: list[float] = []
+    """Pauses a controller at its next matching request: before the request is sent, or after it was sent and before
+    its answer arrives. Returns a list that receives the time of the pause."""
+    paused_at: list[float] = []
 
-    def hook(src: str, dst: str, request: Request) -> None:
-        if src == label and not moments and matches(request):
-            moments.append(trio.current_time())
-            simulation.freeze(label, for_s)
+    def freeze_on_match(src: str, dst: str, request: Request) -> None:
+        if src == label and not paused_at and matches(request):
+            paused_at.append(trio.current_time())
+            simulation.freeze(label, pause_s)
 
-    if answered:
-        check = simulation.net.sent
+    if after_sending:
+        check_sent = simulation.net.sent
 
-        def after(src: str, dst: str, request: Request) -> None:
-            check(src, dst, request)
-            hook(src, dst, request)
+        def check_and_freeze(src: str, dst: str, request: Request) -> None:
+            check_sent(src, dst, request)
+            freeze_on_match(src, dst, request)
 
-        simulation.net.sent = after
+        simulation.net.sent = check_and_freeze
     else:
-        simulation.net.on_connected = hook
-    return moments
+        simulation.net.on_connected = freeze_on_match
+    return paused_at
 
 
-@pytest.mark.parametrize("for_s", [SHORT_S, FROZEN_S])
-@pytest.mark.parametrize("answered", [False, True], ids=["decided", "sent"])
+@pytest.mark.parametrize("pause_s", [SHORT_PAUSE_S, LONG_PAUSE_S])
+@pytest.mark.parametrize("after_sending", [False, True], ids=["decided", "sent"])
 @pytest.mark.parametrize("action", list(ACTIONS))
-def test_a_leader_paused_in_the_middle_of_an_action_does_nothing_on_its_stale_leadership(
-    action: str, answered: bool, for_s: float
+def test_leader_paused_during_an_action_does_not_act_after_its_validity(
+    action: str, after_sending: bool, pause_s: float
 ) -> None:
     """The simulated cluster checks that commands, rentals and returns come from a valid leader only."""
 
@@ -65,24 +65,24 @@
         await simulation.submit(job("run-gone", shards=6, vcpus=4.0, expectedRunS=4.0))
         await simulation.until_phase("run-gone", "done")
         assert simulation.leader() == leader
-        before = len(simulation.leader_terms)
-        moments = freeze_once(simulation, leader, ACTIONS[action], answered, for_s)
+        terms_before = len(simulation.leader_terms)
+        paused_at = freeze_once(simulation, leader, ACTIONS[action], after_sending, pause_s)
         await simulation.submit(job("run-a", shards=12, vcpus=4.0, expectedRunS=6.0))
-        await simulation.until(lambda: bool(moments), 60)
+        await simulation.until(lambda: bool(paused_at), 60)
         await simulation.until(lambda: not simulation.nodes[leader].elector.valid(), 10)
         await simulation.submit(job("run-b", shards=4))
         await simulation.cancel("run-a")
         await simulation.until(lambda: not simulation.frozen(leader), 20)
         await trio.sleep(10)
-        assert len(simulation.leader_terms) <= before + 1, "one handover at most for one freeze"
+        assert len(simulation.leader_terms) <= terms_before + 1, "one pause causes one handover at most"
         assert len(simulation.running("run-s")) == 4
         await simulation.wait_for_convergence()
 
     run_scenario(scenario)
 
 
-def test_a_command_decided_within_the_validity_is_not_written_after_it() -> None:
-    """The freeze alone is shorter than any time-out; lease renewals had failed for a while before it."""
+def test_command_is_not_sent_after_the_leader_validity_ends() -> None:
+    """The pause alone is shorter than any timeout, but lease renewals have failed for a while before it."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = await simulation.until_leader()
@@ -90,7 +90,7 @@
         await simulation.submit(job("run-a", shards=120, vcpus=2.0, expectedRunS=1.0, sizeGb=0.0))
         await simulation.until(lambda: len(simulation.finished) > 8)
         elector = simulation.nodes[leader].elector
-        moments = freeze_once(
+        paused_at = freeze_once(
             simulation,
             leader,
             lambda r: r.path == "/commands" and trio.current_time() - elector.last_renewal_sent_at > 1.2,
@@ -98,7 +98,7 @@
             1.9,
         )
         simulation.store.refused.add(leader)
-        await simulation.until(lambda: bool(moments), 10)
+        await simulation.until(lambda: bool(paused_at), 10)
         await simulation.until(lambda: not simulation.frozen(leader), 5)
         simulation.store.refused.clear()
         await simulation.until_phase("run-a", "done", 200)
@@ -107,8 +107,8 @@
 
 
 @pytest.mark.parametrize("path", ["/follow", "/kv", "/multi"])
-def test_a_paused_controller_answers_nobody_from_its_stale_watch_cache(path: str) -> None:
-    """Users of a frozen controller wait; other controllers answered meanwhile that the jobs are over."""
+def test_paused_controller_does_not_answer_from_its_stale_watch_cache(path: str) -> None:
+    """Requests wait at the paused controller while other controllers confirm that the jobs are cancelled."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = await simulation.until_leader()
@@ -119,12 +119,12 @@
         await trio.sleep(2)
         frozen: list[float] = []
 
-        def hook(src: str, dst: str, request: Request) -> None:
+        def freeze_on_match(src: str, dst: str, request: Request) -> None:
             if src == other and dst == "store" and request.path.startswith(path) and not frozen:
                 frozen.append(trio.current_time())
                 simulation.freeze(other, 3.0)
 
-        simulation.net.sent = hook
+        simulation.net.sent = freeze_on_match
         async with trio.open_nursery() as nursery:
             for job_id in [*job_ids, "run-new"]:
                 nursery.start_soon(simulation.ask, other, "GET", f"/v2/runs/{job_id}")
@@ -141,32 +141,33 @@
     run_scenario(scenario)
 
 
-def test_a_resumed_follower_does_not_redirect_workers_to_a_leader_that_has_ended() -> None:
+def test_resumed_follower_does_not_redirect_workers_to_a_dead_leader() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        old = await simulation.until_leader()
-        follower = next(label for label in LABELS if label != old)
-        frozen_at = trio.current_time()
+        old_leader = await simulation.until_leader()
+        follower = next(label for label in LABELS if label != old_leader)
+        paused_at = trio.current_time()
         simulation.freeze(follower, 12.0)
-        simulation.kill(old)
-        await simulation.until(lambda: simulation.leader() not in (None, old), 20)
-        await trio.sleep(9.0 - (trio.current_time() - frozen_at))
+        simulation.kill(old_leader)
+        await simulation.until(lambda: simulation.leader() not in (None, old_leader), 20)
+        await trio.sleep(9.0 - (trio.current_time() - paused_at))
         answers: list[tuple[int, dict[str, str]]] = []
 
-        async def report() -> None:
+        async def send_heartbeat() -> None:
             body = {"host": "m", "tenure": 1, "serial": 1}
             answers.append(await simulation.ask(follower, "POST", "/hello", body))
 
         async with trio.open_nursery() as nursery:
             for _ in range(4):
-                nursery.start_soon(report)
+                nursery.start_soon(send_heartbeat)
         assert [status for status, _ in answers] == [421] * 4
-        assert all(answer.get("upstream") != old for _, answer in answers)
+        assert all(answer.get("upstream") != old_leader for _, answer in answers)
 
     run_scenario(scenario)
 
 
-def test_a_process_that_was_paused_does_not_take_its_loops_for_stalled() -> None:
-    """It yields because its lease has ended, not because loops that could not run are taken for stalled."""
+def test_watchdog_does_not_report_stalled_loops_after_a_pause() -> None:
+    """Time in which the process was paused doesn't count as a stall of its loops; the end of its lease makes it give
+    up leadership."""
 
     async def main() -> None:
         watchdog = Watchdog(10.0, 10.0)
@@ -182,25 +183,26 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_controller_before_a_dead_leader_lets_the_others_lead(seed: int) -> None:
-    """Workers try the controllers in order, up to 5 s each. With the dead one right after a leader that freezes, they
-    would need most of their lease to reach the third one."""
+def test_controller_before_a_dead_leader_does_not_become_leader(seed: int) -> None:
+    """Workers try the controllers in order, up to 5 s each. If the dead one follows the paused leader in that order,
+    they need most of their lease to reach the third one."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        dead = await simulation.until_leader()
+        dead_leader = await simulation.until_leader()
         await simulation.run_service("run-s", shards=4)
-        before = len(simulation.starts)
-        simulation.kill(dead)
+        starts_before = len(simulation.starts)
+        simulation.kill(dead_leader)
         for worker in simulation.workers:
-            simulation.net.cut(worker, dead)  # as a machine that is off: nothing refuses the connection
-        simulation.net.down.discard(dead)
-        await simulation.until(lambda: simulation.leader() not in (None, dead), 15)
-        second = await simulation.until_leader()
-        assert LABELS[(LABELS.index(second) + 1) % len(LABELS)] != dead
+            # Like a machine that is off: connections time out instead of being refused.
+            simulation.net.cut(worker, dead_leader)
+        simulation.net.down.discard(dead_leader)
+        await simulation.until(lambda: simulation.leader() not in (None, dead_leader), 15)
+        second_leader = await simulation.until_leader()
+        assert LABELS[(LABELS.index(second_leader) + 1) % len(LABELS)] != dead_leader
         await trio.sleep(5)
-        simulation.freeze(second, 25.0)
+        simulation.freeze(second_leader, 25.0)
         await trio.sleep(30)
         assert len(simulation.running("run-s")) == 4
-        assert len(simulation.starts) == before, "no lease ran out"
+        assert len(simulation.starts) == starts_before, "no worker's lease expired"
 
     run_scenario(scenario, seed=seed)
--- a/tests/scenarios/test_read_consistency.py
+++ b/tests/scenarios/test_read_consistency.py
@@ -1,4 +1,5 @@
-"""No controller answers with a state older than one that was confirmed to users before, also after late writes."""
+"""No controller returns a state older than one that was confirmed to a user before, also if writes are committed
+late."""
 
 import msgspec
 import pytest
@@ -10,7 +11,7 @@
 
 
 async def read_and_resubmit_everywhere(simulation: SimulatedCluster, job_id: str, rounds: int = 3) -> None:
-    """Polls and repeats of the submission at all controllers, again within milliseconds."""
+    """Polls the job and repeats its submission at all controllers, every 3 ms."""
     async with trio.open_nursery() as nursery:
         for _ in range(rounds):
             for label in LABELS:
@@ -19,16 +20,16 @@
             await trio.sleep(0.003)
 
 
-@pytest.mark.parametrize("trouble", ["none", "lost answers", "late writes", "leaders change"])
-def test_reads_within_milliseconds_return_nothing_older_than_confirmed_answers(trouble: str) -> None:
-    """Right after a job was accepted, ended or confirmed as cancelled."""
+@pytest.mark.parametrize("fault", ["none", "lost answers", "late writes", "leaders change"])
+def test_reads_return_nothing_older_than_confirmed_answers(fault: str) -> None:
+    """Reads right after a job was accepted, has ended or was confirmed as cancelled."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
-        if trouble in ("lost answers", "late writes"):
-            simulation.late_writes(0.3, at_once=trouble == "lost answers")
+        if fault in ("lost answers", "late writes"):
+            simulation.late_writes(0.3, at_once=fault == "lost answers")
         for number in range(12):
-            if trouble == "leaders change" and number % 4 == 3:
+            if fault == "leaders change" and number % 4 == 3:
                 leader = simulation.leader() or "n0"
                 simulation.kill(leader)
                 simulation.nursery.start_soon(simulation.restart_later, leader, 0.3)
@@ -39,8 +40,8 @@
                 await simulation.cancel(job_id)
                 await read_and_resubmit_everywhere(simulation, job_id)
             elif number % 3 == 1:
-                await simulation.until(lambda u=job_id: f"{u}/0" in simulation.finished, 60)  # type: ignore[misc]
-                await simulation.cancel(job_id)  # at the end of its last task
+                await simulation.until(lambda j=job_id: f"{j}/0" in simulation.finished, 60)  # type: ignore[misc]
+                await simulation.cancel(job_id)  # just as its last task ends
                 await read_and_resubmit_everywhere(simulation, job_id)
             else:
                 await simulation.until_phase(job_id, "done", 120)
@@ -52,8 +53,8 @@
     run_scenario(scenario)
 
 
-def test_transactions_committed_late_change_no_confirmed_answer() -> None:
-    """After newer ones of the same controller, and after its end."""
+def test_late_transactions_change_no_confirmed_answer() -> None:
+    """They are committed after newer transactions of the same controller, or after the controller has died."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
@@ -70,7 +71,7 @@
                 simulation.start(leader)
         await trio.sleep(20)
         await simulation.wait_for_convergence()
-        for label in LABELS:  # what memories hide, the records have to say as well
+        for label in LABELS:  # restarted controllers must give the same answers from the stored records
             simulation.kill(label)
         simulation.start_all()
         await simulation.wait_for_convergence()
@@ -80,26 +81,26 @@
     run_scenario(scenario)
 
 
-def test_a_record_written_late_does_not_bring_a_finished_job_back() -> None:
-    """The leader's own, carried out after its newer one that ended the job."""
+def test_late_record_does_not_revive_a_finished_job() -> None:
+    """The leader's own write of a running job is committed after its newer write that ended the job."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
-        held: list[str] = []
+        delayed: list[str] = []
 
         def late(src: str, dst: str, request: Request) -> float | None:
-            if request.path != "/multi" or held:
+            if request.path != "/multi" or delayed:
                 return None
             writes = msgspec.msgpack.decode(request.body)["writes"]
-            if any(w.get("set") == "s/j/run-a" and w["value"]["r"] for w in writes):
-                held.append(src)
+            if any(change.get("set") == "s/j/run-a" and change["value"]["r"] for change in writes):
+                delayed.append(src)
                 return 12.0
             return None
 
         simulation.net.late = late
         await simulation.submit(job("run-a", shards=2, expectedRunS=3.0))
         await simulation.until_phase("run-a", "done")
-        assert held
+        assert delayed
         await trio.sleep(15)
         simulation.kill_all()
         simulation.start_all()
