--- a/tests/scenarios/test_scale_out.py
+++ b/tests/scenarios/test_scale_out.py
@@ -1,4 +1,4 @@
-"""Machines that boot late or never, and a machine list that lags."""
+"""Scale-out with machines that boot late or never and with a stale machine list."""
 
 import pytest
 import trio
@@ -8,8 +8,8 @@
 
 
 @pytest.mark.parametrize("new_leader", [False, True])
-def test_late_and_lost_machines_are_replaced_and_abandoned_without_runaway_scale_out(new_leader: bool) -> None:
-    """Half of the machines never come up, others take several times as long, and the list is 12 s late."""
+def test_late_and_lost_machines_do_not_cause_runaway_scale_out(new_leader: bool) -> None:
+    """Half of the machines never boot, a quarter takes several times as long, and the machine list lags by 12 s."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         cloud = simulation.cloud
@@ -18,34 +18,36 @@
         cloud.boot_times = lambda number: 4.0 if number % 4 == 1 else 1.0
         leader = await simulation.until_leader()
         await simulation.submit(job("run-a", shards=24, vcpus=4.0, expectedRunS=40.0))
-        began = trio.current_time()
+        submitted_at = trio.current_time()
         if new_leader:
             await trio.sleep(25)
             simulation.kill(leader)
             await trio.sleep(1)
             simulation.start(leader)
         await simulation.until(lambda: len(simulation.running("run-a")) >= 20, 60)
-        print("twenty after", trio.current_time() - began)
+        print("twenty tasks running after", trio.current_time() - submitted_at)
         await simulation.until_phase("run-a", "done", 240)
-        spent = trio.current_time() - began
-        print("spent", spent, "rented", sum(count for _, count in cloud.rented), "calls", cloud.calls)
-        assert spent < 180, f"done after {spent:.0f} s"
-        assert cloud.calls < 1.5 * spent + 10, "the cloud's rate"
+        elapsed_s = trio.current_time() - submitted_at
+        print("elapsed", elapsed_s, "rented", sum(count for _, count in cloud.rented), "calls", cloud.calls)
+        assert elapsed_s < 180, f"done after {elapsed_s:.0f} s"
+        assert cloud.calls < 1.5 * elapsed_s + 10, "calls stay within the cloud's rate limit"
         rented = sum(count for _, count in cloud.rented)
-        assert rented <= 40, f"{rented} machines were rented for the work of 12"
+        assert rented <= 40, f"{rented} machines were rented where 12 suffice"
         await trio.sleep(90)
         for name, machine in cloud.machines.items():
-            assert name in simulation.workers, f"{name} was never up and is paid for since {machine['born']:.0f} s"
-        lost = [seconds for name, seconds in cloud.paid.items() if name not in simulation.ever_up]
-        assert lost, "some never came up"
-        print("lost", sorted(lost))
-        assert max(lost) < 50, f"paid for {max(lost):.0f} s, with boots of 5 s"
+            assert name in simulation.workers, f"{name} never booted and is paid for since {machine['born']:.0f} s"
+        paid_without_boot = [seconds for name, seconds in cloud.paid.items() if name not in simulation.ever_up]
+        assert paid_without_boot, "some machines never booted"
+        print("paid without boot", sorted(paid_without_boot))
+        assert max(paid_without_boot) < 50, (
+            f"a machine that never booted was paid for {max(paid_without_boot):.0f} s; machines boot in 5 s"
+        )
         await simulation.wait_for_convergence()
 
     run_scenario(scenario)
 
 
-def test_a_machine_that_never_boots_is_given_up() -> None:
+def test_machine_that_never_boots_is_returned() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.never_boots = {0}
         await simulation.submit(job("run-1"))
@@ -55,19 +57,20 @@
     run_scenario(scenario)
 
 
-def test_a_returned_machine_in_the_lagging_list_is_not_awaited() -> None:
-    """Guards against this: such machines counted as coming, so nothing was rented in their place."""
+def test_returned_machine_in_a_stale_list_does_not_count_as_booting() -> None:
+    """Guards against counting returned machines that the stale list still shows as booting: no machine was rented in
+    their place."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.lag_s = 6.0
         await simulation.submit(job("run-1"))
         await simulation.until_phase("run-1", "done")
-        first = set(simulation.cloud.machines)
+        returned = set(simulation.cloud.machines)
         await simulation.until(lambda: not simulation.cloud.machines)
         leader = simulation.nodes[await simulation.until_leader()]
         assert leader.leader_term is not None
-        ghosts = {name: ListedMachine(name, "running", "c8", "a", False, 20.0) for name in first}
-        leader.leader_term.fleet.take_list(ghosts, trio.current_time())
+        stale_list = {name: ListedMachine(name, "running", "c8", "a", False, 20.0) for name in returned}
+        leader.leader_term.fleet.take_list(stale_list, trio.current_time())
         assert leader.leader_term.fleet.booting == {}
 
     run_scenario(scenario)
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -1,4 +1,4 @@
-"""The state service lowers its limits without notice: nothing is refused again and again, nothing is lost."""
+"""The state service lowers its limits without notice: no write is refused again and again, and no data is lost."""
 
 import random
 from typing import Any
@@ -14,24 +14,24 @@
 from sorrelsill.store import chunk_key, job_key, registry_key, small_chunk_key
 from tests.simulation import SimulatedCluster, job, run_scenario
 
-COMING = NextLimits(write_rps=40.0, value_kb=2.0, txn_ops=5)
-SMALL = 2048
+NEXT_LIMITS = NextLimits(write_rps=40.0, value_kb=2.0, txn_ops=5)
+SMALL_VALUE_BYTES = 2048
 
 
 def lower_limits(simulation: SimulatedCluster) -> None:
-    assert COMING.txn_ops and COMING.value_kb
-    simulation.store.lower_limits(COMING.value_kb, COMING.txn_ops, COMING.write_rps)
+    assert NEXT_LIMITS.txn_ops and NEXT_LIMITS.value_kb
+    simulation.store.lower_limits(NEXT_LIMITS.value_kb, NEXT_LIMITS.txn_ops, NEXT_LIMITS.write_rps)
 
 
-def sizes(simulation: SimulatedCluster, prefix: str) -> list[int]:
+def value_sizes(simulation: SimulatedCluster, prefix: str) -> list[int]:
     return [json_size(v) for k, (v, _, _) in simulation.store.kv.items() if k.startswith(prefix)]
 
 
-def entry(number: int) -> dict[str, Any]:
+def registry_entry(number: int) -> dict[str, Any]:
     return {"f": "mango-std", "a": f"10.1.{number // 250}.{number % 250}:9000", "z": "brisbane-west", "s": False}
 
 
-def test_everything_goes_on_under_smaller_limits() -> None:
+def test_jobs_run_under_lower_limits() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-s", shape="standing", shards=4, rank="prod", expectedRunS=0.0))
         await simulation.submit(job("run-a", shards=40, expectedRunS=4.0))
@@ -45,14 +45,14 @@
         simulation.kill(await simulation.until_leader())
         await simulation.submit(job("run-after"))
         await simulation.until_phase("run-after", "done")
-        assert simulation.store.throttled <= 12, "the rate is kept once it was met"
-        assert max(sizes(simulation, "s/")) <= SMALL
+        assert simulation.store.throttled <= 12, "the lower rate is kept once the store has enforced it"
+        assert max(value_sizes(simulation, "s/")) <= SMALL_VALUE_BYTES
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, coming=NEXT_LIMITS)
 
 
-def test_progress_is_written_at_the_lower_rate_too_but_never_before_what_is_urgent() -> None:
-    """Guards against this: what progress leaves to others was all that could be saved up, so it was never written."""
+def test_progress_is_written_at_a_lower_rate() -> None:
+    """Guards against a reserve for other writes as large as the whole token bucket: progress was never written."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.store.lower_limits(2.0, 5, 18.0)
@@ -68,97 +68,102 @@
     run_scenario(scenario, coming=NextLimits(write_rps=18.0, value_kb=2.0, txn_ops=5))
 
 
-def test_a_refused_rate_lowers_it_for_good() -> None:
+def test_throttled_writes_lower_the_write_rate() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = simulation.nodes[await simulation.until_leader()]
-        before = leader.store.writes.rate
+        rate_before = leader.store.writes.rate
         lower_limits(simulation)
 
-        async def user(job_id: str) -> None:
+        async def submit_one(job_id: str) -> None:
             await simulation.submit(job(job_id, shards=1, expectedRunS=1.0))
 
         async with trio.open_nursery() as nursery:
             for number in range(120):
-                nursery.start_soon(user, f"run-{number}")
+                nursery.start_soon(submit_one, f"run-{number}")
         for number in range(120):
             await simulation.until_phase(f"run-{number}", "done", 200)
         assert 0 < simulation.store.throttled <= 12
-        assert leader.store.writes.rate < before
+        assert leader.store.writes.rate < rate_before
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, coming=NEXT_LIMITS)
 
 
-def scattered(shards: int, seed: int = 5) -> TaskSet:
-    dice, done = random.Random(seed), TaskSet(shards)
+def random_task_set(shards: int, seed: int = 5) -> TaskSet:
+    rng, done = random.Random(seed), TaskSet(shards)
     for index in range(shards):
-        if dice.random() < 0.5:
+        if rng.random() < 0.5:
             done.add(index)
     return done
 
 
-def test_finished_tasks_in_no_order_move_beside_a_record_that_would_be_too_long() -> None:
-    """Whatever crashes between the writes: each end finds at least what was recorded before."""
+def test_scattered_finished_tasks_move_from_a_long_record_into_chunks() -> None:
+    """Guards against a crash between the writes that loses finished tasks: each new leader finds at least what was
+    recorded before."""
 
     async def scenario(simulation: SimulatedCluster, seed: int) -> None:
-        dice = random.Random(seed)
+        rng = random.Random(seed)
         leader = simulation.nodes[await simulation.until_leader()]
         shards = 16_000
         await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
         assert leader.cluster is not None
-        task = leader.cluster.jobs["run-big"]
-        finished = scattered(shards)
+        big_job = leader.cluster.jobs["run-big"]
+        finished = random_task_set(shards)
         for index in range(shards):
             if index in finished:
-                task.done.add(index)
+                big_job.done.add(index)
                 simulation.finished.add(f"run-big/{index}")
-                task.unrecorded_parts.add(index // constants.PART_TASKS)
+                big_job.unrecorded_parts.add(index // constants.PART_TASKS)
         leader.cluster.pending_writes.records.add("run-big")
         await simulation.until(lambda: simulation.store.kv["s/j/run-big"][0]["n"] > 7000, 30)
-        assert max(sizes(simulation, "s/j/")) > SMALL, "written while longer values were allowed"
+        assert max(value_sizes(simulation, "s/j/")) > SMALL_VALUE_BYTES, (
+            "the record was written while larger values were allowed"
+        )
         lower_limits(simulation)
-        known: set[int] = set()
+        recorded: set[int] = set()
         for _ in range(4):
             label = await simulation.until_leader()
             node = simulation.nodes[label]
             assert node.cluster is not None
-            task = node.cluster.jobs["run-big"]
-            have = {i for i in range(shards) if i in task.done}
-            assert known <= have, "no finished task is forgotten"
-            extra = [i for i in range(shards) if i not in have and dice.random() < 0.03]
-            for index in extra:
-                task.done.add(index)
-                task.unrecorded_parts.add(index // constants.PART_TASKS)
+            big_job = node.cluster.jobs["run-big"]
+            loaded = {i for i in range(shards) if i in big_job.done}
+            assert recorded <= loaded, "no finished task is lost"
+            newly_finished = [i for i in range(shards) if i not in loaded and rng.random() < 0.03]
+            for index in newly_finished:
+                big_job.done.add(index)
+                big_job.unrecorded_parts.add(index // constants.PART_TASKS)
             node.cluster.pending_writes.records.add("run-big")
-            await trio.sleep(dice.choice((0.3, 0.5, 8.0)))
-            parts = [
+            await trio.sleep(rng.choice((0.3, 0.5, 8.0)))
+            chunks = [
                 (k, v) for k, (v, _, _) in simulation.store.kv.items() if k.startswith(("s/d/run-big", "s/e/run-big"))
             ]
             stored = TaskSet(shards)
             stored.merge(simulation.store.kv["s/j/run-big"][0]["d"], 0)
-            for key, text in parts:
+            for key, encoded in chunks:
                 number = int(key.rpartition("/")[2])
-                stored.merge(text, number * (constants.CHUNK_TASKS if key.startswith("s/d/") else constants.PART_TASKS))
-            known = {i for i in range(shards) if i in stored}
+                stored.merge(
+                    encoded, number * (constants.CHUNK_TASKS if key.startswith("s/d/") else constants.PART_TASKS)
+                )
+            recorded = {i for i in range(shards) if i in stored}
             simulation.kill(label)
             await trio.sleep(0.2)
             simulation.start(label)
         await trio.sleep(20)
-        assert json_size(simulation.store.kv["s/j/run-big"][0]) <= SMALL
+        assert json_size(simulation.store.kv["s/j/run-big"][0]) <= SMALL_VALUE_BYTES
         assert (await simulation.cancel("run-big"))["phase"] == "cancelled"
         await trio.sleep(15)
-        left = [k for k in simulation.store.kv if k.startswith(("s/d/", "s/e/"))]
-        assert left == [], "parts that the cancellation had no room for are swept"
+        remaining = [k for k in simulation.store.kv if k.startswith(("s/d/", "s/e/"))]
+        assert remaining == [], "chunks that did not fit into the cancellation's transaction are deleted later"
 
     for seed in range(3):
 
         async def run_seed(simulation: SimulatedCluster, seed: int = seed) -> None:
-            simulation.may_refuse = 7  # each process learns of the limits by one refusal
+            simulation.may_refuse = 7  # each process learns the new limits from one refusal
             await scenario(simulation, seed)
 
-        run_scenario(run_seed, seed=seed, coming=COMING)
+        run_scenario(run_seed, seed=seed, coming=NEXT_LIMITS)
 
 
-def test_a_hundred_thousand_tasks_in_no_order_fit_small_values() -> None:
+def test_a_hundred_thousand_scattered_tasks_fit_small_values() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         lower_limits(simulation)
         simulation.may_refuse = 2
@@ -166,75 +171,78 @@
         shards = 100_000
         await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
         assert leader.cluster is not None
-        task, done = leader.cluster.jobs["run-big"], scattered(shards)
+        big_job, done = leader.cluster.jobs["run-big"], random_task_set(shards)
         for index in range(shards):
             if index in done:
-                task.done.add(index)
-                task.unrecorded_parts.add(index // constants.PART_TASKS)
+                big_job.done.add(index)
+                big_job.unrecorded_parts.add(index // constants.PART_TASKS)
         leader.cluster.pending_writes.records.add("run-big")
-        await simulation.until(lambda: not task.unrecorded_parts, 40)
+        await simulation.until(lambda: not big_job.unrecorded_parts, 40)
         simulation.kill(await simulation.until_leader())
-        after = simulation.nodes[await simulation.until_leader()]
-        assert after.cluster is not None
-        found = after.cluster.jobs["run-big"].done
-        assert found.count == done.count and all(i in found for i in range(shards) if i in done)
+        new_leader = simulation.nodes[await simulation.until_leader()]
+        assert new_leader.cluster is not None
+        loaded = new_leader.cluster.jobs["run-big"].done
+        assert loaded.count == done.count and all(i in loaded for i in range(shards) if i in done)
         await simulation.submit(job("run-x"))
         await simulation.until_phase("run-x", "done")
-        assert max(sizes(simulation, "s/")) <= SMALL
+        assert max(value_sizes(simulation, "s/")) <= SMALL_VALUE_BYTES
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, coming=NEXT_LIMITS)
 
 
-def test_a_record_accepted_under_larger_limits_lives_to_its_end_under_smaller_ones() -> None:
+def test_long_record_accepted_before_the_limits_shrank_runs_to_its_end() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        long = {"flavours": ["c8", *(f"type-{n:04d}" for n in range(190))]}
-        assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long)) == 201
+        long_fields = {"flavours": ["c8", *(f"type-{n:04d}" for n in range(190))]}
+        assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long_fields)) == 201
         await simulation.until(lambda: len(simulation.running("run-long")) > 0)
         lower_limits(simulation)
         simulation.may_refuse = 3
-        assert await simulation.submit(job("run-next", **long), 5) in (400, 201)
-        assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long)) == 200, (
-            "known: not judged anew"
+        assert await simulation.submit(job("run-next", **long_fields), 5) in (400, 201)
+        assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long_fields)) == 200, (
+            "a known job is not validated again"
         )
-        assert await simulation.submit(job("run-later", **long), 5) == 400, "and told so at once"
+        assert await simulation.submit(job("run-later", **long_fields), 5) == 400, "refused at once"
         await simulation.until_phase("run-long", "done")
         await simulation.submit(job("run-x"))
         await simulation.until_phase("run-x", "done")
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, coming=NEXT_LIMITS)
 
 
-def test_one_submission_that_is_too_long_does_not_hold_up_its_batch() -> None:
+def test_too_long_submission_does_not_delay_its_batch() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         lower_limits(simulation)
         simulation.may_refuse = 6
-        long = {"flavours": ["c8", *(f"type-{n:04d}" for n in range(190))]}
+        long_fields = {"flavours": ["c8", *(f"type-{n:04d}" for n in range(190))]}
         answers: dict[str, int] = {}
 
-        async def user(job_id: str, **fields: Any) -> None:
+        async def submit_one(job_id: str, **fields: Any) -> None:
             answers[job_id] = await simulation.submit(job(job_id, **fields), 8)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(lambda: user("run-long", **long))
+            nursery.start_soon(lambda: submit_one("run-long", **long_fields))
             for number in range(8):
-                nursery.start_soon(user, f"run-{number}")
+                nursery.start_soon(submit_one, f"run-{number}")
         assert answers == {"run-long": 400, **{f"run-{n}": 201 for n in range(8)}}
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, coming=NEXT_LIMITS)
 
 
-def test_a_write_that_is_refused_alone_is_quarantined_and_the_rest_goes_on() -> None:
+def test_refused_write_is_quarantined_and_others_go_on() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         refused = []
-        judge = simulation.store._too_large
+        original_check = simulation.store._too_large
 
-        def odd(body: dict[str, Any]) -> str | None:
-            if any(w.get("set") == job_key("run-odd") for w in body["writes"]) and body["if"][0]["k"] == "s/leader":
+        def refuse_odd_job(body: dict[str, Any]) -> str | None:
+            if (
+                any(change.get("set") == job_key("run-odd") for change in body["writes"])
+                and body["if"][0]["k"] == "s/leader"
+            ):
                 refused.append(len(body["writes"]))
-                return "for a reason of its own"
-            return judge(body)
+                return "refused by the test"
+            return original_check(body)
 
-        simulation.store._too_large = odd  # type: ignore[method-assign]
+        simulation.store._too_large = refuse_odd_job  # type: ignore[method-assign]
         simulation.may_refuse = 40
         await simulation.submit(job("run-odd", shards=3, expectedRunS=20.0))
         for number in range(6):
@@ -243,54 +251,60 @@
             await simulation.until_phase(f"run-{number}", "done", 60)
         state = simulation.nodes[await simulation.until_leader()].state()
         assert state.set_aside == 1 and state.refused >= 1
-        assert len(refused) <= 6, "not again and again"
+        assert len(refused) <= 6, "the write is not retried again and again"
         await simulation.until_phase("run-odd", "done")
 
     run_scenario(scenario)
 
 
-def test_the_registry_of_half_as_many_machines_again_fits_and_old_chunks_shrink() -> None:
+def test_registry_chunks_shrink_to_the_lower_limit_without_losing_machines() -> None:
     names = [f"m-{n:06d}" for n in range(975)]
-    parts: dict[str, dict[str, dict[str, Any]]] = {}
-    for number, name in enumerate(names):  # as the version before wrote them
-        parts.setdefault(registry_key(name), {}).setdefault(registry_key(name), {})[name] = entry(number)
-    assert max(json_size(p) for group in parts.values() for p in group.values()) > SMALL
-    dice = random.Random(1)
-    for base, group in parts.items():
-        mine = {n for values in group.values() for n in values}
-        gone = {n for n in mine if dice.random() < 0.1}
-        add = {f"{base}-new-{n}": entry(n) for n in range(4)}
-        left, steps = dict(add), 0
-        while (write := next_registry_write(base, group, left, gone, int(SMALL * constants.VALUE_SHARE))) is not None:
-            assert json_size(write.value) <= SMALL
-            group[write.key] = write.value
-            left = {n: e for n, e in left.items() if n not in write.added}
-            standing = {n for values in group.values() for n in values}
-            assert standing >= mine - gone, "at no moment is a machine missing"
+    chunks_by_base: dict[str, dict[str, dict[str, Any]]] = {}
+    for number, name in enumerate(names):  # as the previous version wrote them
+        chunks_by_base.setdefault(registry_key(name), {}).setdefault(registry_key(name), {})[name] = registry_entry(
+            number
+        )
+    assert max(json_size(chunk) for chunks in chunks_by_base.values() for chunk in chunks.values()) > SMALL_VALUE_BYTES
+    rng = random.Random(1)
+    for base, chunks in chunks_by_base.items():
+        registered = {n for values in chunks.values() for n in values}
+        removed = {n for n in registered if rng.random() < 0.1}
+        new_entries = {f"{base}-new-{n}": registry_entry(n) for n in range(4)}
+        remaining, steps = dict(new_entries), 0
+        while (
+            write := next_registry_write(
+                base, chunks, remaining, removed, int(SMALL_VALUE_BYTES * constants.VALUE_SHARE)
+            )
+        ) is not None:
+            assert json_size(write.value) <= SMALL_VALUE_BYTES
+            chunks[write.key] = write.value
+            remaining = {n: e for n, e in remaining.items() if n not in write.added}
+            listed = {n for values in chunks.values() for n in values}
+            assert listed >= registered - removed, "no machine is ever missing from the registry"
             steps += 1
             assert steps < 20
-        assert {n for values in group.values() for n in values} == mine - gone | set(add)
-        assert all(json_size(values) <= SMALL for values in group.values())
+        assert {n for values in chunks.values() for n in values} == registered - removed | set(new_entries)
+        assert all(json_size(values) <= SMALL_VALUE_BYTES for values in chunks.values())
 
 
-def test_new_machines_get_work_though_their_registry_chunk_is_full() -> None:
+def test_new_machines_get_work_while_their_registry_chunk_is_full() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
-        parts: dict[str, dict[str, Any]] = {}
+        chunks: dict[str, dict[str, Any]] = {}
         for number in range(1200):
-            part = parts.setdefault(registry_key(f"m-{number}"), {})
-            if len(part) < 27:
-                part[f"m-{number}"] = entry(number)
-        for key, full in parts.items():
+            chunk = chunks.setdefault(registry_key(f"m-{number}"), {})
+            if len(chunk) < 27:
+                chunk[f"m-{number}"] = registry_entry(number)
+        for key, entries in chunks.items():
             simulation.store.rev += 1
-            simulation.store.kv[key] = (full, simulation.store.rev, None)
-            simulation.store.log.append((simulation.store.rev, key, full, True))
+            simulation.store.kv[key] = (entries, simulation.store.rev, None)
+            simulation.store.log.append((simulation.store.rev, key, entries, True))
         lower_limits(simulation)
-        simulation.may_refuse = 3  # each process learns of the limits by one refusal
+        simulation.may_refuse = 3  # each process learns the new limits from one refusal
         await simulation.submit(job("run-a", shards=12))
         await simulation.until_phase("run-a", "done", 60)
         simulation.kill(await simulation.until_leader())
-        await trio.sleep(30)  # nobody hears of those machines: they leave the registry, entry by entry
+        await trio.sleep(30)  # those machines send no heartbeats: their registry entries are deleted one by one
         await simulation.submit(job("run-b"))
         await simulation.until_phase("run-b", "done")
         await simulation.until(
@@ -305,7 +319,7 @@
             120,
         )
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, coming=NEXT_LIMITS)
 
 
 def test_progress_chunks_of_a_finished_job_are_garbage_collected() -> None:
@@ -323,16 +337,16 @@
     run_scenario(scenario)
 
 
-def test_leadership_changes_under_the_smaller_limits_with_late_writes() -> None:
+def test_failovers_under_lower_limits_with_late_writes() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-a", shards=30, expectedRunS=5.0))
         await simulation.until(lambda: len(simulation.finished) > 3)
-        dice = random.Random(2)
+        rng = random.Random(2)
 
-        def late(src: str, dst: str, request: Request) -> bool:
-            return request.path == "/multi" and dice.random() < 0.1
+        def delay_write(src: str, dst: str, request: Request) -> bool:
+            return request.path == "/multi" and rng.random() < 0.1
 
-        simulation.net.hold_request = late
+        simulation.net.hold_request = delay_write
         lower_limits(simulation)
         for _ in range(3):
             await trio.sleep(6)
@@ -344,10 +358,10 @@
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until_phase("run-a", "done", 200)
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, coming=NEXT_LIMITS)
 
 
-def test_a_machine_in_two_chunks_of_the_registry_is_confirmed_once() -> None:
+def test_machine_in_two_registry_chunks_is_confirmed_once() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-s", shape="standing", shards=2, rank="prod", expectedRunS=0.0))
         await simulation.until(lambda: len(simulation.running("run-s")) == 2)
@@ -366,8 +380,9 @@
     run_scenario(scenario)
 
 
-def test_progress_is_written_seldom_and_the_end_at_once() -> None:
-    """Guards against this: each job written at each change used up the store's rate; submissions waited."""
+def test_progress_is_written_rarely_and_the_end_at_once() -> None:
+    """Guards against a record write at each change of a job, which used up the store's write rate and delayed
+    submissions."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         for number in range(6):
@@ -376,8 +391,10 @@
             )
         for number in range(6):
             await simulation.until_phase(f"run-{number}", "done")
-        ends = [e for e in simulation.store.log if e[1].startswith("s/f/")]
-        progress = [e for e in simulation.store.log if e[1].startswith("s/j/") and e[3] and e[2]["n"]]
-        assert len(ends) == 6 and len(progress) <= 24
+        end_writes = [change for change in simulation.store.log if change[1].startswith("s/f/")]
+        progress_writes = [
+            change for change in simulation.store.log if change[1].startswith("s/j/") and change[3] and change[2]["n"]
+        ]
+        assert len(end_writes) == 6 and len(progress_writes) <= 24
 
     run_scenario(scenario)
