--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -1,4 +1,4 @@
-"""A team's limit holds round a change of leader: what an earlier leader started counts until it is proved gone."""
+"""Team limits across leader changes: tasks of an earlier leader count until they are proved to have ended."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
 from tests.simulation.leader_in_memory import TERM
 from tests.simulation.users import LABELS
 
-LIMIT = 20.0  # CPUs of red in memory
+LIMIT = 20.0  # CPUs; limit of team red in tests with LeaderInMemory
 TEAMS = [Team("red", cpus_max=LIMIT), Team("blue")]
 CLUSTER_TEAMS = [Team("red", cpus_max=16.0), Team("blue")]
 
 
 def run_by_earlier_leader(leader: LeaderInMemory, machine: str, job_id: str, tasks: int) -> None:
-    """Tasks that were started in an earlier term and still run."""
+    """Adds tasks that were started in an earlier term and still run."""
     for index in range(tasks):
         leader.tasks[machine][f"{job_id}/{index}", ((TERM - 1) << constants.ATTEMPT_COUNTER_BITS) + index] = "running"
 
 
 def send_heartbeats_without_answers(leader: LeaderInMemory) -> None:
-    """All machines send heartbeats, twice to show that answers reach them; the stop commands in the answers are
-    still on their way."""
+    """Each machine sends two heartbeats; the second shows that answers reach it. The stop commands in the answers
+    have not arrived yet."""
     for name in leader.names * 2:
         leader.cluster.on_heartbeat(leader.next_heartbeat(name), leader.now)
     leader.write_registry()
 
 
-def test_tasks_of_a_job_that_is_over_count_while_their_machine_takes_other_work() -> None:
-    """Found in an incident: what they use was told from the room on their machine, which other teams' work took."""
+def test_tasks_of_an_ended_job_count_while_their_machine_gets_other_tasks() -> None:
+    """Guards against a fault found in an incident: what such tasks use was estimated from the free capacity of their
+    machine, which shrank as tasks of other teams were placed there."""
     leader = LeaderInMemory(2, registered=True, teams=TEAMS)
     in_zone_a, in_zone_b = leader.names
     run_by_earlier_leader(leader, in_zone_a, "run-over", 10)
@@ -46,25 +47,25 @@
 
 
 def leader_after_takeover(machines: int = 2) -> LeaderInMemory:
-    """A leader that knows of a job lately over, which had ten tasks."""
+    """Returns a leader that knows of a recently ended job with ten tasks."""
     leader = LeaderInMemory(machines, registered=True, teams=TEAMS)
     leader.cluster.add_ended_job(array_job("run-over", shards=10, owner="red"), TaskSet(10))
     leader.cluster.failover.set_all_ended_known(True)
     return leader
 
 
-def test_tasks_of_a_job_known_to_be_over_count_with_their_own_size() -> None:
-    """Nor more than that: the team goes on with the rest of its limit, on their machine as well."""
+def test_tasks_of_a_known_ended_job_count_with_their_own_size() -> None:
+    """They count with no more than that: the team can use the rest of its limit, also on their machine."""
     leader = leader_after_takeover()
     in_zone_a, _ = leader.names
     run_by_earlier_leader(leader, in_zone_a, "run-over", 10)
-    assert leader.cluster.unobserved("red") == (10.0, 0.0), "they may run on any machine"
+    assert leader.cluster.unobserved("red") == (10.0, 0.0), "they may still run on any machine"
     send_heartbeats_without_answers(leader)
     assert leader.cluster.team_use("red").total == (10.0, 0.0)
     leader.add(array_job("run-blue", shards=16, owner="blue", region="a"))
     leader.add(array_job("run-red", shards=30, owner="red", region="b"))
     leader.run_cycle()
-    assert len(leader.cluster.jobs["run-blue"].bound) == 6, "beside the ten that are not gone yet"
+    assert len(leader.cluster.jobs["run-blue"].bound) == 6, "beside the ten tasks that have not ended yet"
     assert len(leader.cluster.jobs["run-red"].bound) == 10
     leader.all_send_heartbeats()
     leader.all_send_heartbeats()
@@ -73,45 +74,48 @@
     assert len(leader.cluster.jobs["run-red"].bound) == 16, "as many as the machine holds"
 
 
-def test_a_machine_with_tasks_of_unknown_size_takes_no_work_until_they_are_gone() -> None:
+def test_machine_with_tasks_of_unknown_size_gets_no_tasks_until_they_end() -> None:
     leader = LeaderInMemory(2, registered=True, teams=TEAMS)
     in_zone_a, in_zone_b = leader.names
     run_by_earlier_leader(leader, in_zone_a, "run-over", 10)
     send_heartbeats_without_answers(leader)
     assert leader.cluster.index.ready.names() == {in_zone_b}
-    assert leader.cluster.team_use("red").total == (16.0, 0.0), "all of its room"
+    assert leader.cluster.team_use("red").total == (16.0, 0.0), "all CPUs of the machine"
     leader.all_send_heartbeats()
     leader.all_send_heartbeats()
     assert leader.cluster.index.ready.names() == {in_zone_a, in_zone_b}
     assert leader.cluster.team_use("red").total == (0.0, 0.0)
 
 
-def test_tasks_proved_ended_do_not_count_on_machines_that_stay_silent() -> None:
-    """Teams at their limit must not stand still behind a silent machine for what ran elsewhere."""
+def test_tasks_proved_ended_do_not_count_on_silent_machines() -> None:
+    """Guards against teams at their limit that get nothing started while a machine is silent, because of tasks that
+    ran elsewhere."""
     leader = leader_after_takeover(3)
-    silent = leader.names[2]
+    silent_machine = leader.names[2]
     run_by_earlier_leader(leader, leader.names[0], "run-over", 8)
     for _ in range(3):
         leader.all_send_heartbeats(leader.names[:2])
-    assert silent in leader.cluster.failover.unconfirmed
-    assert leader.cluster.team_use("red").total == (2.0, 0.0), "two of the ten were not found"
+    assert silent_machine in leader.cluster.failover.unconfirmed
+    assert leader.cluster.team_use("red").total == (2.0, 0.0), "two of the ten tasks were not found"
 
 
-def test_a_task_out_of_a_late_copy_counts_once_wherever_the_true_one_is() -> None:
+def test_task_in_a_late_heartbeat_counts_once() -> None:
     leader = leader_after_takeover(3)
-    copied, true, _ = leader.names
-    run_by_earlier_leader(leader, copied, "run-over", 10)
-    leader.cluster.on_heartbeat(leader.next_heartbeat(copied, fencing_token=TERM - 1), leader.now)
+    old_machine, new_machine, _ = leader.names
+    run_by_earlier_leader(leader, old_machine, "run-over", 10)
+    leader.cluster.on_heartbeat(leader.next_heartbeat(old_machine, fencing_token=TERM - 1), leader.now)
     assert leader.cluster.team_use("red").total == (10.0, 0.0)
-    leader.tasks[copied].clear()
-    leader.cluster.on_heartbeat(leader.next_heartbeat(copied), leader.now)
-    assert leader.cluster.team_use("red").total == (10.0, 0.0), "the copy told of what is on another machine now"
-    run_by_earlier_leader(leader, true, "run-over", 10)
-    leader.cluster.on_heartbeat(leader.next_heartbeat(true), leader.now)
+    leader.tasks[old_machine].clear()
+    leader.cluster.on_heartbeat(leader.next_heartbeat(old_machine), leader.now)
+    assert leader.cluster.team_use("red").total == (10.0, 0.0), (
+        "the late copy reported tasks that are on another machine now"
+    )
+    run_by_earlier_leader(leader, new_machine, "run-over", 10)
+    leader.cluster.on_heartbeat(leader.next_heartbeat(new_machine), leader.now)
     assert leader.cluster.team_use("red").total == (10.0, 0.0)
 
 
-def test_a_job_that_ends_in_the_term_counts_each_task_once() -> None:
+def test_job_that_ends_in_the_term_counts_each_task_once() -> None:
     leader = leader_after_takeover(3)
     run_by_earlier_leader(leader, leader.names[0], "run-old", 4)
     leader.add(array_job("run-old", shards=6, owner="red"), old=True)
@@ -121,14 +125,16 @@
     assert leader.cluster.team_use("red").total == (16.0, 0.0)
     leader.send_heartbeat(leader.names[0])
     leader.send_heartbeat(leader.names[0])
-    assert leader.cluster.team_use("red").total == (12.0, 0.0), "the four are gone; two, and ten of the other, may run"
+    assert leader.cluster.team_use("red").total == (12.0, 0.0), (
+        "four tasks have ended; two, and ten of the other job, may still run"
+    )
 
 
-def test_a_team_at_its_limit_stays_there_when_its_job_is_cancelled_while_nobody_leads() -> None:
-    """The same with whole controllers: the stop commands are held up on their way, the starts elsewhere are not."""
+def test_team_limit_holds_when_a_job_is_cancelled_without_a_leader() -> None:
+    """With whole controllers: the stop commands are delayed, the start commands to other machines are not."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        # In zone b red finds some room beside a service at any time; in zone a its job fills two machines.
+        # In zone b red always finds free CPUs beside a service; in zone a its job fills two machines.
         await simulation.run_service("run-s", shards=2, vcpus=5.0, owner="blue", region="b")
         await simulation.submit(job("run-over", shards=8, region="a", expectedRunS=200.0))
         await simulation.until(lambda: len(simulation.running("run-over")) == 8)
@@ -141,15 +147,15 @@
         await trio.sleep(1)
         follower = next(label for label in LABELS if label != leader)
         assert (await simulation.ask(follower, "POST", "/v2/runs/run-over/cancel"))[0] == 200
-        # It has less left to do than red's job, so it is placed before, and fills both machines in zone a.
+        # It has less remaining work than red's job, so it is placed first and fills both machines in zone a.
         await simulation.submit(job("run-blue", shards=8, owner="blue", region="a", expectedRunS=2.0))
         machines = {name for _, name in simulation.running("run-over")}
 
-        def held(src: str, dst: str, request: Request) -> bool:
-            """Direct commands that name a task, to the machines of the cancelled job."""
+        def is_task_command(src: str, dst: str, request: Request) -> bool:
+            """Matches direct commands about a task to the machines of the cancelled job."""
             return dst in machines and request.path == "/commands" and b"shard" in request.body
 
-        simulation.net.hold_request = held
+        simulation.net.hold_request = is_task_command
         await simulation.until_leader()
         await trio.sleep(2)
         simulation.net.hold_request = lambda src, dst, request: False
--- a/tests/scenarios/test_user_requests.py
+++ b/tests/scenarios/test_user_requests.py
@@ -1,4 +1,4 @@
-"""Answers to requests of users: unknown jobs, malformed and impossible submissions, repeats."""
+"""Answers to user requests: unknown jobs, malformed and impossible submissions, repeated requests."""
 
 import trio
 
@@ -7,7 +7,7 @@
 from tests.simulation.users import LABELS
 
 
-def test_unusual_requests_keep_their_answers() -> None:
+def test_all_controllers_answer_unusual_requests_alike() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
         await simulation.submit(job("run-a", expectedRunS=1.0))
@@ -15,8 +15,8 @@
         for label in LABELS:
             assert (await simulation.ask(label, "POST", "/v2/runs", simulation.specs["run-a"]))[0] == 200
             assert (await simulation.ask(label, "POST", "/v2/runs/run-a/cancel"))[1]["phase"] == "done"
-            lacking = {k: v for k, v in job("run-x").items() if k != "shards"}
-            assert (await simulation.ask(label, "POST", "/v2/runs", lacking))[0] == 400
+            without_shards = {k: v for k, v in job("run-x").items() if k != "shards"}
+            assert (await simulation.ask(label, "POST", "/v2/runs", without_shards))[0] == 400
             assert (await simulation.ask(label, "POST", "/v2/runs", job("run-y", vcpus=4000.0)))[0] == 422
             assert (await simulation.ask(label, "POST", "/v2/runs", job("run-z", owner="nobody")))[0] == 422
             for job_id in ("run-x", "run-y", "run-z", "run-never"):
@@ -26,7 +26,7 @@
     run_scenario(scenario)
 
 
-def test_unknown_jobs_are_404_and_bad_ones_400_or_422() -> None:
+def test_status_codes_for_unknown_malformed_and_impossible_jobs() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
         await simulation.submit(job("run-ok"))
@@ -50,21 +50,21 @@
             ("sizeGb", None),
         ):
             assert (await simulation.ask("n1", "POST", "/v2/runs", job("run-x", **{field: value})))[0] == 400, field
-        for impossible in (
+        for impossible_job in (
             job("run-a", owner="nobody"),
             job("run-b", vcpus=9.0),
             job("run-c", flavours=["x"]),
             job("run-d", shape="standing", shards=9, owner="small"),
         ):
-            assert (await simulation.ask("n2", "POST", "/v2/runs", impossible))[0] == 422
+            assert (await simulation.ask("n2", "POST", "/v2/runs", impossible_job))[0] == 422
         assert (await simulation.ask("n0", "GET", "/v2/runs"))[0] == 405
         assert (await simulation.ask("n0", "GET", "/nowhere"))[0] == 404
 
     run_scenario(scenario, teams=[Team("red"), Team("small", cpus_max=16.0)])
 
 
-def test_a_known_job_is_looked_up_before_it_is_judged() -> None:
-    """A repeat after the limits shrank gets 200, not 422."""
+def test_known_job_is_not_validated_again() -> None:
+    """A repeated submission gets 200, not 422, after the team's limit was lowered."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         spec = job("run-1", shape="standing", shards=4)
@@ -74,24 +74,24 @@
         simulation.start_all()
         await simulation.until_leader()
         assert await simulation.submit(spec) == 200
-        simulation.teams = []  # the run that the smaller limit did not start yet is not judged by it
+        simulation.teams = []  # the simulation must not check the job's tasks against the lower limit
 
     run_scenario(scenario)
 
 
-def test_submissions_before_the_catalog_is_known_are_sent_back_not_refused() -> None:
-    """Guards against this: the catalog came between the look-up and the judgement, and a good job got 422."""
+def test_submissions_before_the_catalog_is_loaded_are_accepted_later() -> None:
+    """Guards against refusing a valid job with 422 because the catalog arrived between lookup and validation."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.outage = True
         statuses = []
 
-        async def user(number: int) -> None:
+        async def submit_one(number: int) -> None:
             statuses.append(await simulation.submit(job(f"run-{number}")))
 
         async with trio.open_nursery() as nursery:
             for number in range(20):
-                nursery.start_soon(user, number)
+                nursery.start_soon(submit_one, number)
             await trio.sleep(8)
             simulation.cloud.outage = False
         assert statuses == [201] * 20
@@ -99,7 +99,7 @@
     run_scenario(scenario)
 
 
-def test_a_team_sees_only_its_own_jobs() -> None:
+def test_team_sees_only_its_own_jobs() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-r", expectedRunS=60.0))
         await simulation.submit(job("run-b", owner="blue", expectedRunS=60.0))
