--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,5 @@
-"""The shape of the product: packages import only downwards, so that each can be read by itself; functions are short."""
+"""Rules of the package structure: modules import only from lower layers, so that each package can be understood on
+its own; functions are short."""
 
 from __future__ import annotations
 
@@ -8,10 +9,10 @@
 
 import pytest
 
-LONGEST_FUNCTION = 40  # lines
+MAX_FUNCTION_LINES = 40
 PACKAGE = Path(__file__).resolve().parents[1] / "sorrelsill"
 
-# From the bottom to the top. What stands on one line may not import its neighbours.
+# From the lowest layer to the highest. Components of the same layer must not import one another.
 LAYERS = (
     ("constants", "controller_state"),
     ("events", "timers", "settings", "metrics"),
@@ -28,7 +29,7 @@
     ("serve",),
     ("cli",),
 )
-LEVEL = {name: level for level, names in enumerate(LAYERS) for name in names}
+LAYER_NUMBERS = {name: layer for layer, names in enumerate(LAYERS) for name in names}
 
 
 def product_files() -> list[Path]:
@@ -41,7 +42,7 @@
 
 
 def imported_modules(path: Path, modules: set[str]) -> Iterator[str]:
-    """The service's modules that a file imports anywhere, also those for type checking alone."""
+    """All modules of the package that a file imports, at any place and also for type checking only."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names if alias.name.startswith("sorrelsill"))
@@ -51,36 +52,36 @@
                 yield submodule if submodule in modules else str(node.module)
 
 
-def part_of(module: str) -> str:
-    """The package or single module right below `sorrelsill` that a module belongs to."""
+def component_of(module: str) -> str:
+    """The package or single module directly below `sorrelsill` that contains a module."""
     return module.split(".")[1] if "." in module else ""
 
 
 @pytest.mark.parametrize("path", product_files(), ids=module_of)
-def test_a_module_imports_only_its_own_package_and_lower_ones(path: Path) -> None:
-    part = part_of(module_of(path))
-    if not part:
+def test_module_imports_only_its_own_package_and_lower_layers(path: Path) -> None:
+    component = component_of(module_of(path))
+    if not component:
         return
     modules = {module_of(file) for file in product_files()}
-    imported = {part_of(name) for name in imported_modules(path, modules)} - {"", part}
-    upward = {name for name in imported if LEVEL[name] >= LEVEL[part]}
-    assert not upward, f"{part} is below or beside {sorted(upward)}"
+    imported = {component_of(name) for name in imported_modules(path, modules)} - {"", component}
+    upward = {name for name in imported if LAYER_NUMBERS[name] >= LAYER_NUMBERS[component]}
+    assert not upward, f"{component} must not import from its own or a higher layer: {sorted(upward)}"
 
 
-def test_every_part_has_a_layer() -> None:
-    assert {part_of(module_of(path)) for path in product_files()} - {""} == set(LEVEL)
+def test_every_component_has_a_layer() -> None:
+    assert {component_of(module_of(path)) for path in product_files()} - {""} == set(LAYER_NUMBERS)
 
 
-def circles(imports: dict[str, set[str]]) -> list[set[str]]:
-    """Sets of modules that reach one another through their imports."""
+def import_cycles(imports: dict[str, set[str]]) -> list[set[str]]:
+    """Returns the sets of modules that reach one another through their imports."""
 
     def reachable(start: str) -> set[str]:
         found: set[str] = set()
         pending = [start]
         while pending:
-            following = imports.get(pending.pop(), set()) - found
-            found |= following
-            pending.extend(following)
+            next_modules = imports.get(pending.pop(), set()) - found
+            found |= next_modules
+            pending.extend(next_modules)
         return found
 
     reached = {module: reachable(module) for module in imports}
@@ -88,18 +89,18 @@
     return [set(members) for members in sorted(found, key=sorted) if members]
 
 
-def test_circles_are_found() -> None:
-    assert circles({"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": {"a"}}) == [{"b", "c"}]
-    assert circles({"a": {"b"}, "b": set()}) == []
+def test_import_cycles_are_found() -> None:
+    assert import_cycles({"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": {"a"}}) == [{"b", "c"}]
+    assert import_cycles({"a": {"b"}, "b": set()}) == []
 
 
-def test_no_two_modules_import_one_another() -> None:
+def test_no_import_cycles() -> None:
     modules = {module_of(path) for path in product_files()}
     imports = {module_of(path): set(imported_modules(path, modules)) & modules for path in product_files()}
-    assert circles(imports) == []
+    assert import_cycles(imports) == []
 
 
-def test_no_function_is_long() -> None:
+def test_functions_are_short() -> None:
     functions = (
         (path, node)
         for path in product_files()
@@ -107,4 +108,4 @@
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
     )
     lengths = {f"{module_of(path)}.{node.name}": (node.end_lineno or 0) - node.lineno + 1 for path, node in functions}
-    assert {name: lines for name, lines in lengths.items() if lines > LONGEST_FUNCTION} == {}
+    assert {name: lines for name, lines in lengths.items() if lines > MAX_FUNCTION_LINES} == {}
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -1,5 +1,5 @@
-"""The forms of wire and store, written out: messages to and from workers, users and peers, keys and values in the
-store, names on the pages for operators. Whatever is renamed inside, these bytes and names stay."""
+"""Formats of messages and stored data: messages to and from workers, users and peers, keys and values in the store,
+and names on the pages for operators. These bytes and names must not change when code is renamed."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 _decode = msgspec.msgpack.decode
 
 FIRST_MACHINE = "10.1.0.0:9000"
-FIRST_REGISTRY_CHUNK = "24"  # that of this name
-FIRST_ATTEMPT = 16777217  # of the first term: the term times 2**24, and one for each attempt
-CATALOG_S = 5.0  # s; within which the first leader has read the catalog
+FIRST_REGISTRY_CHUNK = "24"  # the part of the registry that FIRST_MACHINE belongs to
+FIRST_ATTEMPT = 16777217  # the first attempt of term 1: the term times 2**24, plus a counter
+CATALOG_LOAD_S = 5.0  # s; enough for the first leader to load the catalog
 
-Exchange = tuple[str, str, Request, Reply]  # from, to, request, answer
+Exchange = tuple[str, str, Request, Reply]  # sender, receiver, request, answer
 
 
 def record_exchanges(simulation: SimulatedCluster) -> list[Exchange]:
-    """All that controllers and their peers are asked from now on, with the answers."""
+    """Records all requests to controllers and their peer listeners from now on, with the answers."""
     exchanges: list[Exchange] = []
 
     def wrap(name: str) -> None:
@@ -46,7 +46,7 @@
 
 
 def record_requests(simulation: SimulatedCluster, path: str) -> list[Request]:
-    """All that is sent to this path from now on."""
+    """Records all requests to this path from now on."""
     requests: list[Request] = []
 
     def copy(src: str, dst: str, request: Request) -> None:
@@ -58,21 +58,21 @@
 
 
 async def until_ready(simulation: SimulatedCluster) -> str:
-    """A leader that knows the catalog; returns its label."""
+    """Waits for a leader that has loaded the catalog; returns its label."""
     leader = await simulation.until_leader()
-    await trio.sleep(CATALOG_S)
+    await trio.sleep(CATALOG_LOAD_S)
     return leader
 
 
 async def write(simulation: SimulatedCluster, values: dict[str, Any]) -> None:
-    """Values written to the store by nobody of the deployment."""
+    """Writes values to the store directly, without a controller."""
     body = {"if": [], "writes": [{"set": key, "value": value} for key, value in values.items()]}
     reply = await simulation.store.handle("test", Request("POST", "/multi", "", _encode(body)))
     assert reply.status == 200
 
 
 async def restart_all(simulation: SimulatedCluster) -> str:
-    """New processes, which read everything from the store; returns the leader's label."""
+    """Starts new processes, which load everything from the store; returns the leader's label."""
     for label in list(simulation.nodes):
         simulation.kill(label)
     for label in list(simulation.nodes):
@@ -87,7 +87,7 @@
 def test_commands_to_a_worker() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_ready(simulation)
-        bodies = record_requests(simulation, "/commands")
+        requests = record_requests(simulation, "/commands")
         await simulation.submit(service("run-s", shards=1))
         await simulation.until(lambda: len(simulation.running("run-s")) == 1)
         await trio.sleep(3)
@@ -95,8 +95,8 @@
         await simulation.until(lambda: not simulation.running("run-s"))
         start = {"verb": "start", "shard": "run-s/0", "tryNo": FIRST_ATTEMPT}
         halt = {"verb": "halt", "shard": "run-s/0", "tryNo": FIRST_ATTEMPT, "windDownS": 0.0}
-        assert [request.method for request in bodies] == ["POST", "POST"]
-        assert [request.body for request in bodies] == [
+        assert [request.method for request in requests] == ["POST", "POST"]
+        assert [request.body for request in requests] == [
             _encode({"epoch": 1, "tenure": 1, "orders": [start]}),
             _encode({"epoch": 1, "tenure": 1, "orders": [halt]}),
         ]
@@ -122,8 +122,8 @@
     run_scenario(scenario)
 
 
-REQUIRED = {"host": "10.9.0.1:9000", "tenure": 1, "serial": 1}
-EVERY_FIELD = {
+REQUIRED_FIELDS = {"host": "10.9.0.1:9000", "tenure": 1, "serial": 1}
+ALL_FIELDS = {
     "host": "10.9.0.1:9000",
     "addr": "10.9.0.1:9001",
     "flavour": "c8",
@@ -138,54 +138,54 @@
         {"shard": "run-never/1", "tryNo": 6, "phase": "exited", "exitCause": "halted", "saved": True},
     ],
 }
-HALT_NEVER = {"verb": "halt", "shard": "run-never/0", "tryNo": 5, "windDownS": 0.0}
-CLEAR_NEVER = {"verb": "clear", "shard": "run-never/1", "tryNo": 6}
+HALT_UNKNOWN = {"verb": "halt", "shard": "run-never/0", "tryNo": 5, "windDownS": 0.0}
+CLEAR_UNKNOWN = {"verb": "clear", "shard": "run-never/1", "tryNo": 6}
 
 
-EVERY_FIELD_REGISTERED = {"10.9.0.1:9000": {"f": "c8", "a": "10.9.0.1:9001", "z": "b", "s": True}}
+ALL_FIELDS_ENTRY = {"10.9.0.1:9000": {"f": "c8", "a": "10.9.0.1:9001", "z": "b", "s": True}}
 
 
 @pytest.mark.parametrize(
     ("heartbeat", "first_commands", "later_commands", "registry"),
     [
-        (REQUIRED, [], [], {}),
-        ({**REQUIRED, "later": 1}, [], [], {}),
-        (EVERY_FIELD, [HALT_NEVER], [HALT_NEVER, CLEAR_NEVER], {"s/m/09": EVERY_FIELD_REGISTERED}),
+        (REQUIRED_FIELDS, [], [], {}),
+        ({**REQUIRED_FIELDS, "later": 1}, [], [], {}),
+        (ALL_FIELDS, [HALT_UNKNOWN], [HALT_UNKNOWN, CLEAR_UNKNOWN], {"s/m/09": ALL_FIELDS_ENTRY}),
         (
-            {**EVERY_FIELD, "later": {"a": [1]}},
-            [HALT_NEVER],
-            [HALT_NEVER, CLEAR_NEVER],
-            {"s/m/09": EVERY_FIELD_REGISTERED},
+            {**ALL_FIELDS, "later": {"a": [1]}},
+            [HALT_UNKNOWN],
+            [HALT_UNKNOWN, CLEAR_UNKNOWN],
+            {"s/m/09": ALL_FIELDS_ENTRY},
         ),
     ],
     ids=["required", "required and unknown", "every field", "every field and unknown"],
 )
-def test_a_heartbeat_with_few_all_and_unknown_fields(
+def test_heartbeat_with_required_all_and_unknown_fields(
     heartbeat: dict[str, Any],
     first_commands: list[dict[str, Any]],
     later_commands: list[dict[str, Any]],
     registry: dict[str, Any],
 ) -> None:
-    """The second heartbeat of every field acknowledges the leader's term; the machine is registered then."""
+    """With all fields, the second heartbeat acknowledges the leader's term and the machine is registered then."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = await until_ready(simulation)
-        bodies = record_requests(simulation, "/commands")
-        simulation.net.handlers["10.9.0.1:9001"] = refuse
+        requests = record_requests(simulation, "/commands")
+        simulation.net.handlers["10.9.0.1:9001"] = answer_500
         await send_heartbeat(simulation, leader, {**heartbeat, "serial": 1}, first_commands)
         acknowledged = {"epoch": 1} if "epoch" in heartbeat else {}
         for serial in (2, 3, 4):
             await send_heartbeat(simulation, leader, {**heartbeat, **acknowledged, "serial": serial}, later_commands)
         assert {k: v for k, (v, _, _) in simulation.store.kv.items() if k.startswith("s/m/")} == registry
-        direct = {_encode({"epoch": 1, "tenure": 1, "orders": first_commands})} if first_commands else set()
-        assert {request.body for request in bodies} == direct
+        direct_commands = {_encode({"epoch": 1, "tenure": 1, "orders": first_commands})} if first_commands else set()
+        assert {request.body for request in requests} == direct_commands
         _, state = await simulation.ask(leader, "GET", "/state")
         assert state["hosts"] == 1
 
     run_scenario(scenario)
 
 
-async def refuse(src: str, request: Request) -> Reply:
+async def answer_500(src: str, request: Request) -> Reply:
     return Reply(500)
 
 
@@ -197,13 +197,13 @@
     await trio.sleep(1)
 
 
-@pytest.mark.parametrize("lacking", ["host", "tenure", "serial"])
-def test_a_heartbeat_without_a_required_field_is_refused(lacking: str) -> None:
+@pytest.mark.parametrize("missing", ["host", "tenure", "serial"])
+def test_heartbeat_without_a_required_field_is_refused(missing: str) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = await simulation.until_leader()
-        body = {name: value for name, value in EVERY_FIELD.items() if name != lacking}
+        body = {name: value for name, value in ALL_FIELDS.items() if name != missing}
         answer = await simulation.ask(leader, "POST", "/hello", body)
-        assert answer == (400, {"error": f"Object missing required field `{lacking}`"})
+        assert answer == (400, {"error": f"Object missing required field `{missing}`"})
 
     run_scenario(scenario)
 
@@ -235,11 +235,11 @@
     "vcpus": 4.0,
     "expectedRunS": 20.0,
 }
-FULL = "waiting: no room on the machines it may use"
+NO_ROOM_NOTE = "waiting: no room on the machines it may use"
 
 
 def test_records_of_jobs() -> None:
-    """`s` is the submission without what is null; `w` stands last, and only if there are notes."""
+    """`s` is the submission without null fields; `w` comes last and only if there are notes."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_ready(simulation)
@@ -247,26 +247,26 @@
         await simulation.submit(job("run-a", shards=4, vcpus=4.0, expectedRunS=20.0))
         accepted_at = stored(simulation, "s/j/run-a")["t"]
         assert round(accepted_at, 3) == accepted_at > 0
-        live = {"s": SPEC_OF_AN_ARRAY, "d": "", "n": 0, "r": 0, "t": accepted_at}
-        assert_same(stored(simulation, "s/j/run-a"), live)
+        accepted_record = {"s": SPEC_OF_AN_ARRAY, "d": "", "n": 0, "r": 0, "t": accepted_at}
+        assert_same_bytes(stored(simulation, "s/j/run-a"), accepted_record)
         await simulation.until(lambda: len(simulation.running("run-a")) == 4 and len(simulation.running("run-s")) == 2)
         await trio.sleep(10)
-        assert_same(stored(simulation, "s/j/run-a"), {**live, "r": 4, "w": [FULL]})
+        assert_same_bytes(stored(simulation, "s/j/run-a"), {**accepted_record, "r": 4, "w": [NO_ROOM_NOTE]})
         service_accepted_at = stored(simulation, "s/j/run-s")["t"]
-        assert_same(
+        assert_same_bytes(
             stored(simulation, "s/j/run-s"),
-            {"s": SPEC_OF_A_SERVICE, "d": "", "n": 0, "r": 2, "t": service_accepted_at, "w": [FULL]},
+            {"s": SPEC_OF_A_SERVICE, "d": "", "n": 0, "r": 2, "t": service_accepted_at, "w": [NO_ROOM_NOTE]},
         )
-        assert_same(
+        assert_same_bytes(
             stored(simulation, f"s/m/{FIRST_REGISTRY_CHUNK}"),
             {FIRST_MACHINE: {"f": "c8", "a": FIRST_MACHINE, "z": "a", "s": False}},
         )
         await simulation.until_phase("run-a", "done")
         await simulation.cancel("run-s")
-        assert_same(stored(simulation, "s/f/run-a"), {"p": "done", "n": 4, "o": "red", "w": [FULL]})
-        assert_same(
+        assert_same_bytes(stored(simulation, "s/f/run-a"), {"p": "done", "n": 4, "o": "red", "w": [NO_ROOM_NOTE]})
+        assert_same_bytes(
             stored(simulation, "s/f/run-s"),
-            {"p": "cancelled", "n": 0, "o": "red", "w": [FULL, "cancelled by its user"]},
+            {"p": "cancelled", "n": 0, "o": "red", "w": [NO_ROOM_NOTE, "cancelled by its user"]},
         )
         keys = {key for _, key, _, _ in simulation.store.log}
         registry_keys = {key for key in keys if key.startswith("s/m/")}
@@ -283,18 +283,18 @@
     run_scenario(scenario)
 
 
-def assert_same(value: Any, expected: Any) -> None:
-    """Also in the order of the fields, so that the same bytes are written."""
+def assert_same_bytes(value: Any, expected: Any) -> None:
+    """Compares the order of fields too, so that the same bytes are written."""
     assert _encode(value) == _encode(expected), value
 
 
-def test_value_of_the_leader_key_and_of_the_catalog() -> None:
+def test_values_of_the_leader_key_and_the_catalog() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = await until_ready(simulation)
         value, _, lease = simulation.store.kv["s/leader"]
         nonce = value["nonce"]
         assert isinstance(nonce, str) and len(nonce) == 16 and int(nonce, 16) >= 0
-        assert_same(value, {"label": leader, "nonce": nonce, "lease": 1})
+        assert_same_bytes(value, {"label": leader, "nonce": nonce, "lease": 1})
         assert lease == 1, "the key is held by the lease that it names"
         machine_type = {
             "sku": "c8",
@@ -308,7 +308,7 @@
             "bootS": 5,
             "regions": ["a", "b"],
         }
-        assert_same(stored(simulation, "s/catalog"), {"flavours": [machine_type]})
+        assert_same_bytes(stored(simulation, "s/catalog"), {"flavours": [machine_type]})
 
     run_scenario(scenario)
 
@@ -331,13 +331,13 @@
 
 
 def test_finished_tasks_are_read_from_ranges_bits_chunks_and_small_chunks() -> None:
-    """New processes start what is not finished by the stored text, in order, and nothing else."""
+    """New processes start the tasks that the stored text doesn't list as finished, in order, and no others."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_ready(simulation)
         simulation.cloud.capacity = 8
         spec = job("run-big", shards=32_770, vcpus=1.0, memoryGb=0.5, expectedRunS=500.0)
-        await accept(simulation, spec, {"d": "", "n": 32_765, "r": 0, "t": 2.0})
+        await store_accepted_job(simulation, spec, {"d": "", "n": 32_765, "r": 0, "t": 2.0})
         await write(
             simulation,
             {
@@ -372,7 +372,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_ready(simulation)
         spec = job("run-a", shards=48, vcpus=1.0, memoryGb=0.5, expectedRunS=500.0)
-        await accept(simulation, spec, {"d": text, "n": len(finished), "r": 0, "t": 1.0})
+        await store_accepted_job(simulation, spec, {"d": text, "n": len(finished), "r": 0, "t": 1.0})
         await restart_all(simulation)
         await simulation.until(lambda: len(simulation.running("run-a")) == 48 - len(finished), 120)
         assert {int(task_id.rpartition("/")[2]) for _, task_id, _ in simulation.starts} == set(range(48)) - finished
@@ -384,8 +384,8 @@
     run_scenario(scenario)
 
 
-async def accept(simulation: SimulatedCluster, spec: dict[str, Any], progress: dict[str, Any]) -> None:
-    """A job that was accepted before, as its record says."""
+async def store_accepted_job(simulation: SimulatedCluster, spec: dict[str, Any], progress: dict[str, Any]) -> None:
+    """Stores the record of a job that was accepted before."""
     simulation.specs[spec["uid"]] = spec
     simulation.accepted.add(spec["uid"])
     await write(simulation, {f"s/j/{spec['uid']}": {"s": spec, **progress}})
@@ -405,7 +405,7 @@
         await trio.sleep(10)
         running = {"uid": "run-s", "phase": "running", "done": 0, "running": 2}
         assert await ask("n0", "GET", "/v2/runs/run-s") == (200, running)
-        assert await ask("n0", "GET", "/v2/runs/run-s/why") == (200, {**running, "why": [FULL]})
+        assert await ask("n0", "GET", "/v2/runs/run-s/why") == (200, {**running, "why": [NO_ROOM_NOTE]})
         listed = {"runs": [{**running, "workload": "w"}], "hasNext": False}
         assert await ask("n2", "GET", "/v2/teams/red/runs") == (200, listed)
         assert await ask("n2", "GET", "/v2/teams/blue/runs") == (200, {"runs": [], "hasNext": False})
@@ -414,7 +414,7 @@
         over = {"uid": "run-s", "phase": "cancelled", "done": 0, "running": 0}
         await trio.sleep(3)
         assert await ask("n0", "GET", "/v2/runs/run-s") == (200, over)
-        notes = [FULL, "cancelled by its user"]
+        notes = [NO_ROOM_NOTE, "cancelled by its user"]
         assert await ask("n0", "GET", "/v2/runs/run-s/why") == (200, {**over, "why": notes})
 
     run_scenario(scenario)
@@ -441,7 +441,7 @@
 
 
 @pytest.mark.parametrize("failing", [False, True], ids=["store answers", "outage"])
-def test_a_promise_is_asked_and_answered(failing: bool) -> None:
+def test_promise_request_and_answer(failing: bool) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_ready(simulation)
         await simulation.submit(service("run-s", shards=1))
@@ -472,7 +472,7 @@
     run_scenario(scenario)
 
 
-def test_requests_for_promises() -> None:
+def test_promise_requests_of_controllers() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_ready(simulation)
         requests = record_requests(simulation, "/promise")
@@ -508,7 +508,7 @@
     "peers",
     "handovers_s",
 ]
-ONLY_WHILE_LEADING = ["jobs", "hosts", "unheard", "unplaced", "groups", "groups_waiting", "starts_refused", "teams"]
+LEADER_ONLY_NAMES = ["jobs", "hosts", "unheard", "unplaced", "groups", "groups_waiting", "starts_refused", "teams"]
 TEAM_NAMES = [
     "bound_cpus",
     "bound_gpus",
@@ -531,8 +531,8 @@
             _, state = await simulation.ask(label, "GET", "/state")
             assert list(state) == STATE_NAMES
             assert (state["label"], state["leader"], state["leading"]) == (label, leader, label == leader)
-            assert [name for name in ONLY_WHILE_LEADING if state[name] is None] == (
-                [] if label == leader else ONLY_WHILE_LEADING
+            assert [name for name in LEADER_ONLY_NAMES if state[name] is None] == (
+                [] if label == leader else LEADER_ONLY_NAMES
             )
             assert "reports" in state["counts"]
         _, state = await simulation.ask(leader, "GET", "/state")
@@ -545,7 +545,7 @@
     run_scenario(scenario)
 
 
-FOLLOWERS_METRICS = {
+FOLLOWER_METRICS = {
     "sorrelsill_leader_status",
     "sorrelsill_standstill",
     "sorrelsill_store_failing_s",
@@ -554,7 +554,7 @@
     "sorrelsill_events_total",
     "sorrelsill_events_created",
 }
-LEADERS_METRICS = FOLLOWERS_METRICS | {
+LEADER_METRICS = FOLLOWER_METRICS | {
     "sorrelsill_jobs",
     "sorrelsill_hosts",
     "sorrelsill_unheard",
@@ -575,7 +575,7 @@
             await simulation.poll("run-a", label)
             page = (await simulation.ask_raw(label, "/metrics")).decode()
             names = {re.split("[{ ]", line)[0] for line in page.splitlines() if line and not line.startswith("#")}
-            assert names == (LEADERS_METRICS if label == leader else FOLLOWERS_METRICS)
+            assert names == (LEADER_METRICS if label == leader else FOLLOWER_METRICS)
             assert f"sorrelsill_leader_status {float(label == leader)}" in page
         page = (await simulation.ask_raw(leader, "/metrics")).decode()
         for team in ("red", "blue"):
