--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -77,7 +77,7 @@
     def _callbacks(self) -> ControllerCallbacks:
         return ControllerCallbacks(
             on_term_changed=self._on_term_changed,
-            hears_no_worker=self._hears_no_worker,
+            receives_no_heartbeats=self._receives_no_heartbeats,
             has_other_candidates=self._has_other_candidates,
             on_final=self._on_final,
             on_promised=self._on_promised,
@@ -204,12 +204,12 @@
         if self.followed_jobs.record_changed(cluster, key[len(JOB_PREFIX) :], value, rev):
             self._wake_scheduler.set()
 
-    def _hears_no_worker(self) -> bool:
+    def _receives_no_heartbeats(self) -> bool:
         limit_s = (
             constants.NO_HEARTBEAT_INTERVALS * self.settings.platform.workers.heartbeat_interval_s
             + constants.NO_HEARTBEAT_EXTRA_S
         )
-        return self.cluster is not None and self.cluster.hears_no_worker(trio.current_time(), limit_s)
+        return self.cluster is not None and self.cluster.receives_no_heartbeats(trio.current_time(), limit_s)
 
     async def _has_other_candidates(self, former: str) -> bool:
         """Whether any controller other than the former leader could acquire the leader key now, according to failure
--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/parts.py
@@ -44,7 +44,7 @@
     """The functions of the controller that its components call."""
 
     on_term_changed: Callable[[int | None], None]  # the new term, or None when a term ends
-    hears_no_worker: Callable[[], bool]
+    receives_no_heartbeats: Callable[[], bool]
     has_other_candidates: Callable[[str], Awaitable[bool]]  # other than the former leader with this label
     on_final: Callable[[str, Any], None]  # job ID and final record
     on_promised: Callable[[float], None]  # time up to which other controllers may renew leases
@@ -130,7 +130,7 @@
         ControllerLabels(settings.label, [member.label for member in settings.members]),
         watchdog,
         environment.rng,
-        ElectionCallbacks(callbacks.on_term_changed, callbacks.hears_no_worker, callbacks.has_other_candidates),
+        ElectionCallbacks(callbacks.on_term_changed, callbacks.receives_no_heartbeats, callbacks.has_other_candidates),
     )
     # The previous process of this controller may have promised a peer not to lead: wait until such a promise ends.
     elector.acquire_after = trio.current_time() + (constants.PROMISE_S if settings.members else 0.0)
--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -59,7 +59,7 @@
     """Callbacks of the leader elector into its controller."""
 
     on_term_changed: Callable[[int | None], None] = lambda term: None  # the new term, or None when a term ends
-    hears_no_worker: Callable[[], bool] = lambda: False  # whether heartbeats of all workers have stopped
+    receives_no_heartbeats: Callable[[], bool] = lambda: False  # whether heartbeats of all workers have stopped
     # Whether any controller other than the given former leader could acquire the key now.
     has_other_candidates: Callable[[str], Awaitable[bool]] = _no_other_candidates
 
@@ -185,7 +185,7 @@
             log_event(log, logging.ERROR, "loops_stalled", term=self.term, loops=",".join(stalled))
             await self._step_down_and_revoke(self._lease, "loops stalled or exited")
             return
-        if self.valid() and self._callbacks.hears_no_worker():
+        if self.valid() and self._callbacks.receives_no_heartbeats():
             # Guards against a leader that reaches the store but not the workers: all worker leases would expire.
             # Only while the lease is valid: after a pause of this process the missing heartbeats prove nothing, and
             # the next renewal shows whether it still leads.
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -44,9 +44,9 @@
         """Declare machines lost that have been silent for longer than the workers' lease, and return them."""
         return loss.expire_leases(self, now)
 
-    def hears_no_worker(self, now: float, limit: float) -> bool:
-        """Whether workers sent heartbeats in this term, but none within the last `limit` seconds."""
-        return loss.hears_no_worker(self, now, limit)
+    def receives_no_heartbeats(self, now: float, limit_s: float) -> bool:
+        """Whether workers sent heartbeats in this term, but none within the last `limit_s` seconds."""
+        return loss.receives_no_heartbeats(self, now, limit_s)
 
     def drain(self, now: float) -> None:
         """Stop tasks on machines that the cloud provider is about to reclaim."""
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -77,7 +77,7 @@
     cluster.wake_scheduler = True
 
 
-def hears_no_worker(cluster: ClusterRecords, now: float, limit_s: float) -> bool:
+def receives_no_heartbeats(cluster: ClusterRecords, now: float, limit_s: float) -> bool:
     """Whether there were heartbeats in this term, but none from any worker for `limit_s` seconds. The silence of a
     single machine proves nothing. A leader that never received a heartbeat is not replaced either, because another
     leader would be no better."""
