--- a/sorrelsill/store/__init__.py
+++ b/sorrelsill/store/__init__.py
@@ -27,16 +27,16 @@
 from sorrelsill.store.watch_cache import WatchCache
 
 __all__ = [
+    "AmbiguousError",
     "CATALOG",
     "JOB_PREFIX",
-    "LEADER",
-    "AmbiguousError",
     "Compare",
-    "Delete",
     "EndedRecords",
-    "KeyValueStore",
+    "LEADER",
     "Put",
     "RefusedError",
+    "Delete",
+    "KeyValueStore",
     "StoreError",
     "TransactionResult",
     "UnavailableError",
@@ -46,6 +46,6 @@
     "chunk_key",
     "final_key",
     "job_key",
-    "registry_key",
     "small_chunk_key",
+    "registry_key",
 ]
--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -11,19 +11,19 @@
 from tests.simulation.worker import FakeWorker
 
 __all__ = [
-    "LOSS_S",
-    "OVERDUE_S",
-    "VALIDITY_S",
     "FakeCloud",
     "FakeNet",
     "FakeStore",
     "FakeWorker",
+    "LOSS_S",
     "LeaderInMemory",
+    "OVERDUE_S",
     "SimulatedCluster",
+    "VALIDITY_S",
     "array_job",
     "count_calls",
     "job",
     "machine_name",
-    "run_scenario",
     "service",
+    "run_scenario",
 ]
