--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -114,7 +114,7 @@
             timings.overdue_s,
             self.settings.platform.workers.gang_peer_s,
         )
-        cluster.renewed_by_others = min(now, self.elector.promised_until)
+        cluster.others_may_renew_until = min(now, self.elector.promised_until)
         cluster.failover.expect_machines(self.watch_cache.registered_machines())
         self.followed_jobs.load(cluster)
         self.leader_term = LeaderTerm(cluster, self._make_fleet(cluster), self._make_record_writer(cluster))
@@ -176,7 +176,7 @@
     def _on_promised(self, until: float) -> None:
         """Called when degraded mode may let other controllers renew workers' leases up to `until`."""
         if self.cluster is not None:
-            self.cluster.renewed_by_others = max(self.cluster.renewed_by_others, until)
+            self.cluster.others_may_renew_until = max(self.cluster.others_may_renew_until, until)
 
     def _on_final(self, job_id: str, value: Any) -> None:
         if self.cluster is not None:
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -79,13 +79,13 @@
         self.wake_scheduler = True
 
     @property
-    def renewed_by_others(self) -> float:
+    def others_may_renew_until(self) -> float:
         """The time until which any node may have renewed leases."""
-        return self.leases.renewed_by_others
+        return self.leases.others_may_renew_until
 
-    @renewed_by_others.setter
-    def renewed_by_others(self, until: float) -> None:
-        self.leases.renewed_by_others = until
+    @others_may_renew_until.setter
+    def others_may_renew_until(self, until: float) -> None:
+        self.leases.others_may_renew_until = until
 
     def team_use(self, team: str) -> TeamUse:
         """All resources that a team may be using. Its limit is checked against this figure only."""
--- a/sorrelsill/workers/lease_monitor.py
+++ b/sorrelsill/workers/lease_monitor.py
@@ -29,7 +29,7 @@
         self.loss_s = loss_s
         self.overdue_s = overdue_s
         self.unreachable_after_s = loss_s / 2
-        self.renewed_by_others = float("-inf")  # until when any controller may have renewed leases
+        self.others_may_renew_until = float("-inf")  # until when any controller may have renewed leases
         self._earlier_leader_valid_until = term_began_at + validity_s
         self._failover = failover
         self._timers: Timers[Machine] = Timers()
@@ -67,16 +67,16 @@
         """Time from which the machine's lease has certainly expired; infinite if it has no lease."""
         if machine.lease_expired or machine.lease_renewed_at is None:
             return _NEVER
-        renewed_by_others = self.renewed_by_others
+        others_may_renew_until = self.others_may_renew_until
         if machine.name in self._failover.unconfirmed:
-            renewed_by_others = self.latest_renewal_before_term()
-        return max(machine.lease_renewed_at, renewed_by_others) + self.loss_s
+            others_may_renew_until = self.latest_renewal_before_term()
+        return max(machine.lease_renewed_at, others_may_renew_until) + self.loss_s
 
     def latest_renewal_before_term(self) -> float:
         """Latest time at which an earlier leader or another controller may have renewed leases. Normally an earlier
         leader stops answering before its leader key can expire. Should the key end early, that leader could go on
         answering until its validity ends, so this time is waited out as well."""
-        return max(self.renewed_by_others, self._earlier_leader_valid_until)
+        return max(self.others_may_renew_until, self._earlier_leader_valid_until)
 
     def _next_check_at(self, machine: Machine) -> float:
         """Time at which continued silence would next change the machine's state."""
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -81,7 +81,10 @@
     """Whether there were heartbeats in this term, but none from any worker for `limit_s` seconds. The silence of a
     single machine proves nothing. A leader that never received a heartbeat is not replaced either, because another
     leader would be no better."""
-    if cluster.last_heartbeat_at is None or now - max(cluster.last_heartbeat_at, cluster.renewed_by_others) <= limit_s:
+    if (
+        cluster.last_heartbeat_at is None
+        or now - max(cluster.last_heartbeat_at, cluster.others_may_renew_until) <= limit_s
+    ):
         return False
     machines = cluster.machines.values()
     with_lease = sum(1 for m in machines if not m.lease_expired and m.lease_renewed_at is not None)
