--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -57,8 +57,8 @@
         self._count_event("reports")
         log.debug("heartbeat: %s", heartbeat)
         cluster = self._get_cluster()
-        acting = cluster is not None and self._elector.valid()
-        if not acting and not self._degraded_mode.active():
+        may_command = cluster is not None and self._elector.valid()
+        if not may_command and not self._degraded_mode.active():
             return self._redirect()
         now = trio.current_time()
         if not self._may_renew(now):
@@ -68,7 +68,7 @@
         commands: list[Command] = []
         if cluster is not None:
             try:
-                answer = cluster.on_heartbeat(heartbeat, now, acting, jobs_are_fresh(self._watch_cache))
+                answer = cluster.on_heartbeat(heartbeat, now, may_command, jobs_are_fresh(self._watch_cache))
             except FencedError as error:
                 self._elector.observe_fencing_token(error.fencing_token)
                 return Reply(421, encode({}))
@@ -76,7 +76,7 @@
                 return Reply(503)
             commands = answer
             self._on_heartbeat()
-        if cluster is None or not acting:
+        if cluster is None or not may_command:
             # Degraded mode: no controller can lead. The response has the worker's own fencing token, so it renews the
             # worker's lease, and has no other command than stops of cancelled tasks.
             return Reply(200, encode(HeartbeatResponse(heartbeat.fencing_token, self._stop_commands(heartbeat, now))))
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -17,12 +17,12 @@
     """The jobs, machines and attempts of one term, with the handlers of events."""
 
     def on_heartbeat(
-        self, heartbeat: WorkerHeartbeat, now: float, acting: bool = True, jobs_fresh: bool = True
+        self, heartbeat: WorkerHeartbeat, now: float, may_command: bool = True, jobs_fresh: bool = True
     ) -> list[Command] | None:
         """Process a heartbeat. Returns the commands for the response, or None if it must not be answered with 200.
 
         Raises FencedError if the worker has seen a higher fencing token."""
-        commands = heartbeats.on_heartbeat(self, heartbeat, now, acting, jobs_fresh)
+        commands = heartbeats.on_heartbeat(self, heartbeat, now, may_command, jobs_fresh)
         self._watch_if_new(heartbeat.machine)
         return commands
 
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -15,11 +15,11 @@
 
 
 def on_heartbeat(
-    cluster: ClusterRecords, heartbeat: WorkerHeartbeat, now: float, acting: bool = True, jobs_fresh: bool = True
+    cluster: ClusterRecords, heartbeat: WorkerHeartbeat, now: float, may_command: bool = True, jobs_fresh: bool = True
 ) -> list[Command] | None:
     """Process a heartbeat. Returns the commands for the response, or None if it must not be answered with 200.
-    Without `acting` (degraded mode) there are no commands; without `jobs_fresh` (a recent view of the jobs) there are
-    no starts.
+    Without `may_command` (degraded mode) there are no commands; without `jobs_fresh` (a recent view of the jobs) there
+    are no starts.
 
     Raises FencedError if the worker has seen a higher fencing token."""
     if heartbeat.fencing_token > cluster.term:
@@ -40,7 +40,7 @@
     if machine.heartbeat_overdue:
         machine.heartbeat_overdue = False
     if overtaken:
-        return _respond_to_overtaken(cluster, machine, now, acting)
+        return _respond_to_overtaken(cluster, machine, now, may_command)
     _apply_newest(cluster, machine, heartbeat, is_consecutive, now)
     cluster.last_heartbeat_at = now
     if _receives_no_responses(cluster, machine, now):
@@ -48,7 +48,7 @@
         return None
     machine.lease_renewed_at = now
     reconcile_tasks(cluster, machine, heartbeat, now, True)
-    return response_commands(cluster, machine, jobs_fresh, now) if acting else []
+    return response_commands(cluster, machine, jobs_fresh, now) if may_command else []
 
 
 def on_command_response(cluster: ClusterRecords, heartbeat: WorkerHeartbeat, now: float) -> None:
@@ -100,14 +100,16 @@
     return True
 
 
-def _respond_to_overtaken(cluster: ClusterRecords, machine: Machine, now: float, acting: bool) -> list[Command] | None:
+def _respond_to_overtaken(
+    cluster: ClusterRecords, machine: Machine, now: float, may_command: bool
+) -> list[Command] | None:
     """Respond to a heartbeat that a newer response to a direct call has overtaken. Its task list is outdated, but it is
     not a duplicate, so it may renew the lease."""
     if not machine.token_acknowledged:
         return None
     machine.lease_renewed_at = cluster.last_heartbeat_at = now
     # No new starts, but stops: a response that renews a lease always includes the stops that are due.
-    return response_commands(cluster, machine, False, now) if acting else []
+    return response_commands(cluster, machine, False, now) if may_command else []
 
 
 def _apply_newest(
