--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -106,7 +106,7 @@
 ENDED_MARGIN_S: Final = 10.0  # s; ended jobs are remembered for this much longer than their tasks may live
 CHUNK_TASKS: Final = 16_384  # tasks; per progress chunk; larger jobs keep their finished tasks in such separate keys
 # tasks; per small progress chunk, used where the store does not accept values as long as a full chunk: at most 0.7 KB
-PART_TASKS: Final = 4_096
+SMALL_CHUNK_TASKS: Final = 4_096
 VALUE_SHARE: Final = 0.9  # ratio; of the size limit of a value, used, since it is not known how the store encodes JSON
 REGISTRY_PARTS: Final = 32  # keys; over which the machine registry is spread; a full one continues in further keys
 QUARANTINED_WRITE_S: Final = 60.0  # s; a write that the store refuses even on its own is quarantined for this long
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -110,5 +110,5 @@
         if job.chunked and has_inline_tasks(value):
             # Written by the previous version, which stores no progress chunks for a smaller job. The finished tasks
             # that it added are only in the record, so all chunks have to be written before the record may omit them.
-            job.unrecorded_parts.update(range(-(-spec.task_count // constants.PART_TASKS)))
+            job.unrecorded_small_chunks.update(range(-(-spec.task_count // constants.SMALL_CHUNK_TASKS)))
         return True
--- a/sorrelsill/jobs/job_record_writes.py
+++ b/sorrelsill/jobs/job_record_writes.py
@@ -94,7 +94,7 @@
         if record.complete:
             self._cluster.pending_writes.records.discard(job_id)
             job.recorded_at = trio.current_time()
-        job.unrecorded_parts.difference_update(record.chunks.covered)
+        job.unrecorded_small_chunks.difference_update(record.chunks.covered)
         batch.add(
             job_id,
             [Compare(job_key(job_id), job.rev)],
@@ -119,9 +119,9 @@
         if job.chunked:
             chunks = chunk_writes(job, max_chunks, self._store.value_bytes)
         else:
-            chunks = ChunkWrites(covered=set(job.unrecorded_parts))
+            chunks = ChunkWrites(covered=set(job.unrecorded_small_chunks))
         size += sum(json_size(put.value) + _CHUNK_OVERHEAD_BYTES for put in chunks.puts)
-        complete = chunks.covered >= job.unrecorded_parts
+        complete = chunks.covered >= job.unrecorded_small_chunks
         # The record is written with or after the last of its chunks, never before: it may omit finished tasks that the
         # stored record still holds.
         return _LiveRecordWrite(job, value, size, running, chunks, fits and complete, complete, results)
@@ -132,7 +132,7 @@
             return value
         # From now on the job's finished tasks are stored in chunks, including those that the record held until now.
         job.chunked = True
-        job.unrecorded_parts.update(small_chunks_with_finished_tasks(job))
+        job.unrecorded_small_chunks.update(small_chunks_with_finished_tasks(job))
         return record_value(job.spec, job.done, running, [], job.accepted, False)
 
     def _live_committed(self, record: _LiveRecordWrite, rev: int) -> None:
@@ -148,7 +148,7 @@
 
     def _live_failed(self, record: _LiveRecordWrite) -> None:
         self._cluster.pending_writes.records.add(record.job.spec.job_id)
-        record.job.unrecorded_parts.update(record.chunks.covered)
+        record.job.unrecorded_small_chunks.update(record.chunks.covered)
 
 
 def _mark_clearable(results: list[Attempt]) -> None:
--- a/sorrelsill/jobs/progress_chunks.py
+++ b/sorrelsill/jobs/progress_chunks.py
@@ -1,7 +1,7 @@
 """Progress chunks: the finished tasks of a very large job, stored in separate keys.
 
-A chunk covers `CHUNK_TASKS` tasks. Where the store does not take a value of that length, small chunks of `PART_TASKS`
-tasks are used instead."""
+A chunk covers `CHUNK_TASKS` tasks. Where the store does not take a value of that length, small chunks of
+`SMALL_CHUNK_TASKS` tasks are used instead."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from sorrelsill.store import Put, chunk_key, small_chunk_key
 from sorrelsill.workers import Job
 
-_SMALL_CHUNKS_PER_CHUNK = constants.CHUNK_TASKS // constants.PART_TASKS
+_SMALL_CHUNKS_PER_CHUNK = constants.CHUNK_TASKS // constants.SMALL_CHUNK_TASKS
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
     version does not read, only if the value of a chunk would exceed `value_bytes`."""
     job_id, done = job.spec.job_id, job.done
     result = ChunkWrites()
-    for number in sorted(job.unrecorded_parts):
+    for number in sorted(job.unrecorded_small_chunks):
         if number in result.covered:
             continue
         if len(result.puts) == max_writes:
@@ -38,9 +38,9 @@
         if json_size(value) <= value_bytes:
             result.puts.append(Put(chunk_key(job_id, chunk), value))
             first = chunk * _SMALL_CHUNKS_PER_CHUNK
-            result.covered.update(job.unrecorded_parts & set(range(first, first + _SMALL_CHUNKS_PER_CHUNK)))
+            result.covered.update(job.unrecorded_small_chunks & set(range(first, first + _SMALL_CHUNKS_PER_CHUNK)))
         else:
-            value = chunk_value(done, number, constants.PART_TASKS)
+            value = chunk_value(done, number, constants.SMALL_CHUNK_TASKS)
             result.puts.append(Put(small_chunk_key(job_id, number), value))
             result.covered.add(number)
     return result
@@ -48,5 +48,5 @@
 
 def small_chunks_with_finished_tasks(job: Job) -> list[int]:
     """Numbers of the small chunks with at least one finished task."""
-    count = -(-job.spec.task_count // constants.PART_TASKS)
-    return [number for number in range(count) if chunk_value(job.done, number, constants.PART_TASKS)]
+    count = -(-job.spec.task_count // constants.SMALL_CHUNK_TASKS)
+    return [number for number in range(count) if chunk_value(job.done, number, constants.SMALL_CHUNK_TASKS)]
--- a/sorrelsill/store/keys.py
+++ b/sorrelsill/store/keys.py
@@ -58,7 +58,7 @@
     number = key.rpartition("/")[2]
     if not number.isdecimal():
         return None
-    size = constants.CHUNK_TASKS if key.startswith(CHUNK_PREFIX) else constants.PART_TASKS
+    size = constants.CHUNK_TASKS if key.startswith(CHUNK_PREFIX) else constants.SMALL_CHUNK_TASKS
     return int(number) * size
 
 
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -20,7 +20,7 @@
         "bound",
         "cursor",
         "done",
-        "unrecorded_parts",
+        "unrecorded_small_chunks",
         "failures",
         "from_earlier_term",
         "order",
@@ -53,8 +53,8 @@
         self.requeued: list[int] = []  # heap of tasks to be started again
         self.failures = FailureHistory(succeeded=done.count > 0)
         self.avoid: dict[str, float] = {}  # machine -> time until which no task of the job is placed on it
-        # Indices of the parts of the finished-task set that are not stored yet; a part covers PART_TASKS tasks.
-        self.unrecorded_parts: set[int] = set()
+        # Indices of the small progress chunks that are not stored yet; a small chunk covers SMALL_CHUNK_TASKS tasks.
+        self.unrecorded_small_chunks: set[int] = set()
         self.chunked = spec.task_count > constants.CHUNK_TASKS  # its finished tasks are stored in keys of their own
         self.recorded_running = 0  # running tasks according to the stored record
         self.recorded_at = now
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -51,7 +51,7 @@
     machines fail before reporting it."""
     for done_index in range(job.spec.task_count) if job.spec.is_gang else (index,):
         if job.done.add(done_index):
-            job.unrecorded_parts.add(done_index // constants.PART_TASKS)
+            job.unrecorded_small_chunks.add(done_index // constants.SMALL_CHUNK_TASKS)
             cluster.pending_writes.record_due(job.spec.job_id)
             cluster.mark_job_changed(job.spec.job_id)
 
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -111,7 +111,7 @@
             if index in finished:
                 task.done.add(index)
                 simulation.finished.add(f"run-big/{index}")
-                task.unrecorded_parts.add(index // constants.PART_TASKS)
+                task.unrecorded_small_chunks.add(index // constants.SMALL_CHUNK_TASKS)
         leader.cluster.pending_writes.records.add("run-big")
         await simulation.until(lambda: simulation.store.kv["s/j/run-big"][0]["n"] > 7000, 30)
         assert max(sizes(simulation, "s/j/")) > SMALL, "written while longer values were allowed"
@@ -127,7 +127,7 @@
             extra = [i for i in range(shards) if i not in have and dice.random() < 0.03]
             for index in extra:
                 task.done.add(index)
-                task.unrecorded_parts.add(index // constants.PART_TASKS)
+                task.unrecorded_small_chunks.add(index // constants.SMALL_CHUNK_TASKS)
             node.cluster.pending_writes.records.add("run-big")
             await trio.sleep(dice.choice((0.3, 0.5, 8.0)))
             parts = [
@@ -137,7 +137,9 @@
             stored.merge(simulation.store.kv["s/j/run-big"][0]["d"], 0)
             for key, text in parts:
                 number = int(key.rpartition("/")[2])
-                stored.merge(text, number * (constants.CHUNK_TASKS if key.startswith("s/d/") else constants.PART_TASKS))
+                stored.merge(
+                    text, number * (constants.CHUNK_TASKS if key.startswith("s/d/") else constants.SMALL_CHUNK_TASKS)
+                )
             known = {i for i in range(shards) if i in stored}
             simulation.kill(label)
             await trio.sleep(0.2)
@@ -170,9 +172,9 @@
         for index in range(shards):
             if index in done:
                 task.done.add(index)
-                task.unrecorded_parts.add(index // constants.PART_TASKS)
+                task.unrecorded_small_chunks.add(index // constants.SMALL_CHUNK_TASKS)
         leader.cluster.pending_writes.records.add("run-big")
-        await simulation.until(lambda: not task.unrecorded_parts, 40)
+        await simulation.until(lambda: not task.unrecorded_small_chunks, 40)
         simulation.kill(await simulation.until_leader())
         after = simulation.nodes[await simulation.until_leader()]
         assert after.cluster is not None
