--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -131,7 +131,7 @@
     def _schedule_job(self, cycle: SchedulingCycle, job: Job) -> bool:
         """Schedule the waiting tasks of a job; return False if the cycle's time budget was used up first."""
         self.unschedulable.pop(job.spec.job_id, None)
-        if not cycle.cluster.failover.reconciled(job) or job.failures.next_retry_at > cycle.now:
+        if not cycle.cluster.failover.is_reconciled(job) or job.failures.next_retry_at > cycle.now:
             return True
         if job.spec.is_gang:
             self._gangs.schedule(cycle, job)
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -82,7 +82,7 @@
     team's limit like any other."""
     _allocate(cluster, attempt, ended)
     ended.mark_observed(attempt.index)
-    cluster.failover.recount()
+    cluster.failover.invalidate_unobserved()
     cluster.request_stop(attempt, "its job is over")
 
 
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -114,7 +114,7 @@
         self.pending_writes.record_not_due(job_id)
         if job is None:
             return
-        if not self.failover.reconciled(job):
+        if not self.failover.is_reconciled(job):
             ended = self.failover.add_ended_job(job.spec, job.done.copy())
             for index in job.bound:
                 ended.mark_observed(index)
@@ -181,7 +181,7 @@
             return
         attempt.spec = None
         if self.failover.unconfirmed:
-            self.failover.recount()  # it may come from a stale message while the real one is unobserved
+            self.failover.invalidate_unobserved()  # it may come from a stale message while the real one is unobserved
         self._allocations.release(machine, spec)
         ended = self.failover.ended.get(spec.job_id)
         if ended is not None and not attempt.verified:
@@ -216,7 +216,7 @@
         """Replace the catalog of machine types, and update the capacities of all machines by it."""
         self.catalog = catalog
         self._machine_table.set_catalog(catalog)
-        self.failover.recount()
+        self.failover.invalidate_unobserved()
         self.wake_scheduler = True
 
     def get_or_add_machine(self, name: str, machine_type: str, zone: str, spot: bool, now: float) -> Machine:
--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -57,7 +57,7 @@
         self._all_ended_known = False  # no ended job other than these can have left tasks there
         self._unobserved: _Unobserved | None = None  # None: to be computed when it is next needed
 
-    def recount(self) -> None:
+    def invalidate_unobserved(self) -> None:
         """Discard the computed resources, since something that they depend on has changed. They are computed again when
         next needed."""
         self._unobserved = None
@@ -107,7 +107,7 @@
         self._unobserved = None
         return True
 
-    def reconciled(self, job: Job) -> bool:
+    def is_reconciled(self, job: Job) -> bool:
         """Whether all tasks of a job that an earlier leader may have started are accounted for. An unconfirmed machine
         can hold only tasks of jobs that allow its type, its zone and, if it is one, spot machines."""
         return not job.from_earlier_term or not self._may_run_on_unconfirmed(job.spec)
@@ -148,7 +148,7 @@
             if self._may_run_on_unconfirmed(ended.spec):
                 _add_tasks(by_team, ended.spec, ended.unobserved_count)
         for job in jobs.values():
-            if not self.reconciled(job):
+            if not self.is_reconciled(job):
                 _add_tasks(by_team, job.spec, job.unobserved_count)
         return _Unobserved({team: amount.at_most(capacity) for team, amount in by_team.items()}, NOTHING)
 
--- a/sorrelsill/workers/gangs.py
+++ b/sorrelsill/workers/gangs.py
@@ -39,7 +39,7 @@
         log_event(log, logging.INFO, "stop_of_gang_continued", job=job.spec.job_id)
         stop_gang(cluster, job, "stopped by an earlier leader", False)
         return
-    if not cluster.failover.reconciled(job):
+    if not cluster.failover.is_reconciled(job):
         return  # the missing task may be on a machine that was not heard from yet
     complete = len(tasks) == job.spec.task_count and len({a.attempt_number for a in tasks}) == 1
     if complete and not any(a.stop_requested for a in tasks):
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -18,7 +18,7 @@
     """Declare lost the machines that have been silent for longer than the workers' lease. Returns these machines."""
     if not cluster.leases.begin_check_if_due(now):
         return []
-    cluster.failover.recount()
+    cluster.failover.invalidate_unobserved()
     cluster.failover.forget_ended_jobs()
     lost = _check_due_machines(cluster, now)
     _confirm_expired_machines(cluster, now)
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -109,7 +109,7 @@
         leader.add(
             array_job(f"run-{number}", shards=10, owner="red", flavours=["std"], region="a", reclaimable=False), True
         )
-        assert not leader.cluster.failover.reconciled(leader.cluster.jobs[f"run-{number}"])
+        assert not leader.cluster.failover.is_reconciled(leader.cluster.jobs[f"run-{number}"])
     assert leader.cluster.unobserved("red")[0] > 1000, "the size of a machine of an unknown type is unknown too"
     leader.cluster.failover.set_all_ended_known(True)
     assert leader.cluster.unobserved("red") == (30.0, 0.0)
