--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -86,7 +86,7 @@
         if not machine_types:
             return []
         bound_cpus = free_cpus = 0.0
-        for machine in self._cluster.index.ready:
+        for machine in self._cluster.index.usable:
             bound_cpus += machine.cpus
             free_cpus += machine.capacity_cpus - machine.cpus
         cheapest = min(machine_types, key=lambda each: each.cost(False) / max(each.cpus, MIN_TASK_AMOUNT))
--- a/sorrelsill/fleet/free_capacity.py
+++ b/sorrelsill/fleet/free_capacity.py
@@ -50,7 +50,7 @@
             self._spec = spec
             self._tasks_by_machine.clear()
             self._by_zone.clear()
-            changed = list(self._index.ready)
+            changed = list(self._index.usable)
         for machine in changed:
             self._recount(machine, spec)
         return dict(self._by_zone)
@@ -59,7 +59,7 @@
         zone, tasks = self._tasks_by_machine.pop(machine.name, (machine.zone, 0))
         if tasks:
             self._by_zone[zone] -= tasks
-        if machine in self._index.ready and machine.allows(spec):
+        if machine in self._index.usable and machine.allows(spec):
             tasks = tasks_that_could_start(machine, spec)
             self._tasks_by_machine[machine.name] = machine.zone, tasks
             self._by_zone[machine.zone] = self._by_zone.get(machine.zone, 0) + tasks
--- a/sorrelsill/fleet/service_mover.py
+++ b/sorrelsill/fleet/service_mover.py
@@ -33,7 +33,7 @@
         cluster = self._state.cluster
         if self._state.settings.optimise_latency or now - self._last_drain_at < constants.REBALANCE_INTERVAL_S:
             return
-        max_drained = int(constants.REBALANCE_DRAIN_SHARE * len(cluster.index.ready))
+        max_drained = int(constants.REBALANCE_DRAIN_SHARE * len(cluster.index.usable))
         if len(self._state.booting) > max_drained or cluster.failover.unconfirmed:
             return
         if any(item.count for item in self._state.unschedulable()):
@@ -44,7 +44,7 @@
         spec = self._demand.service_headroom_spec()
         zones = sorted(self._demand.service_capacity(spec)) if spec is not None else []
         machines = machines_to_drain(
-            cluster.index.ready, cluster.jobs, now, self._state.price, spec, zones, max(1, max_drained)
+            cluster.index.usable, cluster.jobs, now, self._state.price, spec, zones, max(1, max_drained)
         )
         for machine in machines:
             self._drain(machine)
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -101,7 +101,7 @@
         if not self._remaining_jobs:
             self._start_cycle(cluster, now)
         self._gang_headroom.update(cluster)
-        cycle = SchedulingCycle(cluster, now, lambda: clock() - started_at > budget, cluster.index.ready)
+        cycle = SchedulingCycle(cluster, now, lambda: clock() - started_at > budget, cluster.index.usable)
         while self._remaining_jobs:
             job = cluster.jobs.get(self._remaining_jobs[0])
             if job is not None and job.waiting > 0:
--- a/sorrelsill/placement/test_scheduler.py
+++ b/sorrelsill/placement/test_scheduler.py
@@ -106,15 +106,15 @@
     run_cycle(cluster)
     full, other = machines_of(work)[0].name, {"m1": "m2", "m2": "m1"}[machines_of(work)[0].name]
     index = cluster.index
-    assert index.ready.names() == {"m1", "m2"} and index.free.names() == {other} and index.idle.names() == {other}
+    assert index.usable.names() == {"m1", "m2"} and index.free.names() == {other} and index.idle.names() == {other}
     cluster.machines[other].draining = True  # assigning the attribute updates the indices
-    assert index.ready.names() == {full} and not index.free.names()
+    assert index.usable.names() == {full} and not index.free.names()
     index.record_cached_image(cluster.machines[full], work.spec)
     assert index.holders("img").names() == {full}
     cluster.remove_machine(full, 3.0, "returned")
-    assert not index.ready and not index.free and not index.holders("img") and index.idle.names() == {other}
+    assert not index.usable and not index.free and not index.holders("img") and index.idle.names() == {other}
     cluster.machines[other].draining = False
-    assert index.ready.names() == index.free.names() == {other}
+    assert index.usable.names() == index.free.names() == {other}
 
 
 @pytest.mark.parametrize(
@@ -133,15 +133,15 @@
 def test_machine_condition_updates_the_indices_at_once(condition: str, schedulable: bool) -> None:
     cluster = cluster_with(("m1", "a", False))
     setattr(cluster.machines["m1"], condition, not schedulable)
-    assert not cluster.index.ready and not cluster.index.free
+    assert not cluster.index.usable and not cluster.index.free
     setattr(cluster.machines["m1"], condition, schedulable)
-    assert cluster.index.ready.names() == cluster.index.free.names() == {"m1"}
+    assert cluster.index.usable.names() == cluster.index.free.names() == {"m1"}
 
 
 def test_spot_reclaim_and_new_capacity_update_the_index() -> None:
     cluster = cluster_with(("m1", "a", False), ("m2", "a", False))
     cluster.machines["m1"].spot_reclaim_at = 30.0
-    assert cluster.index.ready.names() == {"m2"}
+    assert cluster.index.usable.names() == {"m2"}
     spec = parse_spec(job("run-a", vcpus=12.0))
     assert {m.name for m in cluster.index.with_room(spec)} == set()
     cluster.set_catalog(Catalog({"c8": MachineType("c8", 16.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 30.0, ("a", "b"))}))
--- a/sorrelsill/workers/machine_index.py
+++ b/sorrelsill/workers/machine_index.py
@@ -20,7 +20,7 @@
     """Indices of the machines known in this term."""
 
     def __init__(self) -> None:
-        self.ready = MachineSet()  # machines on which new tasks may be placed
+        self.usable = MachineSet()  # machines on which new tasks may be placed
         self.free = FreeMachines()  # those of them with free CPUs
         self.idle = MachineSet()  # machines without allocations, usable or not
         self._changed: dict[str, Machine] = {}  # machines changed since the demand was last computed
@@ -30,10 +30,10 @@
         """Update the indices after a change of `machine.usable`."""
         self._changed[machine.name] = machine
         if machine.usable:
-            self.ready.add(machine)
+            self.usable.add(machine)
             self.free.update(machine)
         else:
-            self.ready.discard(machine.name)
+            self.usable.discard(machine.name)
             self.free.discard(machine.name)
 
     def room_changed(self, machine: Machine) -> None:
@@ -49,7 +49,7 @@
     def delete(self, machine: Machine) -> None:
         """Remove a machine from all indices."""
         self._changed[machine.name] = machine
-        for machines in (self.ready, self.free, self.idle):
+        for machines in (self.usable, self.free, self.idle):
             machines.discard(machine.name)
         for image in machine.images:
             self._remove_holder(machine, image)
@@ -86,4 +86,4 @@
 
     def with_room(self, spec: JobSpec) -> MachineSet | MachineUnion:
         """Usable machines that may have enough free CPUs for a task of the job."""
-        return self.free.with_room(spec.cpus) if spec.cpus > 0 else self.ready
+        return self.free.with_room(spec.cpus) if spec.cpus > 0 else self.usable
--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -118,7 +118,7 @@
     cluster.remove_machine("m1", 3.0, "machine returned")
     cluster.pending_writes.deregistrations.clear()
     assert not cluster.expire_leases(60.0) and not cluster.pending_writes.deregistrations
-    assert not cluster.index.idle and not cluster.index.ready
+    assert not cluster.index.idle and not cluster.index.usable
 
 
 def test_expiring_leases_checks_only_machines_whose_timers_are_due() -> None:
--- a/tests/scenarios/test_controller_restarts.py
+++ b/tests/scenarios/test_controller_restarts.py
@@ -26,7 +26,8 @@
         record("leading", label is not None)
         cluster = simulation.nodes[label].cluster if label is not None else None
         record(
-            "machines confirmed", cluster is not None and not cluster.failover.unconfirmed and bool(cluster.index.ready)
+            "machines confirmed",
+            cluster is not None and not cluster.failover.unconfirmed and bool(cluster.index.usable),
         )
         record("first start", len(simulation.starts) > starts_before)
         record("last service up", all(len(simulation.running(job_id)) == 3 for job_id in services))
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -48,7 +48,7 @@
     assert lost_machines == 400 and largest_batch <= constants.EXPIRE_TASKS + 16
     assert sum(j.waiting for j in leader.cluster.jobs.values()) == lost_tasks
     assert not any(leader.cluster.machines[n].attempts for n in silent)
-    assert not leader.cluster.index.ready.names() & set(silent)
+    assert not leader.cluster.index.usable.names() & set(silent)
 
 
 def test_machines_with_overdue_heartbeat_get_no_new_tasks() -> None:
@@ -63,7 +63,7 @@
     bound = leader.cluster.jobs["run-n"].bound
     assert len(bound) == 350 and not {a.machine.name for a in bound.values()} & set(leader.names[:50])
     leader.all_send_heartbeats(leader.names[:50])
-    assert len(leader.cluster.index.ready) == MACHINES
+    assert len(leader.cluster.index.usable) == MACHINES
 
 
 def test_unobserved_machines_reserve_only_tasks_they_may_run() -> None:
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -113,7 +113,7 @@
         leader.all_send_heartbeats(others)
         if leader.now > OVERDUE_S + 1.0:
             leader.cluster.expire_leases(leader.now)
-            assert len(leader.cluster.index.ready) <= len(others), "silent machines get no new tasks"
+            assert len(leader.cluster.index.usable) <= len(others), "silent machines get no new tasks"
     batch_sizes, declared_lost = [], len([m for m in leader.cluster.machines.values() if m.lease_expired])
     assert declared_lost < 100
     while batch := leader.cluster.expire_leases(leader.now):
@@ -246,10 +246,10 @@
                 leader.send_heartbeat(name)
                 leader.send_heartbeat(name)
             writer = RecordWriter(store, watch_cache, leader.cluster, lambda: True)
-            while len(leader.cluster.index.ready) < machines and trio.current_time() < 60.0:
+            while len(leader.cluster.index.usable) < machines and trio.current_time() < 60.0:
                 await writer.step()
                 await trio.sleep(constants.WRITER_TICK_S)
-            assert len(leader.cluster.index.ready) == machines and trio.current_time() < 20.0
+            assert len(leader.cluster.index.usable) == machines and trio.current_time() < 20.0
             assert not fake_store.refusals
             entries = [name for key, (value, _, _) in fake_store.kv.items() if key.startswith("s/m/") for name in value]
             assert sorted(entries) == leader.names
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -78,11 +78,11 @@
     in_zone_a, in_zone_b = leader.names
     run_by_earlier_leader(leader, in_zone_a, "run-over", 10)
     send_heartbeats_without_answers(leader)
-    assert leader.cluster.index.ready.names() == {in_zone_b}
+    assert leader.cluster.index.usable.names() == {in_zone_b}
     assert leader.cluster.team_use("red").total == (16.0, 0.0), "all of its room"
     leader.all_send_heartbeats()
     leader.all_send_heartbeats()
-    assert leader.cluster.index.ready.names() == {in_zone_a, in_zone_b}
+    assert leader.cluster.index.usable.names() == {in_zone_a, in_zone_b}
     assert leader.cluster.team_use("red").total == (0.0, 0.0)
 
 
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -104,7 +104,7 @@
             free = {m.name for m in machines if m.usable and m.capacity_cpus - m.cpus > 1e-6}
             idle = {m.name for m in machines if not m.bound_count}
             for name, indexed, walked in (
-                ("ready", index.ready.names(), ready),
+                ("ready", index.usable.names(), ready),
                 ("free", index.free.names(), free),
                 ("idle", index.idle.names(), idle),
             ):
