--- a/sorrelsill/fleet/free_capacity.py
+++ b/sorrelsill/fleet/free_capacity.py
@@ -59,7 +59,7 @@
         zone, tasks = self._tasks_by_machine.pop(machine.name, (machine.zone, 0))
         if tasks:
             self._by_zone[zone] -= tasks
-        if machine in self._index.usable and machine.allows(spec):
+        if machine in self._index.usable and machine.meets_constraints_of(spec):
             tasks = tasks_that_could_start(machine, spec)
             self._tasks_by_machine[machine.name] = machine.zone, tasks
             self._by_zone[machine.zone] = self._by_zone.get(machine.zone, 0) + tasks
--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -59,7 +59,7 @@
         """Count the tasks that fit on the machine, in place of its earlier count."""
         self.remove(free)
         machine, spec = free.machine, self._spec
-        if machine.zone not in self._by_zone or not machine.allows(spec):
+        if machine.zone not in self._by_zone or not machine.meets_constraints_of(spec):
             return
         self._tasks_by_machine[machine.name] = tasks_that_fit(free.cpus, free.memory_gb, spec)
         self._by_zone[machine.zone] += self._tasks_by_machine[machine.name]
@@ -137,7 +137,7 @@
                 target is not machine
                 and target.name not in self.drained
                 and free.fits(spec)
-                and target.allows(spec)
+                and target.meets_constraints_of(spec)
                 and tasks_by_zone.get(target.zone, 0) + 1 - moved_away <= spec.zone_limit
                 and job.avoid.get(target.name, 0.0) <= 0.0
             ):
--- a/sorrelsill/fleet/retained_headroom.py
+++ b/sorrelsill/fleet/retained_headroom.py
@@ -30,7 +30,9 @@
     def permits_return(self, machine: Machine) -> bool:
         """Whether an idle machine may be returned. If so, its capacity is subtracted, so that later calls see what is
         left."""
-        if any(zone in (None, machine.zone) and machine.allows(spec) for spec, zone in self._waiting_gangs):
+        if any(
+            zone in (None, machine.zone) and machine.meets_constraints_of(spec) for spec, zone in self._waiting_gangs
+        ):
             return False
         gang_capacity = self._gang_capacity
         if gang_capacity.headroom_cpus and not machine.spot:
@@ -42,7 +44,7 @@
 
     def _leaves_service_headroom(self, machine: Machine) -> bool:
         service_spec = self._service_spec
-        if service_spec is None or not machine.allows(service_spec):
+        if service_spec is None or not machine.meets_constraints_of(service_spec):
             return True
         if self._service_tasks is None:
             self._service_tasks = self._demand.service_capacity(service_spec)
--- a/sorrelsill/fleet/test_rebalancing.py
+++ b/sorrelsill/fleet/test_rebalancing.py
@@ -89,6 +89,6 @@
         spec = rng.choice([small, small, large])
         expected: dict[str, int] = {}
         for each in cluster.machines.values():
-            if each.usable and each.allows(spec):
+            if each.usable and each.meets_constraints_of(spec):
                 expected[each.zone] = expected.get(each.zone, 0) + tasks_that_could_start(each, spec)
         assert {z: n for z, n in free_capacity.by_zone(spec).items() if n} == {z: n for z, n in expected.items() if n}
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -148,7 +148,7 @@
     def is_feasible(self, job: Job, machine: Machine, now: float) -> bool:
         """Return whether a task of the job may start on the machine now."""
         spec = job.spec
-        if not machine.has_room_for(spec) or not machine.allows(spec) or not machine.usable:
+        if not machine.has_room_for(spec) or not machine.meets_constraints_of(spec) or not machine.usable:
             return False
         if not spec.may_add_in(machine.zone, job.zones):
             return False
--- a/sorrelsill/placement/gang_scheduler.py
+++ b/sorrelsill/placement/gang_scheduler.py
@@ -118,7 +118,7 @@
         eligible = [
             machine
             for machine in cycle.machines
-            if machine.allows(spec)
+            if machine.meets_constraints_of(spec)
             and reservations.admits(job, machine, now)
             and not reservations.is_held_for_gang(machine)
         ]
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -129,7 +129,7 @@
                 if (
                     machine.bound_count
                     and machine.usable
-                    and machine.allows(job.spec)
+                    and machine.meets_constraints_of(job.spec)
                     and self._reservations.may_be_reserved(job, machine, now)
                 ):
                     found.append(machine)
@@ -241,7 +241,7 @@
         eligible = [
             m
             for m in sample
-            if m.bound_count and m.usable and m.allows(spec) and self._reservations.admits(job, m, now)
+            if m.bound_count and m.usable and m.meets_constraints_of(spec) and self._reservations.admits(job, m, now)
         ]
 
         def select_victims(machine: Machine, additional: int) -> VictimSet | None:
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -207,7 +207,7 @@
         """Return whether the job could run on the machine if the machine were drained."""
         spec = job.spec
         return (
-            machine.allows(spec)
+            machine.meets_constraints_of(spec)
             and self._reservations.may_be_reserved(job, machine, now)
             and machine.large_enough_for(spec)
             and spec.may_add_in(machine.zone, job.zones)
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -178,7 +178,7 @@
             and self.capacity_gpus + AMOUNT_TOLERANCE >= spec.gpus
         )
 
-    def allows(self, spec: JobSpec) -> bool:
+    def meets_constraints_of(self, spec: JobSpec) -> bool:
         """Whether machine type, zone and spot status meet the job's constraints; the worker checks none of these."""
         return (
             (spec.machine_types is None or self.machine_type in spec.machine_types)
