--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -169,7 +169,7 @@
         score = (machine.capacity_cpus - machine.cpus - spec.cpus) / max(machine.capacity_cpus, 1e-9)
         if spec.image not in machine.images:
             # A fetch by the job's own replicas does not count: else a new image would never reach a second machine.
-            joins_fetch = spec.image in machine.fetching and not (
+            joins_fetch = spec.image in machine.images_being_fetched and not (
                 replicas_by_machine and replicas_by_machine.get(machine.name)
             )
             score += constants.FETCH_WEIGHT * (_SHARED_FETCH_FACTOR if joins_fetch else 1.0)
--- a/sorrelsill/placement/gang_placement.py
+++ b/sorrelsill/placement/gang_placement.py
@@ -123,7 +123,7 @@
     the machine's fetch rate), on-demand machines, a type with room for the whole gang, most tasks, fewest CPUs left
     over."""
     machine, count = slots.machine, min(slots.count, spec.task_count)
-    fetches = 0.0 if spec.image in machine.images else 1.0 + len(machine.fetching - {spec.image})
+    fetches = 0.0 if spec.image in machine.images else 1.0 + len(machine.images_being_fetched - {spec.image})
     type_fits_gang = capacity_by_type[machine.machine_type] >= spec.task_count
     leftover_cpus = machine.capacity_cpus - machine.cpus - count * spec.cpus
     return fetches, machine.spot, 0 if type_fits_gang else 1, -count, leftover_cpus
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -150,7 +150,7 @@
         job.last_activity_at = now
         self.mark_job_changed(job.spec.job_id)
         if job.spec.image not in machine.images:
-            machine.fetching.add(job.spec.image)
+            machine.images_being_fetched.add(job.spec.image)
         log_attempt(
             log,
             "bind",
@@ -193,7 +193,7 @@
             self.mark_job_changed(spec.job_id)
         if machine.bound_count == 0:
             machine.idle_since = now
-            machine.fetching.clear()
+            machine.images_being_fetched.clear()
         self.wake_scheduler = True
 
     def gang_headroom_cpus(self, classes: Iterable[str]) -> float:
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -140,7 +140,7 @@
         self.cpus = self.gpus = self.memory_gb = 0.0  # allocated
         self.capacity_cpus = self.capacity_gpus = self.capacity_memory_gb = self.cache_gb = 0.0
         self.images: OrderedDict[str, float] = OrderedDict()
-        self.fetching: set[str] = set()  # images being pulled for tasks on it
+        self.images_being_fetched: set[str] = set()  # for tasks on it
         self.idle_since = idle_since
         self.blamed_by_jobs: set[str] = set()  # jobs that failed here and succeeded on another machine
 
@@ -190,7 +190,7 @@
         """Record a use of the image in the estimate of the worker's image cache, an LRU cache of `cache_gb`.
 
         Returns the images evicted from the estimate."""
-        self.fetching.discard(image)
+        self.images_being_fetched.discard(image)
         self.images[image] = size
         self.images.move_to_end(image)
         evicted = []
