--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -139,7 +139,7 @@
                 and free.fits(spec)
                 and target.meets_constraints_of(spec)
                 and tasks_by_zone.get(target.zone, 0) + 1 - moved_away <= spec.zone_limit
-                and job.avoid.get(target.name, 0.0) <= 0.0
+                and job.avoided_machines.get(target.name, 0.0) <= 0.0
             ):
                 return free
         return None
--- a/sorrelsill/placement/reservations.py
+++ b/sorrelsill/placement/reservations.py
@@ -93,7 +93,7 @@
 
     def may_be_reserved(self, job: Job, machine: Machine, now: float) -> bool:
         """Return whether the machine is not reserved and the job does not avoid it after failures on it."""
-        return machine.name not in self._reserved and job.avoid.get(machine.name, 0.0) <= now
+        return machine.name not in self._reserved and job.avoided_machines.get(machine.name, 0.0) <= now
 
     def has_reservation(self, job_id: str) -> bool:
         """Return whether any machine is reserved for the job."""
@@ -133,8 +133,8 @@
             return False
         gang_hold = self._gang_holds.get(machine.name)
         if gang_hold is not None and gang_hold.job_id != job.spec.job_id and gang_hold.expires_at > now:
-            return job.spec.priority < gang_hold.priority and job.avoid.get(machine.name, 0.0) <= now
-        return job.avoid.get(machine.name, 0.0) <= now
+            return job.spec.priority < gang_hold.priority and job.avoided_machines.get(machine.name, 0.0) <= now
+        return job.avoided_machines.get(machine.name, 0.0) <= now
 
     # --- failed searches for victims ---
 
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -149,7 +149,7 @@
         """Bind tasks of a job one by one until none is waiting or the next one cannot be bound."""
         spec = job.spec
         equivalence = equivalence_class(spec)
-        unconstrained = not (spec.spread_zones or spec.one_zone or job.avoid)
+        unconstrained = not (spec.spread_zones or spec.one_zone or job.avoided_machines)
         pool: CandidatePool | None = None
         while (index := job.next_task()) is not None:
             if cycle.out_of_time():
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -16,7 +16,7 @@
 
     __slots__ = (
         "accepted",
-        "avoid",
+        "avoided_machines",
         "bound",
         "cursor",
         "done",
@@ -52,7 +52,7 @@
         self.cursor = 0  # every task below this index has been done or bound at some time
         self.requeued: list[int] = []  # heap of tasks to be started again
         self.failures = FailureHistory(succeeded=done.count > 0)
-        self.avoid: dict[str, float] = {}  # machine -> time until which no task of the job is placed on it
+        self.avoided_machines: dict[str, float] = {}  # machine -> time until which no task of the job is placed on it
         # Indices of the small progress chunks that are not stored yet; a small chunk covers SMALL_CHUNK_TASKS tasks.
         self.unrecorded_small_chunks: set[int] = set()
         self.chunked = spec.task_count > constants.CHUNK_TASKS  # its finished tasks are stored in keys of their own
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -70,7 +70,7 @@
         job.note(f"task {attempt.index}: {status.exit_cause_text()}, its group is started anew")
         return
     job.note(f"task {attempt.index}: {status.exit_cause_text()} on {machine.name}")
-    job.avoid[machine.name] = now + constants.MACHINE_AVOID_S
+    job.avoided_machines[machine.name] = now + constants.MACHINE_AVOID_S
     if cause is ExitCause.ERROR:
         _on_failure(cluster, job, machine, now)
 
@@ -88,7 +88,7 @@
     if failures.is_suspect(len(job.bound)):
         # The other machines are probably not at fault: if the job avoided them all, it would wait although there is
         # free capacity.
-        job.avoid = {machine.name: job.avoid[machine.name]}
+        job.avoided_machines = {machine.name: job.avoided_machines[machine.name]}
         wait_s = max(0.0, failures.next_retry_at - now)
         job.note(f"failed on all {len(failures.machines)} machines tried; next try in {wait_s:.0f} s")
 
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -285,7 +285,7 @@
         assert leader.cluster is not None
         gang = leader.cluster.gangs["run-g"]
         assert (
-            not gang.avoid
+            not gang.avoided_machines
             and not gang.failures.failures
             and not any(h.quarantined for h in leader.cluster.machines.values())
         )
