--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -85,7 +85,7 @@
 
     def __init__(self, cluster: ClusterState, spec: JobSpec) -> None:
         machines_with_room = cluster.index.with_room(spec)
-        holders = cluster.index.holders(spec.image)
+        holders = cluster.index.machines_with_image(spec.image)
         # Sample the smaller set: if all machines hold the image, most of them may be full.
         holder_sampler = (
             _MachineSampler(holders)
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -234,7 +234,7 @@
         become free."""
         job_id, now = job.spec.job_id, cycle.now
         if job_id not in self._warm_room_deadlines:
-            warm = cycle.cluster.index.holders(job.spec.image)
+            warm = cycle.cluster.index.machines_with_image(job.spec.image)
             room_made = self._preemption.make_room(cycle, job, warm, constants.WARM_PREEMPTION_WAIT_S) if warm else 0
             self._warm_room_deadlines[job_id] = now + constants.WARM_PREEMPTION_WAIT_S if room_made else now
         return now < self._warm_room_deadlines[job_id]
--- a/sorrelsill/placement/test_scheduler.py
+++ b/sorrelsill/placement/test_scheduler.py
@@ -110,9 +110,11 @@
     cluster.machines[other].draining = True  # assigning the attribute updates the indices
     assert index.usable.names() == {full} and not index.free.names()
     index.record_cached_image(cluster.machines[full], work.spec)
-    assert index.holders("img").names() == {full}
+    assert index.machines_with_image("img").names() == {full}
     cluster.remove_machine(full, 3.0, "returned")
-    assert not index.usable and not index.free and not index.holders("img") and index.idle.names() == {other}
+    assert (
+        not index.usable and not index.free and not index.machines_with_image("img") and index.idle.names() == {other}
+    )
     cluster.machines[other].draining = False
     assert index.usable.names() == index.free.names() == {other}
 
--- a/sorrelsill/workers/machine_index.py
+++ b/sorrelsill/workers/machine_index.py
@@ -64,7 +64,7 @@
 
     # --- images ---
 
-    def holders(self, image: str) -> MachineSet:
+    def machines_with_image(self, image: str) -> MachineSet:
         """Machines that have the image cached."""
         return self._holders.get(image, _NO_MACHINES)
 
