--- a/sorrelsill/model/job_spec.py
+++ b/sorrelsill/model/job_spec.py
@@ -60,7 +60,7 @@
         """Whether its tasks run all at the same time or not at all, and complete together."""
         return self.kind is JobKind.GANG
 
-    def may_add_in(self, zone: str, placed: dict[str, int]) -> bool:
+    def zone_allows_another_task(self, zone: str, placed: dict[str, int]) -> bool:
         """Whether one more task may be placed in the zone; `placed` is the number of tasks per zone. Evaluates
         `one_zone` and `spread_zones` for single tasks, which no other function does."""
         if self.one_zone and any(count > 0 and other != zone for other, count in placed.items()):
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -150,7 +150,7 @@
         spec = job.spec
         if not machine.has_room_for(spec) or not machine.meets_constraints_of(spec) or not machine.usable:
             return False
-        if not spec.may_add_in(machine.zone, job.zones):
+        if not spec.zone_allows_another_task(machine.zone, job.zones):
             return False
         # Without reservations, small tasks would take room as preemption frees it, and the victims would be evicted in
         # vain.
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -156,7 +156,7 @@
             if tasks_with_room >= wanted:
                 break
             machine = candidate.attempts[0].machine
-            if not spec.may_add_in(machine.zone, zones):
+            if not spec.zone_allows_another_task(machine.zone, zones):
                 continue
             until = now + self._evict(cluster, spec, candidate.attempts, reservation_s)
             zones[machine.zone] = zones.get(machine.zone, 0) + 1
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -210,7 +210,7 @@
             machine.meets_constraints_of(spec)
             and self._reservations.may_be_reserved(job, machine, now)
             and machine.large_enough_for(spec)
-            and spec.may_add_in(machine.zone, job.zones)
+            and spec.zone_allows_another_task(machine.zone, job.zones)
         )
 
     def _cold_start_misses_objective(self, cluster: ClusterState, job: Job, machine: Machine) -> bool:
