--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -48,7 +48,7 @@
 # --- workers ----------------------------------------------------------------------------------------
 LOSS_MARGIN_S: Final = 0.5  # s; added to lease and clock drift before the work of a silent machine is declared lost
 # s; tasks on a spot machine are told to checkpoint this long before it is reclaimed, plus the time of the checkpoint
-DRAIN_AHEAD_S: Final = 2.5
+RECLAIM_STOP_AHEAD_S: Final = 2.5
 START_BACKOFF_S: Final = 2.0  # s; first pause before a failed task is tried again; doubles with each failed try
 START_BACKOFF_MAX_S: Final = 60.0  # s; upper bound of the pause before a failed task is tried again
 # jobs; a machine is quarantined once this many jobs have failed on it and succeeded elsewhere
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -329,7 +329,7 @@
         lost = cluster.expire_leases(now)
         for machine in lost:
             log.info("%s is silent past its lease: its work is lost", machine.name)
-        cluster.drain(now)
+        cluster.stop_tasks_on_reclaimed_machines(now)
         enforce_gang_completeness(cluster)
         cluster.wake_scheduler = False
         if not self.scheduler.run_cycle(cluster, now, trio.current_time, constants.CYCLE_BUDGET_S) or lost:
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -48,9 +48,9 @@
         """Whether workers sent heartbeats in this term, but none within the last `limit_s` seconds."""
         return loss.receives_no_heartbeats(self, now, limit_s)
 
-    def drain(self, now: float) -> None:
+    def stop_tasks_on_reclaimed_machines(self, now: float) -> None:
         """Stop tasks on machines that the cloud provider is about to reclaim."""
-        loss.drain(self, now)
+        loss.stop_tasks_on_reclaimed_machines(self, now)
 
     def stop(self, attempt: Attempt, reason: str, immediately: bool = False) -> None:
         """Stop a task to free capacity or to drain its machine; the tasks of a gang are stopped together."""
--- a/sorrelsill/workers/gangs.py
+++ b/sorrelsill/workers/gangs.py
@@ -88,8 +88,8 @@
     if not any(a.running_since is not None for a in job.bound.values()):
         return True
     if can_checkpoint(job):
-        return remaining_s <= job.spec.checkpoint_cost_s + constants.DRAIN_AHEAD_S
-    return remaining_s <= constants.DRAIN_AHEAD_S
+        return remaining_s <= job.spec.checkpoint_cost_s + constants.RECLAIM_STOP_AHEAD_S
+    return remaining_s <= constants.RECLAIM_STOP_AHEAD_S
 
 
 def gang_stop_cost(job: Job, now: float) -> float:
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -91,7 +91,7 @@
     return with_lease >= constants.NO_HEARTBEAT_MACHINES
 
 
-def drain(cluster: ClusterRecords, now: float) -> None:
+def stop_tasks_on_reclaimed_machines(cluster: ClusterRecords, now: float) -> None:
     """Stop tasks on machines that are about to be reclaimed. The loss of a task that runs until its machine is gone is
     detected only after a full lease of silence."""
     for machine in cluster.machines_with_reclaim_notice.values():
@@ -115,6 +115,6 @@
     if attempt.running_since is None:
         return True
     if spec.checkpoint_interval_s > 0:
-        return remaining_s <= spec.checkpoint_cost_s + constants.DRAIN_AHEAD_S
+        return remaining_s <= spec.checkpoint_cost_s + constants.RECLAIM_STOP_AHEAD_S
     complete_at = attempt.running_since + spec.expected_run_s
-    return remaining_s <= constants.DRAIN_AHEAD_S or spec.is_service or complete_at > reclaim_at
+    return remaining_s <= constants.RECLAIM_STOP_AHEAD_S or spec.is_service or complete_at > reclaim_at
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -182,7 +182,7 @@
         self._record()
         with self.parts["losses"]:
             cluster.expire_leases(leader.now)
-            cluster.drain(leader.now)
+            cluster.stop_tasks_on_reclaimed_machines(leader.now)
             enforce_gang_completeness(cluster)
         with self.parts["rounds"]:
             leader.scheduler.run_cycle(cluster, leader.now, time.process_time, constants.CYCLE_BUDGET_S)
