--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -35,13 +35,13 @@
     cluster.request_stop(attempt, "its job is over or not known")
 
 
-def adopt_tasks_of(cluster: ClusterRecords, job: Job) -> None:
+def adopt_tasks_of_job(cluster: ClusterRecords, job: Job) -> None:
     """Adopt the attempts of a job that were reported before the job was known."""
     for attempt in _unknown_attempts(cluster, job.spec.job_id):
         adopt(cluster, attempt, job)
 
 
-def adopt_tasks_of_ended(cluster: ClusterRecords, ended: EndedJob) -> None:
+def adopt_tasks_of_ended_job(cluster: ClusterRecords, ended: EndedJob) -> None:
     """Adopt the attempts of an ended job that were reported before the job was known."""
     for attempt in _unknown_attempts(cluster, ended.spec.job_id):
         adopt_ended(cluster, attempt, ended)
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -70,11 +70,11 @@
         job = Job(spec, done, rev, from_earlier_term, submitted, notes)
         job.accepted = accepted
         self.insert_job(job)
-        adoption.adopt_tasks_of(self, job)
+        adoption.adopt_tasks_of_job(self, job)
         return job
 
     def add_ended_job(self, spec: JobSpec, done: TaskSet) -> None:
         """Add a job that ended before this term. Its tasks on machines are stopped, and count toward its team's usage
         until they are gone."""
         ended = self.failover.add_ended_job(spec, done)
-        adoption.adopt_tasks_of_ended(self, ended)
+        adoption.adopt_tasks_of_ended_job(self, ended)
