--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -171,7 +171,7 @@
     return ParsedRecord(spec, done, notes_of(value))
 
 
-def impossible(spec: JobSpec, teams: dict[str, Team], catalog: Catalog) -> str | None:
+def infeasibility_reason(spec: JobSpec, teams: dict[str, Team], catalog: Catalog) -> str | None:
     """Why a job can never run (answered with status 422), or None if it can."""
     team = teams.get(spec.team)
     if team is None:
--- a/sorrelsill/jobs/submissions.py
+++ b/sorrelsill/jobs/submissions.py
@@ -16,7 +16,7 @@
 from sorrelsill.jobs.errors import BusyError, InvalidJobError
 from sorrelsill.jobs.job_status import JobStatus
 from sorrelsill.jobs.messages import parse_spec
-from sorrelsill.jobs.records import impossible, json_size, new_record
+from sorrelsill.jobs.records import infeasibility_reason, json_size, new_record
 from sorrelsill.jobs.user_answers import Answer, ErrorAnswer, JobAnswer, is_out_of_date
 from sorrelsill.model import Catalog, JobPhase, JobSpec
 from sorrelsill.settings import Team
@@ -146,7 +146,7 @@
         # A job that can't be accepted is looked up first: it may have been accepted before the limits changed.
         for job_id in list(by_job):
             spec = by_job[job_id][0].spec
-            if self.catalog is None or impossible(spec, self._teams, self.catalog) or self._is_too_long(spec):
+            if self.catalog is None or infeasibility_reason(spec, self._teams, self.catalog) or self._is_too_long(spec):
                 await self._look_up_or_reject(job_id, by_job.pop(job_id))
         for _ in range(constants.ADMIT_TRIES):
             if not by_job or not await self._commit(by_job, now):
@@ -233,5 +233,5 @@
         The user is then told to retry later instead of being rejected for good."""
         if self._is_too_long(spec):
             return Answer(400, ErrorAnswer("body: longer than the state service can keep"))
-        reason = impossible(spec, self._teams, self.catalog) if self.catalog is not None else None
+        reason = infeasibility_reason(spec, self._teams, self.catalog) if self.catalog is not None else None
         return Answer(422, ErrorAnswer(reason)) if reason is not None else None
