--- a/sorrelsill/jobs/machine_registry.py
+++ b/sorrelsill/jobs/machine_registry.py
@@ -1,6 +1,6 @@
 """The registry of machines that may hold work, with many machines per key: computes which key to write next. No I/O.
 
-A part of the registry whose first key is full continues in further keys (`WatchCache.registry_parts`). The previous
+A part of the registry whose first key is full continues in further keys (`WatchCache.registry_keys`). The previous
 version reads every map under the prefix as entries, so its leader waits for machines in further keys too. But it
 removes entries from the first key only; an entry left in a further key makes the next leader wait for that machine in
 vain, until a leader of this version removes it from all keys.
--- a/sorrelsill/jobs/registry_writes.py
+++ b/sorrelsill/jobs/registry_writes.py
@@ -70,10 +70,10 @@
         return due
 
     def _is_stored(self, name: str) -> bool:
-        return any(name in value for value, _ in self._watch_cache.registry_parts(name).values())
+        return any(name in value for value, _ in self._watch_cache.registry_keys(name).values())
 
     def _add_part(self, batch: WriteBatch, base: str, part: _DuePart) -> None:
-        stored = self._watch_cache.registry_parts(part.any_machine)
+        stored = self._watch_cache.registry_keys(part.any_machine)
         # Continues in further keys only when the store refuses a longer value: a leader of the previous version that
         # finds a machine in two keys never counts it as heard from.
         write = next_registry_write(
--- a/sorrelsill/store/watch_cache.py
+++ b/sorrelsill/store/watch_cache.py
@@ -93,7 +93,7 @@
         of them."""
         return [job_id for job_id in self._chunk_keys if JOB_PREFIX + job_id not in self.keys]
 
-    def registry_parts(self, machine: str) -> dict[str, tuple[dict[str, Any], int]]:
+    def registry_keys(self, machine: str) -> dict[str, tuple[dict[str, Any], int]]:
         """The registry keys that may hold a machine's entry, with value and revision."""
         key = base = registry_key(machine)
         parts: dict[str, tuple[dict[str, Any], int]] = {}
