--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -41,7 +41,7 @@
         operator: OperatorOverrides,
         rng: random.Random,
         make_client: Callable[[str], Client] = Client,
-        time_of_day: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
         membership: MembershipSettings | None = None,
     ) -> None:
         """`membership`: settings of failure detection; None disables it."""
@@ -53,7 +53,7 @@
         self._wake_scheduler = trio.Event()
         self._draining = False  # a planned shutdown has begun
         self.tick_s = operator.tick_s or constants.SCHEDULING_INTERVAL_S
-        environment = Environment(settings, operator, rng, make_client, time_of_day, membership)
+        environment = Environment(settings, operator, rng, make_client, wall_clock, membership)
         self._parts = parts = build_parts(environment, self._callbacks())
         self.settings = settings
         self.timings = parts.timings
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -34,12 +34,12 @@
         self,
         watch_cache: WatchCache,
         cancellations: Cancellations,
-        time_of_day: Callable[[], float],
+        wall_clock: Callable[[], float],
         ended_window_s: float,
     ) -> None:
         self._watch_cache = watch_cache
         self._cancellations = cancellations
-        self._time_of_day = time_of_day
+        self._wall_clock = wall_clock
         self._ended_window_s = ended_window_s  # tasks of a job may run for so long after its end
 
     def load(self, cluster: ClusterState) -> None:
@@ -102,7 +102,7 @@
             log_event(log, logging.ERROR, "record_damaged", job=job_id, ended=False, error=error)
             return False
         now = trio.current_time()
-        age_s = max(0.0, self._time_of_day() - accepted)
+        age_s = max(0.0, self._wall_clock() - accepted)
         job = cluster.add_job(spec, done, rev, rev <= cluster.term, now - age_s, notes, accepted)
         # The record already has this count. Otherwise a failover would cause one write per job.
         job.recorded_running = running_count(value)
--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/parts.py
@@ -35,7 +35,7 @@
     operator: OperatorOverrides
     rng: random.Random
     make_client: Callable[[str], Client]
-    time_of_day: Callable[[], float]  # in seconds since the epoch
+    wall_clock: Callable[[], float]  # in seconds since the epoch
     membership: MembershipSettings | None  # None disables failure detection
 
 
@@ -102,8 +102,8 @@
         store=store,
         watch_cache=watch_cache,
         cancellations=cancellations,
-        followed_jobs=FollowedJobs(watch_cache, cancellations, environment.time_of_day, ended_window_s),
-        admission=Admission(store, watch_cache, platform.teams, environment.time_of_day),
+        followed_jobs=FollowedJobs(watch_cache, cancellations, environment.wall_clock, ended_window_s),
+        admission=Admission(store, watch_cache, platform.teams, environment.wall_clock),
         watchdog=watchdog,
         elector=elector,
         degraded_mode=_make_degraded_mode(environment, callbacks, store, elector, cancellations),
--- a/sorrelsill/jobs/admission.py
+++ b/sorrelsill/jobs/admission.py
@@ -23,12 +23,12 @@
     """Serves users' submissions, polls and cancellations. Each may raise BusyError."""
 
     def __init__(
-        self, store: KeyValueStore, watch_cache: WatchCache, teams: list[Team], time_of_day: Callable[[], float]
+        self, store: KeyValueStore, watch_cache: WatchCache, teams: list[Team], wall_clock: Callable[[], float]
     ) -> None:
         self._watch_cache = watch_cache
         self._teams = {team.name: team for team in teams}
         self._status = JobStatus(store, watch_cache)
-        self._submissions = Submissions(store, watch_cache, self._teams, time_of_day, self._status)
+        self._submissions = Submissions(store, watch_cache, self._teams, wall_clock, self._status)
         self._cancel_requests = CancelRequests(store, watch_cache)
 
     @property
--- a/sorrelsill/jobs/submissions.py
+++ b/sorrelsill/jobs/submissions.py
@@ -66,13 +66,13 @@
         store: KeyValueStore,
         watch_cache: WatchCache,
         teams: dict[str, Team],
-        time_of_day: Callable[[], float],
+        wall_clock: Callable[[], float],
         status: JobStatus,
     ) -> None:
         self._store = store
         self._watch_cache = watch_cache
         self._teams = teams
-        self._time_of_day = time_of_day
+        self._wall_clock = wall_clock
         self._status = status
         self.catalog: Catalog | None = None
         self._queue: list[_PendingSubmission] = []
@@ -155,7 +155,7 @@
     async def _commit(self, by_job: _ByJob, since: float) -> bool:
         """Commits all jobs of a batch in one transaction. Removes jobs that are in the store already from the batch.
         Returns True if the rest should be tried again."""
-        records = {job_id: new_record(group[0].spec, self._time_of_day()) for job_id, group in by_job.items()}
+        records = {job_id: new_record(group[0].spec, self._wall_clock()) for job_id, group in by_job.items()}
         sent_at = trio.current_time()
         try:
             result = await self._write(records)
@@ -203,7 +203,7 @@
             await self._look_up_or_reject(job_id, by_job.pop(job_id))
 
     def _is_too_long(self, spec: JobSpec) -> bool:
-        return json_size(new_record(spec, self._time_of_day())) > self._store.value_bytes
+        return json_size(new_record(spec, self._wall_clock())) > self._store.value_bytes
 
     async def _resolve_known(self, job_id: str, group: list[_PendingSubmission]) -> None:
         """Answers with the state of the job, if the store has it."""
--- a/sorrelsill/membership/tracing.py
+++ b/sorrelsill/membership/tracing.py
@@ -39,20 +39,20 @@
     """Records a trace for each handover and keeps the most recent handovers for operators."""
 
     def __init__(
-        self, label: str, exporter: SpanExporter | None = None, time_of_day: Callable[[], float] = time.time
+        self, label: str, exporter: SpanExporter | None = None, wall_clock: Callable[[], float] = time.time
     ) -> None:
         resource = Resource.create({"service.name": "sorrelsill", "service.instance.id": label})
         provider = TracerProvider(resource=resource, shutdown_on_exit=False)
         provider.add_span_processor(SimpleSpanProcessor(exporter or LogExporter()))
         self._tracer = provider.get_tracer("sorrelsill.membership")
-        self._time_of_day = time_of_day
+        self._wall_clock = wall_clock
         self.recent: deque[Handover] = deque(maxlen=constants.HANDOVERS_KEPT)
 
     def record(self, handover: Handover, now: float) -> None:
         """Record the handover as a root span with one child span per step."""
         self.recent.append(handover)
         # Durations come from the monotonic clock; the wall clock only sets the trace's position in time.
-        offset_s = self._time_of_day() - now
+        offset_s = self._wall_clock() - now
 
         def to_epoch_ns(monotonic_s: float) -> int:
             return int((monotonic_s + offset_s) * _NS_PER_S)
