--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -85,9 +85,11 @@
 # calls; in flight to workers. Fewer could all be taken by dozens of machines that hang at once; with more, hundreds of
 # responses at once would delay users' requests.
 COMMANDS_AT_ONCE: Final = 96
-PROBES_AT_ONCE: Final = 24  # probes; lower bound of the limit of probes in flight
-PROBES_OF_SOCKETS: Final = 0.0125  # ratio; of the socket quota, which grows with the fleet: limit of probes in flight
-REPEATED_PROBES: Final = 0.5  # ratio; of the limit of probes in flight, for machines that did not answer before
+PROBES_IN_FLIGHT_MIN: Final = 24  # probes; lower bound of the limit of probes in flight
+PROBES_PER_SOCKET: Final = (
+    0.0125  # probes; per socket of the quota, which grows with the fleet: limit of probes in flight
+)
+REPEATED_PROBES_SHARE: Final = 0.5  # ratio; of the limit of probes in flight, for machines that did not answer before
 OVERDUE_OF_HEARTBEAT: Final = 1.25  # ratio; of the heartbeat interval: longest regular time between two heartbeats
 # s; added to the longest regular interval; a machine whose heartbeat is overdue gets no new work and no calls
 OVERDUE_EXTRA_S: Final = 1.0
--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -46,7 +46,7 @@
         return cls(
             connections=max(8, int(sockets * constants.COMMAND_SOCKETS)),
             commands=constants.COMMANDS_AT_ONCE,
-            probes=max(constants.PROBES_AT_ONCE, int(sockets * constants.PROBES_OF_SOCKETS)),
+            probes=max(constants.PROBES_IN_FLIGHT_MIN, int(sockets * constants.PROBES_PER_SOCKET)),
         )
 
 
--- a/sorrelsill/workers/machine_probes.py
+++ b/sorrelsill/workers/machine_probes.py
@@ -49,7 +49,7 @@
         while self._not_probed and self.in_flight < self._limit:
             self._start(cluster, self._not_probed.popleft(), nursery)
         now = trio.current_time()
-        repeats_limit = self._limit * constants.REPEATED_PROBES
+        repeats_limit = self._limit * constants.REPEATED_PROBES_SHARE
         while self._repeats_in_flight < repeats_limit and self.in_flight < self._limit:
             name = self._repeat_timers.pop_due(now)
             if name is None:
