--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -84,7 +84,7 @@
 COMMAND_BACKOFF_MAX_S: Final = 16.0
 # calls; in flight to workers. Fewer could all be taken by dozens of machines that hang at once; with more, hundreds of
 # responses at once would delay users' requests.
-COMMANDS_AT_ONCE: Final = 96
+COMMANDS_IN_FLIGHT_MAX: Final = 96
 PROBES_IN_FLIGHT_MIN: Final = 24  # probes; lower bound of the limit of probes in flight
 PROBES_PER_SOCKET: Final = (
     0.0125  # probes; per socket of the quota, which grows with the fleet: limit of probes in flight
@@ -93,7 +93,7 @@
 OVERDUE_OF_HEARTBEAT: Final = 1.25  # ratio; of the heartbeat interval: longest regular time between two heartbeats
 # s; added to the longest regular interval; a machine whose heartbeat is overdue gets no new work and no calls
 OVERDUE_EXTRA_S: Final = 1.0
-COMMAND_SOCKETS: Final = 0.25  # ratio; of the socket quota, for open connections to workers
+COMMAND_SOCKETS_SHARE: Final = 0.25  # ratio; of the socket quota, for open connections to workers
 
 # --- key-value store ----------------------------------------------------------------------------------
 STORE_TIMEOUT_S: Final = 1.5  # s; for a response, which usually takes 10 ms and occasionally a few hundred
--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -44,8 +44,8 @@
     def derive(cls, sockets: int) -> CallLimits:
         """Derive the limits from a controller's socket quota."""
         return cls(
-            connections=max(8, int(sockets * constants.COMMAND_SOCKETS)),
-            commands=constants.COMMANDS_AT_ONCE,
+            connections=max(8, int(sockets * constants.COMMAND_SOCKETS_SHARE)),
+            commands=constants.COMMANDS_IN_FLIGHT_MAX,
             probes=max(constants.PROBES_IN_FLIGHT_MIN, int(sockets * constants.PROBES_PER_SOCKET)),
         )
 
