--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -57,7 +57,7 @@
 SUSPECT_MACHINES: Final = 2
 # machines; a job's failures count against at most this many: if there are more, the job itself may be at fault
 BLAMED_MACHINES_MAX: Final = 3
-TRIAL_TASKS: Final = 1  # tasks; of a suspected job, tried at a time
+SUSPECT_JOB_TASKS: Final = 1  # tasks; of a suspected job, tried at a time
 REPLICA_PROOF_S: Final = 20.0  # s; a replica that has run for this long proves that its service can run
 MACHINE_AVOID_S: Final = 120.0  # s; a job avoids a machine that refused or failed one of its tasks
 EXPIRE_EVERY_S: Final = 0.25  # s; interval between checks for machines that are silent past their lease
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -108,7 +108,7 @@
     def new_starts_allowed(self) -> int:
         """How many more of its tasks may be started now; few if the job probably fails on every machine."""
         bound = len(self.bound)
-        return constants.TRIAL_TASKS - bound if self.failures.is_suspect(bound) else self.spec.task_count
+        return constants.SUSPECT_JOB_TASKS - bound if self.failures.is_suspect(bound) else self.spec.task_count
 
     def running(self) -> int:
         """The number of tasks that run or write a checkpoint; a gang's task that waits for its peers is not counted."""
