--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -152,7 +152,7 @@
 SCHEDULING_INTERVAL_S: Final = 0.03  # s; minimum time between two scheduling cycles
 CYCLE_BUDGET_S: Final = 0.03  # s; time budget of a scheduling cycle; the next one continues from there
 # samples; without a feasible machine, after which all candidates are listed and filtered
-DRAWS_BEFORE_LISTING: Final = 3
+SAMPLES_BEFORE_LISTING: Final = 3
 CANDIDATE_SAMPLE: Final = 24  # machines; sampled per task, of which the best fit is used
 FETCH_WEIGHT: Final = 4.0  # score; for an image that must be fetched; a machine with all CPUs free scores 1
 # score; for a machine on the wrong market, spot or on-demand, for work that may use both
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -20,7 +20,7 @@
 
 class _MachineSampler:
     """Draws random samples of machines until one contains a feasible machine. Infeasible machines are not considered
-    again. After `DRAWS_BEFORE_LISTING` failed samples the remaining machines are listed and filtered, so a feasible
+    again. After `SAMPLES_BEFORE_LISTING` failed samples the remaining machines are listed and filtered, so a feasible
     machine is always found if there is one."""
 
     __slots__ = ("_failed_samples", "_image", "_machines", "_rejected", "_remaining")
@@ -39,7 +39,7 @@
             if found:
                 return found
             self._failed_samples += 1
-            if self._failed_samples >= constants.DRAWS_BEFORE_LISTING or len(self._rejected) >= len(self._machines):
+            if self._failed_samples >= constants.SAMPLES_BEFORE_LISTING or len(self._rejected) >= len(self._machines):
                 self._remaining = [machine for machine in self._machines if machine.name not in self._rejected]
         while self._remaining:
             found = self._filter_remaining(self._remaining, rng, sample, is_feasible)
