--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -60,9 +60,9 @@
 SUSPECT_JOB_TASKS: Final = 1  # tasks; of a suspected job, tried at a time
 REPLICA_PROOF_S: Final = 20.0  # s; a replica that has run for this long proves that its service can run
 MACHINE_AVOID_S: Final = 120.0  # s; a job avoids a machine that refused or failed one of its tasks
-EXPIRE_EVERY_S: Final = 0.25  # s; interval between checks for machines that are silent past their lease
+LEASE_CHECK_INTERVAL_S: Final = 0.25  # s; interval between checks for machines that are silent past their lease
 # tasks; at most declared lost per check, which takes some 10 ms; the next check continues from there
-EXPIRE_TASKS: Final = 600
+LOST_TASKS_PER_CHECK: Final = 600
 # s; a duplicate of a direct start may arrive this late: only then is its exited task cleared, since a duplicate after
 # that would run it again
 DUPLICATE_START_S: Final = 120.0
--- a/sorrelsill/workers/lease_monitor.py
+++ b/sorrelsill/workers/lease_monitor.py
@@ -50,7 +50,7 @@
 
     def begin_check_if_due(self, now: float) -> bool:
         """Whether the leases are due for a check. If so, the interval until the next check starts now."""
-        if now - self._last_check_at < constants.EXPIRE_EVERY_S:
+        if now - self._last_check_at < constants.LEASE_CHECK_INTERVAL_S:
             return False
         self._last_check_at = now
         return True
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -39,7 +39,7 @@
             machine.heartbeat_overdue = True
         if now <= cluster.leases.lease_expires_at(machine):
             continue
-        if released_tasks >= constants.EXPIRE_TASKS:
+        if released_tasks >= constants.LOST_TASKS_PER_CHECK:
             # Stop here and go on with the next call: when hundreds of machines are lost at once, lease renewals must
             # not be delayed.
             cluster.leases.make_check_due()
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -45,7 +45,7 @@
     while batch := leader.cluster.expire_leases(leader.now):
         lost_machines += len(batch)
         largest_batch = max(largest_batch, sum(len(leader.tasks[machine.name]) for machine in batch))
-    assert lost_machines == 400 and largest_batch <= constants.EXPIRE_TASKS + 16
+    assert lost_machines == 400 and largest_batch <= constants.LOST_TASKS_PER_CHECK + 16
     assert sum(j.waiting for j in leader.cluster.jobs.values()) == lost_tasks
     assert not any(leader.cluster.machines[n].attempts for n in silent)
     assert not leader.cluster.index.usable.names() & set(silent)
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -119,8 +119,8 @@
     while batch := leader.cluster.expire_leases(leader.now):
         batch_sizes.append(sum(len(leader.tasks[machine.name]) for machine in batch))
         declared_lost += len(batch)
-    assert declared_lost == len(lost) and max(batch_sizes) <= constants.EXPIRE_TASKS + TASKS_PER_MACHINE * 2
-    assert len(batch_sizes) <= lost_tasks / constants.EXPIRE_TASKS + 2
+    assert declared_lost == len(lost) and max(batch_sizes) <= constants.LOST_TASKS_PER_CHECK + TASKS_PER_MACHINE * 2
+    assert len(batch_sizes) <= lost_tasks / constants.LOST_TASKS_PER_CHECK + 2
     waiting = sum(job.waiting for job in leader.cluster.jobs.values())
     assert waiting == lost_tasks
     leader.run_cycle()
