--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -243,7 +243,7 @@
 MIN_CHARGE_S: Final = 60.0  # s; minimum charge for a machine: returning it sooner saves nothing
 
 # --- membership -------------------------------------------------------------------------------------
-TICK_LATE_S: Final = 0.25  # s; a tick that is later than this shows that the process itself was not running
+PAUSE_DETECTION_S: Final = 0.25  # s; a tick that is later than this shows that the process itself was not running
 HEARTBEAT_INTERVALS_KEPT: Final = (
     64  # intervals; latest ones between a peer's heartbeats, used for their mean and deviation
 )
--- a/sorrelsill/membership/arrivals.py
+++ b/sorrelsill/membership/arrivals.py
@@ -25,7 +25,7 @@
     def tick(self, now: float) -> None:
         """Record an iteration of the loop. One that is much too late means that the process was paused or starved."""
         late_s = now - self._last_tick_at - self._tick_s
-        if late_s > constants.TICK_LATE_S:
+        if late_s > constants.PAUSE_DETECTION_S:
             self._paused_s += late_s
         self._last_tick_at = now
 
@@ -35,7 +35,7 @@
         An overdue tick counts as a pause at once. Guards against suspecting others after this process resumes but
         before its loop has run again."""
         overdue_s = now - self._last_tick_at - self._tick_s
-        current_pause_s = overdue_s if overdue_s > constants.TICK_LATE_S else 0.0
+        current_pause_s = overdue_s if overdue_s > constants.PAUSE_DETECTION_S else 0.0
         return now - self._paused_s - current_pause_s
 
 
