--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -304,7 +304,7 @@
         if self.settings.members:
             with trio.move_on_after(constants.SHUTDOWN_WAIT_S):
                 while self.elector.leader_label() in (None, self.settings.label):
-                    await trio.sleep(constants.RETRY_S / 5)
+                    await trio.sleep(constants.RETRY_PAUSE_S / 5)
         await trio.sleep(constants.SHUTDOWN_LINGER_S)
 
     async def _loop(self, name: str, step: Callable[[], Awaitable[None]], tick_s: float) -> None:
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -29,7 +29,7 @@
 
 log = logging.getLogger(__name__)
 
-_CATALOG_RETRY_S = 8 * constants.RETRY_S  # s; pause after the catalog could not be read
+_CATALOG_RETRY_S = 8 * constants.RETRY_PAUSE_S  # s; pause after the catalog could not be read
 
 
 def _ignore_catalog(raw: dict[str, Any], catalog: Catalog) -> None:
--- a/sorrelsill/fleet/scale_out.py
+++ b/sorrelsill/fleet/scale_out.py
@@ -123,7 +123,7 @@
             # If it was carried out after all, the machines appear through their heartbeats and in the machine list.
             self.open_requests.remove(request)
         else:
-            request.next_try_at = now + min(_RETRY_MAX_S, constants.RETRY_S * 2**request.tries)
+            request.next_try_at = now + min(_RETRY_MAX_S, constants.RETRY_PAUSE_S * 2**request.tries)
         _log_request("scale_out_failed", request, reason=error)
 
     def _on_success(self, request: _OpenRequest, rented: list[str], now: float) -> None:
--- a/sorrelsill/jobs/submissions.py
+++ b/sorrelsill/jobs/submissions.py
@@ -164,7 +164,7 @@
             return False
         except UnavailableError as error:
             if error.throttled and trio.current_time() < since + constants.ADMIT_DEADLINE_S / 2:
-                await trio.sleep(constants.RETRY_S)
+                await trio.sleep(constants.RETRY_PAUSE_S)
                 return True
             return False
         except AmbiguousError:
--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -249,7 +249,7 @@
         except (UnavailableError, AmbiguousError) as error:
             log_event(log, logging.DEBUG, "acquiring_failed", reason=str(error))
             self.acquiring = False
-            await trio.sleep(min(self._timings.renewal_interval_s, constants.RETRY_S * 2))
+            await trio.sleep(min(self._timings.renewal_interval_s, constants.RETRY_PAUSE_S * 2))
         finally:
             self.acquiring = False
 
@@ -322,7 +322,7 @@
             if self._validity_expired(sent_at):
                 return False
             if not await self._watch_cache.read_barrier():
-                await trio.sleep(constants.RETRY_S / 5)
+                await trio.sleep(constants.RETRY_PAUSE_S / 5)
         # Guards against beginning an expired term if the process was paused during the last read.
         return not self._validity_expired(sent_at)
 
--- a/sorrelsill/store/watch_cache.py
+++ b/sorrelsill/store/watch_cache.py
@@ -250,12 +250,12 @@
                 await self._watch_once(constants.WATCH_HOLD_S, constants.WATCH_HOLD_S + constants.WATCH_GRACE_S)
             except StoreError as error:
                 log_event(log, logging.DEBUG, "watch_failed", error=error)
-                await trio.sleep(constants.RETRY_S)
+                await trio.sleep(constants.RETRY_PAUSE_S)
             except (KeyError, TypeError, ValueError):
                 # A malformed response must not end the process: load all keys again.
                 log.exception("watch_answer_damaged")
                 self.loaded = False
-                await trio.sleep(constants.RETRY_S)
+                await trio.sleep(constants.RETRY_PAUSE_S)
 
     # --- read barriers ---
 
--- a/sorrelsill/workers/call_pauses.py
+++ b/sorrelsill/workers/call_pauses.py
@@ -45,7 +45,7 @@
     def retry_at(self, name: str, now: float) -> float:
         """Time from which the machine may be called again; soon if its last call did not fail."""
         pause = self._by_machine.get(name)
-        return now + constants.RETRY_S if pause is None else pause.ends_at
+        return now + constants.RETRY_PAUSE_S if pause is None else pause.ends_at
 
     def _sweep(self, now: float) -> None:
         """Remove entries whose failure was longer ago than twice the longest pause."""
--- a/sorrelsill/workers/machine_probes.py
+++ b/sorrelsill/workers/machine_probes.py
@@ -61,7 +61,7 @@
         if name not in cluster.failover.unconfirmed or not is_address(addr):
             return
         if name in self._connections.busy:
-            self._repeat_timers.set_if_earlier(name, trio.current_time() + constants.RETRY_S)
+            self._repeat_timers.set_if_earlier(name, trio.current_time() + constants.RETRY_PAUSE_S)
             return
         self._connections.busy.add(name)
         self.in_flight += 1
--- a/sorrelsill/workers/test_call_pauses.py
+++ b/sorrelsill/workers/test_call_pauses.py
@@ -14,7 +14,7 @@
         now = pauses.retry_at("m1", now)
     assert durations == [2.0, 4.0, 8.0, 16.0, 16.0]
     pauses.call_answered("m1")
-    assert pauses.retry_at("m1", now) == now + constants.RETRY_S
+    assert pauses.retry_at("m1", now) == now + constants.RETRY_PAUSE_S
     pauses.call_failed("m1", now)
     assert pauses.retry_at("m1", now) == now + 2.0
 
