--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -81,7 +81,7 @@
             has_other_candidates=self._has_other_candidates,
             on_final=self._on_final,
             on_promised=self._on_promised,
-            on_cancelled=self._on_cancelled,
+            on_peer_cancellations=self._on_peer_cancellations,
             on_worker_answer=self._wake_scheduler_if_needed,
             count_event=self._count_event,
         )
@@ -184,7 +184,7 @@
         if ended_as(value, JobPhase.CANCELLED):
             self.cancellations.add(job_id, trio.current_time())
 
-    def _on_cancelled(self, job_ids: list[str]) -> None:
+    def _on_peer_cancellations(self, job_ids: list[str]) -> None:
         """Called with jobs that a peer reports as cancelled. Their cancellation is committed, but our watch cache may
         not show it yet."""
         for job_id in job_ids:
--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/parts.py
@@ -48,7 +48,7 @@
     has_other_candidates: Callable[[str], Awaitable[bool]]  # other than the former leader with this label
     on_final: Callable[[str, Any], None]  # job ID and final record
     on_promised: Callable[[float], None]  # time up to which other controllers may renew leases
-    on_cancelled: Callable[[list[str]], None]  # jobs that a peer reports as cancelled
+    on_peer_cancellations: Callable[[list[str]], None]  # jobs that a peer reports as cancelled
     on_worker_answer: Callable[[], None]
     count_event: Callable[[str], None]
 
@@ -151,7 +151,7 @@
         environment.make_client,
         cancellations,
         on_promised=callbacks.on_promised,
-        on_cancelled=callbacks.on_cancelled,
+        on_peer_cancellations=callbacks.on_peer_cancellations,
     )
 
 
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -46,10 +46,10 @@
         make_client: Callable[[str], Client],
         cancellations: Cancellations,
         on_promised: Callable[[float], None] = lambda until: None,
-        on_cancelled: Callable[[list[str]], None] = lambda job_ids: None,
+        on_peer_cancellations: Callable[[list[str]], None] = lambda job_ids: None,
     ) -> None:
-        """`on_promised` is called with the time until which other controllers may renew leases, `on_cancelled` with the
-        cancelled jobs that a peer reported and that were not known here."""
+        """`on_promised` is called with the time until which other controllers may renew leases, `on_peer_cancellations`
+        with the cancelled jobs that a peer reported and that were not known here."""
         self._store = store
         self._cancellations = cancellations
         self._elector = elector
@@ -59,7 +59,7 @@
         self._promise_valid_until: dict[int, float] = {}  # until when a promise of the peer is relied on
         self._reported_failing_at: dict[int, float] = {}  # when the peer last reported that it cannot reach the store
         self.on_promised = on_promised
-        self._on_cancelled = on_cancelled
+        self._on_peer_cancellations = on_peer_cancellations
 
     def active(self) -> bool:
         """Whether leases may be renewed now: all members, including this one, are bound by a promise."""
@@ -142,7 +142,7 @@
         new_job_ids = self._cancellations.merge_peer_answer(peer, answer.known, sent_at, trio.current_time())
         if new_job_ids:
             log_event(log, logging.INFO, "cancellations_learnt", peer=self._labels[peer], jobs=len(new_job_ids))
-            self._on_cancelled(new_job_ids)
+            self._on_peer_cancellations(new_job_ids)
         if answer.failing:
             self._reported_failing_at[peer] = trio.current_time()
         if answer.promised:
