--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -80,7 +80,7 @@
             receives_no_heartbeats=self._receives_no_heartbeats,
             has_other_candidates=self._has_other_candidates,
             on_final=self._on_final,
-            on_promised=self._on_promised,
+            on_renewal_promise=self._on_renewal_promise,
             on_peer_cancellations=self._on_peer_cancellations,
             on_worker_answer=self._wake_scheduler_if_needed,
             count_event=self._count_event,
@@ -173,7 +173,7 @@
         # A method, not the bound `set` of the event, since every scheduling cycle replaces the event.
         self._wake_scheduler.set()
 
-    def _on_promised(self, until: float) -> None:
+    def _on_renewal_promise(self, until: float) -> None:
         """Called when degraded mode may let other controllers renew workers' leases up to `until`."""
         if self.cluster is not None:
             self.cluster.others_may_renew_until = max(self.cluster.others_may_renew_until, until)
--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/parts.py
@@ -47,7 +47,7 @@
     receives_no_heartbeats: Callable[[], bool]
     has_other_candidates: Callable[[str], Awaitable[bool]]  # other than the former leader with this label
     on_final: Callable[[str, Any], None]  # job ID and final record
-    on_promised: Callable[[float], None]  # time up to which other controllers may renew leases
+    on_renewal_promise: Callable[[float], None]  # time up to which other controllers may renew leases
     on_peer_cancellations: Callable[[list[str]], None]  # jobs that a peer reports as cancelled
     on_worker_answer: Callable[[], None]
     count_event: Callable[[str], None]
@@ -150,7 +150,7 @@
         environment.settings.members,
         environment.make_client,
         cancellations,
-        on_promised=callbacks.on_promised,
+        on_renewal_promise=callbacks.on_renewal_promise,
         on_peer_cancellations=callbacks.on_peer_cancellations,
     )
 
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -45,11 +45,11 @@
         members: list[Member],
         make_client: Callable[[str], Client],
         cancellations: Cancellations,
-        on_promised: Callable[[float], None] = lambda until: None,
+        on_renewal_promise: Callable[[float], None] = lambda until: None,
         on_peer_cancellations: Callable[[list[str]], None] = lambda job_ids: None,
     ) -> None:
-        """`on_promised` is called with the time until which other controllers may renew leases, `on_peer_cancellations`
-        with the cancelled jobs that a peer reported and that were not known here."""
+        """`on_renewal_promise` is called with the time until which other controllers may renew leases,
+        `on_peer_cancellations` with the cancelled jobs that a peer reported and that were not known here."""
         self._store = store
         self._cancellations = cancellations
         self._elector = elector
@@ -58,7 +58,7 @@
         # Both are keyed by the index of the peer in `members`.
         self._promise_valid_until: dict[int, float] = {}  # until when a promise of the peer is relied on
         self._reported_failing_at: dict[int, float] = {}  # when the peer last reported that it cannot reach the store
-        self.on_promised = on_promised
+        self.on_renewal_promise = on_renewal_promise
         self._on_peer_cancellations = on_peer_cancellations
 
     def active(self) -> bool:
@@ -82,7 +82,7 @@
         """For `PROMISE_S` from now, neither acquire the leader key nor act as leader."""
         until = trio.current_time() + constants.PROMISE_S
         self._elector.promised_until = max(self._elector.promised_until, until)
-        self.on_promised(self._elector.promised_until)
+        self.on_renewal_promise(self._elector.promised_until)
 
     def answer_promise_request(self, body: bytes) -> bytes:
         """Answer a peer that asks for a promise. The answer lists known cancellations even if no promise is given."""
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -138,7 +138,7 @@
         until = trio.current_time() + 4
         for node in simulation.nodes.values():
             node.elector.promised_until = until
-            node.degraded_mode.on_promised(until)
+            node.degraded_mode.on_renewal_promise(until)
         await simulation.submit(job("run-1"))
         await simulation.until_phase("run-1", "done")
         assert all(at >= until for at, task_id, _ in simulation.starts if task_id.startswith("run-1/"))
