--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/parts.py
@@ -133,7 +133,7 @@
         ElectionCallbacks(callbacks.on_term_changed, callbacks.receives_no_heartbeats, callbacks.has_other_candidates),
     )
     # The previous process of this controller may have promised a peer not to lead: wait until such a promise ends.
-    elector.acquire_after = trio.current_time() + (constants.PROMISE_S if settings.members else 0.0)
+    elector.no_campaign_before = trio.current_time() + (constants.PROMISE_S if settings.members else 0.0)
     return elector
 
 
--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -31,7 +31,7 @@
 
 _NEVER = float("-inf")
 _MAX_ACQUIRE_TIMEOUT_S = 10.0
-_MIN_CAMPAIGN_WAIT_S = 0.02  # lower bound of the wait for `promised_until` and `acquire_after`
+_MIN_CAMPAIGN_WAIT_S = 0.02  # lower bound of the wait for `promised_until` and `no_campaign_before`
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
         self._lease: int | None = None
         self.last_renewal_sent_at = _NEVER  # successful renewals only
         self.promised_until = _NEVER  # promise to peers: no acquiring the key and no acting as leader before this
-        self.acquire_after = _NEVER  # no campaign before this; covers promises made before a restart
+        self.no_campaign_before = _NEVER  # covers promises made before a restart
         self.acquiring = False  # an attempt to acquire the key is in progress; no promise may be given meanwhile
         self._revoked_leases: set[int] = set()  # leases of earlier processes of this controller; each is revoked once
         self._leader_key_changed = trio.Event()
@@ -138,7 +138,7 @@
     async def resign(self) -> None:
         """Stop leading and never campaign again: for a planned shutdown of the process."""
         self._resigned = True
-        self.acquire_after = float("inf")
+        self.no_campaign_before = float("inf")
         lease = self._lease
         if lease is None:
             return
@@ -190,7 +190,7 @@
             # Only while the lease is valid: after a pause of this process the missing heartbeats prove nothing, and
             # the next renewal shows whether it still leads.
             log_event(log, logging.ERROR, "no_worker_heard", term=self.term)
-            self.acquire_after = trio.current_time() + constants.NO_HEARTBEAT_STANDBY_S
+            self.no_campaign_before = trio.current_time() + constants.NO_HEARTBEAT_STANDBY_S
             await self._step_down_and_revoke(self._lease, "no worker is heard")
             return
         await self._renew(self.term, self._lease)
@@ -231,7 +231,7 @@
         key_is_free = self._watch_cache.loaded and self._watch_cache.leader() is None
         if self._watch_cache.loaded and await self._revoke_previous_lease():
             return
-        wait_s = max(self.promised_until, self.acquire_after) - now
+        wait_s = max(self.promised_until, self.no_campaign_before) - now
         if not key_is_free or self._watchdog.stalled_loops() or wait_s > 0:
             must_wait = key_is_free and wait_s > 0
             with trio.move_on_after(
