--- a/sorrelsill/fleet/cloud.py
+++ b/sorrelsill/fleet/cloud.py
@@ -9,7 +9,7 @@
 
 from sorrelsill import constants
 from sorrelsill.fleet.errors import CloudError
-from sorrelsill.http import Client, NoAnswerError, NotSentError, always
+from sorrelsill.http import Client, NoAnswerError, NotSentError, always_allowed
 from sorrelsill.settings import CloudLimits
 from sorrelsill.token_bucket import TokenBucket
 
@@ -25,7 +25,11 @@
         self.bucket = TokenBucket(limits.rps * constants.CLOUD_SHARE, max(1.0, limits.rps))
 
     async def call(
-        self, method: str, target: str, body: msgspec.Struct | None = None, may_send: Callable[[], bool] = always
+        self,
+        method: str,
+        target: str,
+        body: msgspec.Struct | None = None,
+        may_send: Callable[[], bool] = always_allowed,
     ) -> dict[str, Any]:
         """Send one request and return the decoded answer.
 
--- a/sorrelsill/http/client.py
+++ b/sorrelsill/http/client.py
@@ -31,7 +31,7 @@
 MaySend = Callable[[], bool]  # called right before a request is sent: whether it may still be sent
 
 
-def always() -> bool:
+def always_allowed() -> bool:
     """The default for `may_send`: the request may be sent at any time."""
     return True
 
@@ -71,7 +71,7 @@
         target: str,
         body: bytes = b"",
         timeout: float = constants.STORE_TIMEOUT_S,
-        may_send: MaySend = always,
+        may_send: MaySend = always_allowed,
     ) -> tuple[int, bytes]:
         """Sends a request and returns status and body. Raises NotSentError or NoAnswerError, also if there is no
         response within `timeout` seconds."""
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -8,7 +8,7 @@
 import trio.testing
 
 from sorrelsill import constants
-from sorrelsill.http import Client, MaySend, NoAnswerError, always
+from sorrelsill.http import Client, MaySend, NoAnswerError, always_allowed
 from sorrelsill.model import TaskSet
 from sorrelsill.store import WatchCache, chunk_key, job_key, registry_key
 from sorrelsill.workers import CallLimits, CommandSender
@@ -121,7 +121,7 @@
     asked: list[float]
 
     async def request(
-        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always
+        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always_allowed
     ) -> tuple[int, bytes]:
         self.asked.append(trio.current_time())
         await trio.sleep(timeout)
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -11,7 +11,7 @@
 import trio.testing
 
 from sorrelsill import constants
-from sorrelsill.http import Client, MaySend, NoAnswerError, always
+from sorrelsill.http import Client, MaySend, NoAnswerError, always_allowed
 from sorrelsill.jobs import RecordWriter
 from sorrelsill.model import TaskSet
 from sorrelsill.settings import StateLimits, Team
@@ -136,7 +136,7 @@
     asked: dict[str, int]
 
     async def request(
-        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always
+        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always_allowed
     ) -> tuple[int, bytes]:
         self.asked[self.addr] = self.asked.get(self.addr, 0) + 1
         await trio.sleep(0.002)
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from sorrelsill.http import Client, MaySend, NoAnswerError, NotSentError, Reply, Request, always
+from sorrelsill.http import Client, MaySend, NoAnswerError, NotSentError, Reply, Request, always_allowed
 
 Handler = Callable[[str, Request], Awaitable[Reply]]
 
@@ -92,7 +92,9 @@
         if handler is not None and dst not in self.down:
             await handler(src, request)
 
-    async def send(self, src: str, dst: str, request: Request, timeout: float, may_send: MaySend = always) -> Reply:
+    async def send(
+        self, src: str, dst: str, request: Request, timeout: float, may_send: MaySend = always_allowed
+    ) -> Reply:
         if dst in self.down or dst not in self.handlers or (src, dst) in self.refused:
             await trio.sleep(self.latency)
             raise NotSentError(f"{dst} refuses")
@@ -129,7 +131,7 @@
         self._net, self._src = net, src
 
     async def request(
-        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always
+        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always_allowed
     ) -> tuple[int, bytes]:
         path, _, query = target.partition("?")
         reply = await self._net.send(self._src, self.addr, Request(method, path, query, body), timeout, may_send)
