--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -86,9 +86,8 @@
 # responses at once would delay users' requests.
 COMMANDS_IN_FLIGHT_MAX: Final = 96
 PROBES_IN_FLIGHT_MIN: Final = 24  # probes; lower bound of the limit of probes in flight
-PROBES_PER_SOCKET: Final = (
-    0.0125  # probes; per socket of the quota, which grows with the fleet: limit of probes in flight
-)
+# probes; per socket of the quota, which grows with the fleet: limit of probes in flight
+PROBES_PER_SOCKET: Final = 0.0125
 REPEATED_PROBES_SHARE: Final = 0.5  # ratio; of the limit of probes in flight, for machines that did not answer before
 OVERDUE_OF_HEARTBEAT: Final = 1.25  # ratio; of the heartbeat interval: longest regular time between two heartbeats
 # s; added to the longest regular interval; a machine whose heartbeat is overdue gets no new work and no calls
