--- a/sorrelsill/model/resources.py
+++ b/sorrelsill/model/resources.py
@@ -26,7 +26,7 @@
         return Resources(max(self.cpus, other.cpus), max(self.gpus, other.gpus))
 
 
-NOTHING = Resources()
+NO_RESOURCES = Resources()
 
 
 def resources_of(spec: JobSpec, tasks: int = 1) -> Resources:
--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from sorrelsill.model import NOTHING, Catalog, JobSpec, RegistryEntry, Resources, TaskSet, resources_of
+from sorrelsill.model import NO_RESOURCES, Catalog, JobSpec, RegistryEntry, Resources, TaskSet, resources_of
 from sorrelsill.workers.ended_jobs import EndedJob
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Machine
@@ -138,7 +138,7 @@
         return unobserved
 
     def _count_unobserved(self, jobs: dict[str, Job], catalog: Catalog) -> _Unobserved:
-        capacity = NOTHING
+        capacity = NO_RESOURCES
         for kind, count in self._unconfirmed_by_kind.items():
             capacity = capacity.plus(_total_capacity(kind.machine_type, count, catalog))
         if not self._all_ended_known or not self.unconfirmed:
@@ -150,7 +150,7 @@
         for job in jobs.values():
             if not self.is_reconciled(job):
                 _add_tasks(by_team, job.spec, job.unobserved_count)
-        return _Unobserved({team: amount.at_most(capacity) for team, amount in by_team.items()}, NOTHING)
+        return _Unobserved({team: amount.at_most(capacity) for team, amount in by_team.items()}, NO_RESOURCES)
 
 
 def _total_capacity(machine_type: str, count: int, catalog: Catalog) -> Resources:
@@ -163,8 +163,8 @@
 def _free_capacity(machine: Machine, catalog: Catalog) -> Resources:
     if machine.machine_type not in catalog.machine_types:
         return _UNBOUNDED  # its capacity of 0 means unknown, not that the machine is full
-    return Resources(machine.capacity_cpus - machine.cpus, machine.capacity_gpus - machine.gpus).at_least(NOTHING)
+    return Resources(machine.capacity_cpus - machine.cpus, machine.capacity_gpus - machine.gpus).at_least(NO_RESOURCES)
 
 
 def _add_tasks(by_team: dict[str, Resources], spec: JobSpec, tasks: int) -> None:
-    by_team[spec.team] = by_team.get(spec.team, NOTHING).plus(resources_of(spec, tasks))
+    by_team[spec.team] = by_team.get(spec.team, NO_RESOURCES).plus(resources_of(spec, tasks))
--- a/sorrelsill/workers/team_usage.py
+++ b/sorrelsill/workers/team_usage.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from sorrelsill.model import NOTHING, JobSpec, Resources
+from sorrelsill.model import NO_RESOURCES, JobSpec, Resources
 
 
 class TeamUse(NamedTuple):
@@ -41,8 +41,8 @@
 
     def of(self, team: str) -> Resources:
         """Resources that the team's attempts use now."""
-        return self._current.get(team, NOTHING)
+        return self._current.get(team, NO_RESOURCES)
 
     def highest(self, team: str) -> Resources:
         """The most CPUs and the most GPUs in use by the team's attempts at any time of this term."""
-        return self._highest.get(team, NOTHING)
+        return self._highest.get(team, NO_RESOURCES)
