--- a/sorrelsill/membership/detector.py
+++ b/sorrelsill/membership/detector.py
@@ -83,7 +83,7 @@
             since=peer.since if peer.status is status else now,
             incarnation=message.incarnation,
             sequence=message.sequence,
-            heard_at=now,
+            last_heartbeat_at=now,
             evidence="it said that it stops" if message.leaving else text,
         )
         self.view = self.view.with_peer(changed)
--- a/sorrelsill/membership/handover.py
+++ b/sorrelsill/membership/handover.py
@@ -55,7 +55,7 @@
 
     def term_began(self, term: int, former: Peer | None, now: float) -> None:
         """Record that this controller leads. `former` is the view of the previous leader, if it was another one."""
-        has_heartbeat = former is not None and former.heard_at > float("-inf")
+        has_heartbeat = former is not None and former.last_heartbeat_at > float("-inf")
         self._pending = _PendingHandover(term, former, now) if former is not None and has_heartbeat else None
 
     def term_ended(self) -> None:
@@ -73,7 +73,7 @@
             successor=self._label,
             term=pending.term,
             planned=former.status is Status.LEFT,
-            begun_at=former.since if former.status is Status.LEFT else former.heard_at,
+            begun_at=former.since if former.status is Status.LEFT else former.last_heartbeat_at,
             suspected_at=former.suspected_at,
             confirmed_at=former.since if former.status is Status.CONFIRMED else None,
             key_taken_at=pending.key_taken_at,
--- a/sorrelsill/membership/view.py
+++ b/sorrelsill/membership/view.py
@@ -31,7 +31,7 @@
     since: float = float("-inf")  # start of this status
     incarnation: Incarnation = Incarnation()
     sequence: int = -1  # of the last heartbeat from this process
-    heard_at: float = float("-inf")  # arrival of its last heartbeat
+    last_heartbeat_at: float = float("-inf")  # time of its arrival
     suspected_at: float | None = None  # start of the suspicion, if it is suspected or confirmed
     evidence: str = "nothing was heard of it yet"
 
