--- a/sorrelsill/membership/detector.py
+++ b/sorrelsill/membership/detector.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from sorrelsill.membership.arrivals import HeartbeatIntervals
+from sorrelsill.membership.heartbeat_intervals import HeartbeatIntervals
 from sorrelsill.membership.messages import PeerHeartbeat
 from sorrelsill.membership.settings import MembershipSettings
 from sorrelsill.membership.view import MembershipView, Peer, Status
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -11,9 +11,9 @@
 from sorrelsill.controller_state import PeerState
 from sorrelsill.events import log_event
 from sorrelsill.http import Client, NoAnswerError, NotSentError, Reply, Request
-from sorrelsill.membership.arrivals import PauseAwareClock
 from sorrelsill.membership.detector import Detector
 from sorrelsill.membership.handover import Handover, HandoverTracker
+from sorrelsill.membership.heartbeat_intervals import PauseAwareClock
 from sorrelsill.membership.messages import (
     Incarnation,
     MalformedMessageError,
--- a/sorrelsill/membership/test_detector.py
+++ b/sorrelsill/membership/test_detector.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from sorrelsill.membership.arrivals import HeartbeatIntervals, PauseAwareClock
 from sorrelsill.membership.detector import Detector, Presence
+from sorrelsill.membership.heartbeat_intervals import HeartbeatIntervals, PauseAwareClock
 from sorrelsill.membership.messages import Incarnation, PeerHeartbeat
 from sorrelsill.membership.settings import MembershipSettings, load_membership
 from sorrelsill.membership.view import Status
