--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -145,4 +145,4 @@
         or not machine.token_acknowledged
     ):
         return False
-    return all(attempt.clearable for attempt in machine.attempts.values())
+    return all(attempt.may_be_cleared for attempt in machine.attempts.values())
--- a/sorrelsill/jobs/job_record_writes.py
+++ b/sorrelsill/jobs/job_record_writes.py
@@ -153,4 +153,4 @@
 
 def _mark_clearable(results: list[Attempt]) -> None:
     for attempt in results:
-        attempt.clearable = True
+        attempt.may_be_cleared = True
--- a/sorrelsill/workers/attempt_index.py
+++ b/sorrelsill/workers/attempt_index.py
@@ -58,4 +58,4 @@
 
     def unrecorded(self, job_id: str) -> list[Attempt]:
         """Exited attempts whose results are to be in the next write of the job's record."""
-        return [a for a in self.by_job.get(job_id, ()) if a.exited and not a.clearable]
+        return [a for a in self.by_job.get(job_id, ()) if a.exited and not a.may_be_cleared]
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -120,7 +120,7 @@
                 ended.mark_observed(index)
         for attempt in self.attempts.of_job(job_id):
             if attempt.exited:
-                attempt.clearable = True
+                attempt.may_be_cleared = True
             else:
                 attempt.grace_period_s = 0.0
                 self.request_stop(attempt, "over")
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -29,7 +29,7 @@
             # Clear only when no start of this attempt can arrive any more, from an earlier leader or
             # a direct call: a start that arrives after the clear would run the task again.
             if (
-                attempt.clearable
+                attempt.may_be_cleared
                 and machine.token_acknowledged
                 and not attempt.unanswered_starts
                 and now >= attempt.clear_after
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -75,7 +75,7 @@
     unanswered_starts: int = 0  # start commands sent directly and not answered; the worker may still execute them
     start_sent: bool = False
     stop_sent: bool = False
-    clearable: bool = False  # its exit has been processed, so the worker may be told to clear it
+    may_be_cleared: bool = False  # its exit has been processed, so the worker may be told to clear it
     # Not to be cleared earlier: a delayed duplicate of its direct start command would then run the task again.
     clear_after: float = float("-inf")
     task_id: str = ""
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -24,7 +24,7 @@
         _on_completion(cluster, attempt, now)
         return
     job = cluster.jobs.get(attempt.job_id)
-    attempt.clearable = True
+    attempt.may_be_cleared = True
     if attempt.start_sent:
         attempt.clear_after = now + constants.DUPLICATE_START_S
     cluster.unbind(attempt, now)
@@ -38,7 +38,7 @@
         _mark_done(cluster, job, attempt.index)
         _blame_machines(cluster, job, job.failures.record_success(attempt.machine.name))
     else:
-        attempt.clearable = True
+        attempt.may_be_cleared = True
     # Stop any other attempt of the task: its result is no longer needed.
     other = job.bound.get(attempt.index) if job is not None else None
     if other is not None and other is not attempt:
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -167,7 +167,7 @@
         for job_id in list(cluster.pending_writes.records):
             job = cluster.jobs.get(job_id)
             for attempt in cluster.attempts.unrecorded(job_id):
-                attempt.clearable = True
+                attempt.may_be_cleared = True
             if job is not None and job.done.count == job.spec.task_count and not job.spec.is_service:
                 cluster.end_job(job_id)
         cluster.pending_writes.records.clear()
