--- a/sorrelsill/fleet/free_capacity.py
+++ b/sorrelsill/fleet/free_capacity.py
@@ -45,7 +45,7 @@
 
     def by_zone(self, spec: JobSpec) -> dict[str, int]:
         """Number of tasks that could start, for each zone with a machine that allows them."""
-        changed = self._index.take_changed()
+        changed = self._index.take_changed_machines()
         if spec is not self._spec:
             self._spec = spec
             self._tasks_by_machine.clear()
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -132,7 +132,7 @@
 
     def take_changed_jobs(self) -> list[str]:
         """Return the jobs changed since the last call. Only the scheduler may call it, as the list is cleared."""
-        return self._job_table.take_changed()
+        return self._job_table.take_changed_jobs()
 
     # --- binding ---
 
--- a/sorrelsill/workers/job_table.py
+++ b/sorrelsill/workers/job_table.py
@@ -40,7 +40,7 @@
         """Record that a job was added or ended, or that its done or bound tasks changed."""
         self._changed[job_id] = None
 
-    def take_changed(self) -> list[str]:
+    def take_changed_jobs(self) -> list[str]:
         """Return the jobs changed since the last call, and clear the list."""
         changed = list(self._changed)
         self._changed.clear()
--- a/sorrelsill/workers/machine_index.py
+++ b/sorrelsill/workers/machine_index.py
@@ -55,7 +55,7 @@
             self._remove_holder(machine, image)
         machine.images.clear()
 
-    def take_changed(self) -> list[Machine]:
+    def take_changed_machines(self) -> list[Machine]:
         """Return the machines changed since the last call. Only the demand computation may call it, as the list is
         cleared."""
         changed = list(self._changed.values())
