--- a/sorrelsill/fleet/boot_times.py
+++ b/sorrelsill/fleet/boot_times.py
@@ -14,7 +14,7 @@
 
 
 class BootTimes:
-    """Recently observed boot times by machine type. Pure: durations are passed in."""
+    """Recently observed boot times by machine type. No I/O; durations are passed in."""
 
     def __init__(self) -> None:
         self._observed_s: dict[str, deque[float]] = {}
--- a/sorrelsill/fleet/capacity_plan.py
+++ b/sorrelsill/fleet/capacity_plan.py
@@ -1,7 +1,7 @@
 """The capacity plan: which instances to rent for the demand, by first-fit bin packing and then the cheapest offer.
 
 When optimising for latency instead of cost, on-demand instances are preferred, since a task lost with a spot machine
-makes its whole job late. Pure: the current time is passed in."""
+makes its whole job late. No I/O; callers pass the current time."""
 
 from __future__ import annotations
 
--- a/sorrelsill/fleet/free_capacity.py
+++ b/sorrelsill/fleet/free_capacity.py
@@ -1,4 +1,4 @@
-"""How many more tasks of one kind could start at once, by zone. Pure.
+"""How many more tasks of one kind could start at once, by zone. No I/O.
 
 The counts are updated incrementally from the machines that changed."""
 
--- a/sorrelsill/fleet/instances.py
+++ b/sorrelsill/fleet/instances.py
@@ -1,4 +1,4 @@
-"""Offers of the cloud, booting instances, and demand for new ones. Pure: the current time is passed in."""
+"""Offers of the cloud, booting instances, and demand for new ones. No I/O; callers pass the current time."""
 
 from __future__ import annotations
 
--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -1,4 +1,5 @@
-"""Rebalancing: which machines to drain since their services fit on others, so that they can be returned. Pure."""
+"""Rebalancing: which machines to drain since their services fit on others, so that they can be returned. No I/O;
+callers pass the current time."""
 
 from __future__ import annotations
 
--- a/sorrelsill/jobs/cancellations.py
+++ b/sorrelsill/jobs/cancellations.py
@@ -21,7 +21,7 @@
 our knowledge is complete does not advance the bound. Nor does a peer whose list is missing (previous version),
 malformed or truncated.
 
-No I/O and no clock: callers pass the time. Peers send ages, since clocks of different machines are not compared."""
+No I/O; callers pass the current time. Peers send ages, since clocks of different machines are not compared."""
 
 from __future__ import annotations
 
--- a/sorrelsill/membership/detector.py
+++ b/sorrelsill/membership/detector.py
@@ -1,5 +1,5 @@
-"""State machine of failure detection: derives each controller's status from heartbeats, probes and leases. Does no I/O
-and reads no clock.
+"""State machine of failure detection: derives each controller's status from heartbeats, probes and leases. No I/O;
+callers pass the current time.
 
     unknown -> alive -> suspected -> confirmed
                  ^----------|-----------|      a later heartbeat of the same or of a later process
--- a/sorrelsill/membership/handover.py
+++ b/sorrelsill/membership/handover.py
@@ -1,6 +1,6 @@
 """Measures how long a handover took, as seen by the new leader: from the former leader's last heartbeat, or from the
-heartbeat that announced its shutdown, to the first task that the new leader starts. Reads no clock: the caller passes
-the time."""
+heartbeat that announced its shutdown, to the first task that the new leader starts. No I/O; callers pass the current
+time."""
 
 from __future__ import annotations
 
--- a/sorrelsill/membership/heartbeat_intervals.py
+++ b/sorrelsill/membership/heartbeat_intervals.py
@@ -1,5 +1,5 @@
-"""Adaptive suspicion threshold, derived from the intervals between a controller's heartbeats. Does no I/O and reads no
-clock: the caller passes the time.
+"""Adaptive suspicion threshold, derived from the intervals between a controller's heartbeats. No I/O; callers pass the
+current time.
 
 The threshold follows the mean and the standard deviation of past intervals, so a slow or lossy network raises it. Times
 during which this process was paused are not counted: a pause of the observer is not a silence of the others."""
--- a/sorrelsill/placement/objectives.py
+++ b/sorrelsill/placement/objectives.py
@@ -1,4 +1,5 @@
-"""Service-level objectives of each job class: how soon its tasks should start and its jobs finish. No I/O."""
+"""Service-level objectives of each job class: how soon its tasks should start and its jobs finish. No I/O;
+callers pass the current time."""
 
 from __future__ import annotations
 
--- a/sorrelsill/timers.py
+++ b/sorrelsill/timers.py
@@ -1,5 +1,5 @@
-"""Timers for state that is checked again when its timer expires. A timer may expire too early, never too late. No I/O
-and no clock: callers pass the time.
+"""Timers for state that is checked again when its timer expires. A timer may expire too early, never too late. No I/O;
+callers pass the current time.
 
 Each key has one timer. An event that postpones a key's due time leaves its timer as it is; when the timer expires, the
 owner computes the next due time and sets the timer again. So such an event costs nothing, and the cost of a check
--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -1,4 +1,4 @@
-"""Adopts tasks that an earlier leader started and that workers still report. Pure: no I/O."""
+"""Adopts tasks that an earlier leader started and that workers still report. No I/O."""
 
 from __future__ import annotations
 
--- a/sorrelsill/workers/call_pauses.py
+++ b/sorrelsill/workers/call_pauses.py
@@ -1,4 +1,4 @@
-"""Pauses direct calls to machines after a call failed. Pure: no I/O, the current time is passed in."""
+"""Pauses direct calls to machines after a call failed. No I/O; callers pass the current time."""
 
 from __future__ import annotations
 
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -1,4 +1,4 @@
-"""The leader's view of the cluster: jobs, machines, and the attempts bound to machines. No I/O; the caller passes the
+"""The leader's view of the cluster: jobs, machines, and the attempts bound to machines. No I/O; callers pass the
 current time.
 
 The central invariant: an attempt is bound to (machine, incarnation) from before its start command is first sent until
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -1,7 +1,7 @@
 """The leader's view of the cluster, as the rest of the service uses it.
 
 Adds event handling to the records: heartbeats, expired leases, tasks to be stopped, and tasks found that an earlier
-leader started. No I/O; the caller passes the current time."""
+leader started. No I/O; callers pass the current time."""
 
 from __future__ import annotations
 
--- a/sorrelsill/workers/failures.py
+++ b/sorrelsill/workers/failures.py
@@ -1,4 +1,4 @@
-"""Attributes task failures to the job or to the machine. No I/O; the caller passes the current time.
+"""Attributes task failures to the job or to the machine. No I/O; callers pass the current time.
 
 A faulty job fails on every machine. On a faulty machine, tasks fail whose jobs succeed elsewhere. A failure therefore
 counts against a machine only once its job has succeeded on another one. A job that has failed on several machines
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -1,4 +1,4 @@
-"""Updates the cluster state from workers' heartbeats. Pure: no I/O, the current time is passed in.
+"""Updates the cluster state from workers' heartbeats. No I/O; callers pass the current time.
 
 A heartbeat is stronger evidence than the response to a direct call. A worker executes the commands of a heartbeat
 response before its next heartbeat, whereas the state in a direct response may be older than a heartbeat response that
--- a/sorrelsill/workers/lease_monitor.py
+++ b/sorrelsill/workers/lease_monitor.py
@@ -1,5 +1,5 @@
-"""Determines when a machine's heartbeat is overdue and when its lease has certainly expired. Pure: no I/O, the current
-time is passed in.
+"""Determines when a machine's heartbeat is overdue and when its lease has certainly expired. No I/O; callers pass the
+current time.
 
 Each machine has one timer. It fires no later than the time at which continued silence would next change the machine's
 state. Most heartbeats only postpone that time, so they leave the timer as it is."""
--- a/sorrelsill/workers/reported_tasks.py
+++ b/sorrelsill/workers/reported_tasks.py
@@ -1,5 +1,5 @@
-"""Reconciles the attempts bound to a machine with the tasks that its worker reports. Pure: no I/O, the current time is
-passed in."""
+"""Reconciles the attempts bound to a machine with the tasks that its worker reports. No I/O; callers pass the current
+time."""
 
 from __future__ import annotations
 
--- a/sorrelsill/workers/stopping.py
+++ b/sorrelsill/workers/stopping.py
@@ -1,4 +1,4 @@
-"""Stops a task, or the whole gang that it belongs to. Pure: no I/O."""
+"""Stops a task, or the whole gang that it belongs to. No I/O."""
 
 from __future__ import annotations
 
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -1,5 +1,5 @@
 """Handles the exit of a task: records its result, where it may be retried, and whether job or machine is at fault.
-Pure: no I/O, the current time is passed in."""
+No I/O; callers pass the current time."""
 
 from __future__ import annotations
 
--- a/sorrelsill/workers/tombstones.py
+++ b/sorrelsill/workers/tombstones.py
@@ -1,4 +1,4 @@
-"""Tombstones of removed machines, used to reject their delayed heartbeats. No I/O; the caller passes the current time.
+"""Tombstones of removed machines, used to reject their delayed heartbeats. No I/O; callers pass the current time.
 
 A tombstone is kept for at least as long as a message can be delayed. With a limit on their number alone, the turnover
 of a large fleet would evict tombstones of machines whose heartbeats may still be in flight."""
