--- a/sorrelsill/model/registry_entry.py
+++ b/sorrelsill/model/registry_entry.py
@@ -8,8 +8,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryEntry:
-    """The registry entry of a machine that may run tasks. Fields that are missing in a damaged entry, or in one of an
-    earlier version, have their defaults, which then mean that the value is unknown."""
+    """The registry entry of a machine that may run tasks. Fields that are missing in a damaged entry, or in one of
+    the previous version, have their defaults, which then mean that the value is unknown."""
 
     machine_type: str = ""
     addr: str = ""
