--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -249,7 +249,8 @@
             return Reply(200 if self.ready() else 503)
         if path == "/state":
             return Reply(200, encode(self.state()))
-        from sorrelsill.metrics import render  # noqa: PLC0415 - slow to import, and start-up time is charged
+        # Imported here because the import is slow, and controllers have little CPU time to start.
+        from sorrelsill.metrics import render  # noqa: PLC0415
 
         return Reply(200, render(self.state()), content_type="text/plain; version=0.0.4")
 
--- a/sorrelsill/membership/factory.py
+++ b/sorrelsill/membership/factory.py
@@ -23,7 +23,8 @@
     count_event: Callable[[str], None],
 ) -> Membership:
     """Create the failure detection of a controller; `count_event` is called with the name of each of its events."""
-    from sorrelsill.membership.presence import PresenceKeeper  # noqa: PLC0415 - slow import, and start-up time is charged
+    # Imported here because these imports are slow, and controllers have little CPU time to start.
+    from sorrelsill.membership.presence import PresenceKeeper  # noqa: PLC0415
     from sorrelsill.membership.service import Membership  # noqa: PLC0415
 
     presence = PresenceKeeper(store, watch_cache, settings.label, membership.presence_lease_s)
--- a/sorrelsill/membership/test_import.py
+++ b/sorrelsill/membership/test_import.py
@@ -1,4 +1,5 @@
-"""Guards against loading the libraries of failure detection while it is disabled: start-up time is charged."""
+"""Guards against loading the libraries of failure detection while it is disabled, because controllers have little CPU
+time to start."""
 
 import subprocess
 import sys
--- a/sorrelsill/serve.py
+++ b/sorrelsill/serve.py
@@ -1,4 +1,5 @@
-"""The process of a controller: settings, logging, sockets. Its imports are few, since start-up time is charged."""
+"""The process of a controller: settings, logging, sockets. Its imports are few, since controllers have
+little CPU time to start."""
 
 from __future__ import annotations
 
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -307,7 +307,7 @@
 def load_hcl(path: str, kind: type[_StructT]) -> _StructT:
     """Loads one of the operators' HCL files. Raises SettingsError.
 
-    The parser is imported only when it is needed, since start-up time is charged."""
+    The parser is imported only when it is needed, since controllers have little CPU time to start."""
     import hcl2  # noqa: PLC0415
 
     def parse(file: BinaryIO) -> Any:
