--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -85,11 +85,11 @@
 
     def __init__(self, cluster: ClusterState, spec: JobSpec) -> None:
         machines_with_room = cluster.index.with_room(spec)
-        holders = cluster.index.machines_with_image(spec.image)
+        machines_with_image = cluster.index.machines_with_image(spec.image)
         # Sample the smaller set: if all machines hold the image, most of them may be full.
         holder_sampler = (
-            _MachineSampler(holders)
-            if len(holders) <= len(machines_with_room)
+            _MachineSampler(machines_with_image)
+            if len(machines_with_image) <= len(machines_with_room)
             else _MachineSampler(machines_with_room, spec.image)
         )
         self.samplers = (holder_sampler, _MachineSampler(machines_with_room))
