--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -234,7 +234,7 @@
 FLEET_TICK_S: Final = 0.25  # s; interval of the fleet loop, which rents, lists and returns machines
 UTILISATION_LOG_S: Final = 10.0  # s; interval between debug log lines on the fleet's utilisation
 REBALANCE_INTERVAL_S: Final = 5.0  # s; interval between rebalancings, which move services to fuller machines
-# ratio; of the ready machines, drained at once by a rebalancing, at least one; none while more than this are booting
+# ratio; of the usable machines, drained at once by a rebalancing, at least one; none while more than this are booting
 REBALANCE_DRAIN_SHARE: Final = 0.01
 # machines; per machine to drain, checked in detail for whether they can be drained, the least utilised first
 REBALANCE_CANDIDATES: Final = 8
