--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -48,7 +48,7 @@
 # --- workers ----------------------------------------------------------------------------------------
 LOSS_MARGIN_S: Final = 0.5  # s; added to lease and clock drift before the work of a silent machine is declared lost
 # s; tasks on a spot machine are told to checkpoint this long before it is reclaimed, plus the time of the checkpoint
-DRAIN_AHEAD_S: Final = 2.5
+RECLAIM_STOP_AHEAD_S: Final = 2.5
 START_BACKOFF_S: Final = 2.0  # s; first pause before a failed task is tried again; doubles with each failed try
 START_BACKOFF_MAX_S: Final = 60.0  # s; upper bound of the pause before a failed task is tried again
 # jobs; a machine is quarantined once this many jobs have failed on it and succeeded elsewhere
@@ -57,12 +57,12 @@
 SUSPECT_MACHINES: Final = 2
 # machines; a job's failures count against at most this many: if there are more, the job itself may be at fault
 BLAMED_MACHINES_MAX: Final = 3
-TRIAL_TASKS: Final = 1  # tasks; of a suspected job, tried at a time
+SUSPECT_JOB_TASKS: Final = 1  # tasks; of a suspected job, tried at a time
 REPLICA_PROOF_S: Final = 20.0  # s; a replica that has run for this long proves that its service can run
 MACHINE_AVOID_S: Final = 120.0  # s; a job avoids a machine that refused or failed one of its tasks
-EXPIRE_EVERY_S: Final = 0.25  # s; interval between checks for machines that are silent past their lease
+LEASE_CHECK_INTERVAL_S: Final = 0.25  # s; interval between checks for machines that are silent past their lease
 # tasks; at most declared lost per check, which takes some 10 ms; the next check continues from there
-EXPIRE_TASKS: Final = 600
+LOST_TASKS_PER_CHECK: Final = 600
 # s; a duplicate of a direct start may arrive this late: only then is its exited task cleared, since a duplicate after
 # that would run it again
 DUPLICATE_START_S: Final = 120.0
@@ -84,14 +84,15 @@
 COMMAND_BACKOFF_MAX_S: Final = 16.0
 # calls; in flight to workers. Fewer could all be taken by dozens of machines that hang at once; with more, hundreds of
 # responses at once would delay users' requests.
-COMMANDS_AT_ONCE: Final = 96
-PROBES_AT_ONCE: Final = 24  # probes; lower bound of the limit of probes in flight
-PROBES_OF_SOCKETS: Final = 0.0125  # ratio; of the socket quota, which grows with the fleet: limit of probes in flight
-REPEATED_PROBES: Final = 0.5  # ratio; of the limit of probes in flight, for machines that did not answer before
+COMMANDS_IN_FLIGHT_MAX: Final = 96
+PROBES_IN_FLIGHT_MIN: Final = 24  # probes; lower bound of the limit of probes in flight
+# probes; per socket of the quota, which grows with the fleet: limit of probes in flight
+PROBES_PER_SOCKET: Final = 0.0125
+REPEATED_PROBES_SHARE: Final = 0.5  # ratio; of the limit of probes in flight, for machines that did not answer before
 OVERDUE_OF_HEARTBEAT: Final = 1.25  # ratio; of the heartbeat interval: longest regular time between two heartbeats
 # s; added to the longest regular interval; a machine whose heartbeat is overdue gets no new work and no calls
 OVERDUE_EXTRA_S: Final = 1.0
-COMMAND_SOCKETS: Final = 0.25  # ratio; of the socket quota, for open connections to workers
+COMMAND_SOCKETS_SHARE: Final = 0.25  # ratio; of the socket quota, for open connections to workers
 
 # --- key-value store ----------------------------------------------------------------------------------
 STORE_TIMEOUT_S: Final = 1.5  # s; for a response, which usually takes 10 ms and occasionally a few hundred
@@ -101,12 +102,12 @@
 LEADER_WRITE_SHARE: Final = 0.6  # ratio; of the planned write rate, for the leader
 BARRIER_RATE_OF_RPS: Final = 0.12  # ratio; of the store's request rate: read barriers per second of one controller
 WATCH_CACHE_STALE_S: Final = 3.0  # s; no task is started while the watch cache is older than this
-RETRY_S: Final = 0.25  # s; pause before a failed call is tried again, mostly one to the store
+RETRY_PAUSE_S: Final = 0.25  # s; pause before a failed call is tried again, mostly one to the store
 FINAL_RECORDS_CACHED: Final = 20_000  # jobs; ended jobs whose final record is cached in memory
 ENDED_MARGIN_S: Final = 10.0  # s; ended jobs are remembered for this much longer than their tasks may live
 CHUNK_TASKS: Final = 16_384  # tasks; per progress chunk; larger jobs keep their finished tasks in such separate keys
 # tasks; per small progress chunk, used where the store does not accept values as long as a full chunk: at most 0.7 KB
-PART_TASKS: Final = 4_096
+SMALL_CHUNK_TASKS: Final = 4_096
 VALUE_SHARE: Final = 0.9  # ratio; of the size limit of a value, used, since it is not known how the store encodes JSON
 REGISTRY_PARTS: Final = 32  # keys; over which the machine registry is spread; a full one continues in further keys
 QUARANTINED_WRITE_S: Final = 60.0  # s; a write that the store refuses even on its own is quarantined for this long
@@ -150,7 +151,7 @@
 SCHEDULING_INTERVAL_S: Final = 0.03  # s; minimum time between two scheduling cycles
 CYCLE_BUDGET_S: Final = 0.03  # s; time budget of a scheduling cycle; the next one continues from there
 # samples; without a feasible machine, after which all candidates are listed and filtered
-DRAWS_BEFORE_LISTING: Final = 3
+SAMPLES_BEFORE_LISTING: Final = 3
 CANDIDATE_SAMPLE: Final = 24  # machines; sampled per task, of which the best fit is used
 FETCH_WEIGHT: Final = 4.0  # score; for an image that must be fetched; a machine with all CPUs free scores 1
 # score; for a machine on the wrong market, spot or on-demand, for work that may use both
@@ -233,7 +234,7 @@
 FLEET_TICK_S: Final = 0.25  # s; interval of the fleet loop, which rents, lists and returns machines
 UTILISATION_LOG_S: Final = 10.0  # s; interval between debug log lines on the fleet's utilisation
 REBALANCE_INTERVAL_S: Final = 5.0  # s; interval between rebalancings, which move services to fuller machines
-# ratio; of the ready machines, drained at once by a rebalancing, at least one; none while more than this are booting
+# ratio; of the usable machines, drained at once by a rebalancing, at least one; none while more than this are booting
 REBALANCE_DRAIN_SHARE: Final = 0.01
 # machines; per machine to drain, checked in detail for whether they can be drained, the least utilised first
 REBALANCE_CANDIDATES: Final = 8
@@ -241,7 +242,7 @@
 MIN_CHARGE_S: Final = 60.0  # s; minimum charge for a machine: returning it sooner saves nothing
 
 # --- membership -------------------------------------------------------------------------------------
-TICK_LATE_S: Final = 0.25  # s; a tick that is later than this shows that the process itself was not running
+PAUSE_DETECTION_S: Final = 0.25  # s; a tick that is later than this shows that the process itself was not running
 HEARTBEAT_INTERVALS_KEPT: Final = (
     64  # intervals; latest ones between a peer's heartbeats, used for their mean and deviation
 )
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -41,7 +41,7 @@
         operator: OperatorOverrides,
         rng: random.Random,
         make_client: Callable[[str], Client] = Client,
-        time_of_day: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
         membership: MembershipSettings | None = None,
     ) -> None:
         """`membership`: settings of failure detection; None disables it."""
@@ -53,7 +53,7 @@
         self._wake_scheduler = trio.Event()
         self._draining = False  # a planned shutdown has begun
         self.tick_s = operator.tick_s or constants.SCHEDULING_INTERVAL_S
-        environment = Environment(settings, operator, rng, make_client, time_of_day, membership)
+        environment = Environment(settings, operator, rng, make_client, wall_clock, membership)
         self._parts = parts = build_parts(environment, self._callbacks())
         self.settings = settings
         self.timings = parts.timings
@@ -77,11 +77,11 @@
     def _callbacks(self) -> ControllerCallbacks:
         return ControllerCallbacks(
             on_term_changed=self._on_term_changed,
-            hears_no_worker=self._hears_no_worker,
+            receives_no_heartbeats=self._receives_no_heartbeats,
             has_other_candidates=self._has_other_candidates,
             on_final=self._on_final,
-            on_promised=self._on_promised,
-            on_cancelled=self._on_cancelled,
+            on_renewal_promise=self._on_renewal_promise,
+            on_peer_cancellations=self._on_peer_cancellations,
             on_worker_answer=self._wake_scheduler_if_needed,
             count_event=self._count_event,
         )
@@ -114,7 +114,7 @@
             timings.overdue_s,
             self.settings.platform.workers.gang_peer_s,
         )
-        cluster.renewed_by_others = min(now, self.elector.promised_until)
+        cluster.others_may_renew_until = min(now, self.elector.promised_until)
         cluster.failover.expect_machines(self.watch_cache.registered_machines())
         self.followed_jobs.load(cluster)
         self.leader_term = LeaderTerm(cluster, self._make_fleet(cluster), self._make_record_writer(cluster))
@@ -173,10 +173,10 @@
         # A method, not the bound `set` of the event, since every scheduling cycle replaces the event.
         self._wake_scheduler.set()
 
-    def _on_promised(self, until: float) -> None:
+    def _on_renewal_promise(self, until: float) -> None:
         """Called when degraded mode may let other controllers renew workers' leases up to `until`."""
         if self.cluster is not None:
-            self.cluster.renewed_by_others = max(self.cluster.renewed_by_others, until)
+            self.cluster.others_may_renew_until = max(self.cluster.others_may_renew_until, until)
 
     def _on_final(self, job_id: str, value: Any) -> None:
         if self.cluster is not None:
@@ -184,7 +184,7 @@
         if ended_as(value, JobPhase.CANCELLED):
             self.cancellations.add(job_id, trio.current_time())
 
-    def _on_cancelled(self, job_ids: list[str]) -> None:
+    def _on_peer_cancellations(self, job_ids: list[str]) -> None:
         """Called with jobs that a peer reports as cancelled. Their cancellation is committed, but our watch cache may
         not show it yet."""
         for job_id in job_ids:
@@ -204,12 +204,12 @@
         if self.followed_jobs.record_changed(cluster, key[len(JOB_PREFIX) :], value, rev):
             self._wake_scheduler.set()
 
-    def _hears_no_worker(self) -> bool:
+    def _receives_no_heartbeats(self) -> bool:
         limit_s = (
             constants.NO_HEARTBEAT_INTERVALS * self.settings.platform.workers.heartbeat_interval_s
             + constants.NO_HEARTBEAT_EXTRA_S
         )
-        return self.cluster is not None and self.cluster.hears_no_worker(trio.current_time(), limit_s)
+        return self.cluster is not None and self.cluster.receives_no_heartbeats(trio.current_time(), limit_s)
 
     async def _has_other_candidates(self, former: str) -> bool:
         """Whether any controller other than the former leader could acquire the leader key now, according to failure
@@ -249,7 +249,8 @@
             return Reply(200 if self.ready() else 503)
         if path == "/state":
             return Reply(200, encode(self.state()))
-        from sorrelsill.metrics import render  # noqa: PLC0415 - slow to import, and start-up time is charged
+        # Imported here because the import is slow, and controllers have little CPU time to start.
+        from sorrelsill.metrics import render  # noqa: PLC0415
 
         return Reply(200, render(self.state()), content_type="text/plain; version=0.0.4")
 
@@ -304,7 +305,7 @@
         if self.settings.members:
             with trio.move_on_after(constants.SHUTDOWN_WAIT_S):
                 while self.elector.leader_label() in (None, self.settings.label):
-                    await trio.sleep(constants.RETRY_S / 5)
+                    await trio.sleep(constants.RETRY_PAUSE_S / 5)
         await trio.sleep(constants.SHUTDOWN_LINGER_S)
 
     async def _loop(self, name: str, step: Callable[[], Awaitable[None]], tick_s: float) -> None:
@@ -329,7 +330,7 @@
         lost = cluster.expire_leases(now)
         for machine in lost:
             log.info("%s is silent past its lease: its work is lost", machine.name)
-        cluster.drain(now)
+        cluster.stop_tasks_on_reclaimed_machines(now)
         enforce_gang_completeness(cluster)
         cluster.wake_scheduler = False
         if not self.scheduler.run_cycle(cluster, now, trio.current_time, constants.CYCLE_BUDGET_S) or lost:
--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/parts.py
@@ -35,7 +35,7 @@
     operator: OperatorOverrides
     rng: random.Random
     make_client: Callable[[str], Client]
-    time_of_day: Callable[[], float]  # in seconds since the epoch
+    wall_clock: Callable[[], float]  # in seconds since the epoch
     membership: MembershipSettings | None  # None disables failure detection
 
 
@@ -44,11 +44,11 @@
     """The functions of the controller that its components call."""
 
     on_term_changed: Callable[[int | None], None]  # the new term, or None when a term ends
-    hears_no_worker: Callable[[], bool]
+    receives_no_heartbeats: Callable[[], bool]
     has_other_candidates: Callable[[str], Awaitable[bool]]  # other than the former leader with this label
     on_final: Callable[[str, Any], None]  # job ID and final record
-    on_promised: Callable[[float], None]  # time up to which other controllers may renew leases
-    on_cancelled: Callable[[list[str]], None]  # jobs that a peer reports as cancelled
+    on_renewal_promise: Callable[[float], None]  # time up to which other controllers may renew leases
+    on_peer_cancellations: Callable[[list[str]], None]  # jobs that a peer reports as cancelled
     on_worker_answer: Callable[[], None]
     count_event: Callable[[str], None]
 
@@ -102,8 +102,8 @@
         store=store,
         watch_cache=watch_cache,
         cancellations=cancellations,
-        followed_jobs=FollowedJobs(watch_cache, cancellations, environment.time_of_day, ended_window_s),
-        admission=Admission(store, watch_cache, platform.teams, environment.time_of_day),
+        followed_jobs=FollowedJobs(watch_cache, cancellations, environment.wall_clock, ended_window_s),
+        admission=Admission(store, watch_cache, platform.teams, environment.wall_clock),
         watchdog=watchdog,
         elector=elector,
         degraded_mode=_make_degraded_mode(environment, callbacks, store, elector, cancellations),
@@ -130,10 +130,10 @@
         ControllerLabels(settings.label, [member.label for member in settings.members]),
         watchdog,
         environment.rng,
-        ElectionCallbacks(callbacks.on_term_changed, callbacks.hears_no_worker, callbacks.has_other_candidates),
+        ElectionCallbacks(callbacks.on_term_changed, callbacks.receives_no_heartbeats, callbacks.has_other_candidates),
     )
     # The previous process of this controller may have promised a peer not to lead: wait until such a promise ends.
-    elector.acquire_after = trio.current_time() + (constants.PROMISE_S if settings.members else 0.0)
+    elector.no_campaign_before = trio.current_time() + (constants.PROMISE_S if settings.members else 0.0)
     return elector
 
 
@@ -150,8 +150,8 @@
         environment.settings.members,
         environment.make_client,
         cancellations,
-        on_promised=callbacks.on_promised,
-        on_cancelled=callbacks.on_cancelled,
+        on_renewal_promise=callbacks.on_renewal_promise,
+        on_peer_cancellations=callbacks.on_peer_cancellations,
     )
 
 
--- a/sorrelsill/fleet/free_capacity.py
+++ b/sorrelsill/fleet/free_capacity.py
@@ -1,4 +1,4 @@
-"""How many more tasks of one kind could start at once, by zone. Pure.
+"""How many more tasks of one kind could start at once, by zone. No I/O.
 
 The counts are updated incrementally from the machines that changed."""
 
@@ -45,12 +45,12 @@
 
     def by_zone(self, spec: JobSpec) -> dict[str, int]:
         """Number of tasks that could start, for each zone with a machine that allows them."""
-        changed = self._index.take_changed()
+        changed = self._index.take_changed_machines()
         if spec is not self._spec:
             self._spec = spec
             self._tasks_by_machine.clear()
             self._by_zone.clear()
-            changed = list(self._index.ready)
+            changed = list(self._index.usable)
         for machine in changed:
             self._recount(machine, spec)
         return dict(self._by_zone)
@@ -59,7 +59,7 @@
         zone, tasks = self._tasks_by_machine.pop(machine.name, (machine.zone, 0))
         if tasks:
             self._by_zone[zone] -= tasks
-        if machine in self._index.ready and machine.allows(spec):
+        if machine in self._index.usable and machine.meets_constraints_of(spec):
             tasks = tasks_that_could_start(machine, spec)
             self._tasks_by_machine[machine.name] = machine.zone, tasks
             self._by_zone[machine.zone] = self._by_zone.get(machine.zone, 0) + tasks
--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -1,4 +1,5 @@
-"""Rebalancing: which machines to drain since their services fit on others, so that they can be returned. Pure."""
+"""Rebalancing: which machines to drain since their services fit on others, so that they can be returned. No I/O;
+callers pass the current time."""
 
 from __future__ import annotations
 
@@ -59,7 +60,7 @@
         """Count the tasks that fit on the machine, in place of its earlier count."""
         self.remove(free)
         machine, spec = free.machine, self._spec
-        if machine.zone not in self._by_zone or not machine.allows(spec):
+        if machine.zone not in self._by_zone or not machine.meets_constraints_of(spec):
             return
         self._tasks_by_machine[machine.name] = tasks_that_fit(free.cpus, free.memory_gb, spec)
         self._by_zone[machine.zone] += self._tasks_by_machine[machine.name]
@@ -137,9 +138,9 @@
                 target is not machine
                 and target.name not in self.drained
                 and free.fits(spec)
-                and target.allows(spec)
+                and target.meets_constraints_of(spec)
                 and tasks_by_zone.get(target.zone, 0) + 1 - moved_away <= spec.zone_limit
-                and job.avoid.get(target.name, 0.0) <= 0.0
+                and job.avoided_machines.get(target.name, 0.0) <= 0.0
             ):
                 return free
         return None
--- a/sorrelsill/jobs/submissions.py
+++ b/sorrelsill/jobs/submissions.py
@@ -16,7 +16,7 @@
 from sorrelsill.jobs.errors import BusyError, InvalidJobError
 from sorrelsill.jobs.job_status import JobStatus
 from sorrelsill.jobs.messages import parse_spec
-from sorrelsill.jobs.records import impossible, json_size, new_record
+from sorrelsill.jobs.records import infeasibility_reason, json_size, new_record
 from sorrelsill.jobs.user_answers import Answer, ErrorAnswer, JobAnswer, is_out_of_date
 from sorrelsill.model import Catalog, JobPhase, JobSpec
 from sorrelsill.settings import Team
@@ -66,13 +66,13 @@
         store: KeyValueStore,
         watch_cache: WatchCache,
         teams: dict[str, Team],
-        time_of_day: Callable[[], float],
+        wall_clock: Callable[[], float],
         status: JobStatus,
     ) -> None:
         self._store = store
         self._watch_cache = watch_cache
         self._teams = teams
-        self._time_of_day = time_of_day
+        self._wall_clock = wall_clock
         self._status = status
         self.catalog: Catalog | None = None
         self._queue: list[_PendingSubmission] = []
@@ -146,7 +146,7 @@
         # A job that can't be accepted is looked up first: it may have been accepted before the limits changed.
         for job_id in list(by_job):
             spec = by_job[job_id][0].spec
-            if self.catalog is None or impossible(spec, self._teams, self.catalog) or self._is_too_long(spec):
+            if self.catalog is None or infeasibility_reason(spec, self._teams, self.catalog) or self._is_too_long(spec):
                 await self._look_up_or_reject(job_id, by_job.pop(job_id))
         for _ in range(constants.ADMIT_TRIES):
             if not by_job or not await self._commit(by_job, now):
@@ -155,7 +155,7 @@
     async def _commit(self, by_job: _ByJob, since: float) -> bool:
         """Commits all jobs of a batch in one transaction. Removes jobs that are in the store already from the batch.
         Returns True if the rest should be tried again."""
-        records = {job_id: new_record(group[0].spec, self._time_of_day()) for job_id, group in by_job.items()}
+        records = {job_id: new_record(group[0].spec, self._wall_clock()) for job_id, group in by_job.items()}
         sent_at = trio.current_time()
         try:
             result = await self._write(records)
@@ -164,7 +164,7 @@
             return False
         except UnavailableError as error:
             if error.throttled and trio.current_time() < since + constants.ADMIT_DEADLINE_S / 2:
-                await trio.sleep(constants.RETRY_S)
+                await trio.sleep(constants.RETRY_PAUSE_S)
                 return True
             return False
         except AmbiguousError:
@@ -203,7 +203,7 @@
             await self._look_up_or_reject(job_id, by_job.pop(job_id))
 
     def _is_too_long(self, spec: JobSpec) -> bool:
-        return json_size(new_record(spec, self._time_of_day())) > self._store.value_bytes
+        return json_size(new_record(spec, self._wall_clock())) > self._store.value_bytes
 
     async def _resolve_known(self, job_id: str, group: list[_PendingSubmission]) -> None:
         """Answers with the state of the job, if the store has it."""
@@ -233,5 +233,5 @@
         The user is then told to retry later instead of being rejected for good."""
         if self._is_too_long(spec):
             return Answer(400, ErrorAnswer("body: longer than the state service can keep"))
-        reason = impossible(spec, self._teams, self.catalog) if self.catalog is not None else None
+        reason = infeasibility_reason(spec, self._teams, self.catalog) if self.catalog is not None else None
         return Answer(422, ErrorAnswer(reason)) if reason is not None else None
--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -5,11 +5,11 @@
 the lease duration ago. The key is deleted a whole lease duration after the last renewal arrived at the earliest, so
 another controller can acquire it only after this one has stopped acting.
 
-Following Strøm's guide, the leader resigns if a renewal takes longer than the renewal interval. Unlike in the guide, a
-renewal that was certainly not executed (503, 429, connection refused) does not count as slow and is retried. If the
-validity expires during these retries, the leader only stops acting: if a later renewal finds that the lease still
-exists (leases do not expire during an outage of the store), this controller has held the key throughout, and it
-continues with the same term."""
+Following Strøm's guide (the design paper that this election follows), the leader resigns if a renewal takes longer than
+the renewal interval. Unlike in the guide, a renewal that was certainly not executed (503, 429, connection refused) does
+not count as slow and is retried. If the validity expires during these retries, the leader only stops acting: if a later
+renewal finds that the lease still exists (leases do not expire during an outage of the store), this controller has held
+the key throughout, and it continues with the same term."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 _NEVER = float("-inf")
 _MAX_ACQUIRE_TIMEOUT_S = 10.0
-_MIN_CAMPAIGN_WAIT_S = 0.02  # lower bound of the wait for `promised_until` and `acquire_after`
+_MIN_CAMPAIGN_WAIT_S = 0.02  # lower bound of the wait for `promised_until` and `no_campaign_before`
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
     """Callbacks of the leader elector into its controller."""
 
     on_term_changed: Callable[[int | None], None] = lambda term: None  # the new term, or None when a term ends
-    hears_no_worker: Callable[[], bool] = lambda: False  # whether heartbeats of all workers have stopped
+    receives_no_heartbeats: Callable[[], bool] = lambda: False  # whether heartbeats of all workers have stopped
     # Whether any controller other than the given former leader could acquire the key now.
     has_other_candidates: Callable[[str], Awaitable[bool]] = _no_other_candidates
 
@@ -92,7 +92,7 @@
         self._lease: int | None = None
         self.last_renewal_sent_at = _NEVER  # successful renewals only
         self.promised_until = _NEVER  # promise to peers: no acquiring the key and no acting as leader before this
-        self.acquire_after = _NEVER  # no campaign before this; covers promises made before a restart
+        self.no_campaign_before = _NEVER  # covers promises made before a restart
         self.acquiring = False  # an attempt to acquire the key is in progress; no promise may be given meanwhile
         self._revoked_leases: set[int] = set()  # leases of earlier processes of this controller; each is revoked once
         self._leader_key_changed = trio.Event()
@@ -138,7 +138,7 @@
     async def resign(self) -> None:
         """Stop leading and never campaign again: for a planned shutdown of the process."""
         self._resigned = True
-        self.acquire_after = float("inf")
+        self.no_campaign_before = float("inf")
         lease = self._lease
         if lease is None:
             return
@@ -185,12 +185,12 @@
             log_event(log, logging.ERROR, "loops_stalled", term=self.term, loops=",".join(stalled))
             await self._step_down_and_revoke(self._lease, "loops stalled or exited")
             return
-        if self.valid() and self._callbacks.hears_no_worker():
+        if self.valid() and self._callbacks.receives_no_heartbeats():
             # Guards against a leader that reaches the store but not the workers: all worker leases would expire.
             # Only while the lease is valid: after a pause of this process the missing heartbeats prove nothing, and
             # the next renewal shows whether it still leads.
             log_event(log, logging.ERROR, "no_worker_heard", term=self.term)
-            self.acquire_after = trio.current_time() + constants.NO_HEARTBEAT_STANDBY_S
+            self.no_campaign_before = trio.current_time() + constants.NO_HEARTBEAT_STANDBY_S
             await self._step_down_and_revoke(self._lease, "no worker is heard")
             return
         await self._renew(self.term, self._lease)
@@ -231,7 +231,7 @@
         key_is_free = self._watch_cache.loaded and self._watch_cache.leader() is None
         if self._watch_cache.loaded and await self._revoke_previous_lease():
             return
-        wait_s = max(self.promised_until, self.acquire_after) - now
+        wait_s = max(self.promised_until, self.no_campaign_before) - now
         if not key_is_free or self._watchdog.stalled_loops() or wait_s > 0:
             must_wait = key_is_free and wait_s > 0
             with trio.move_on_after(
@@ -249,7 +249,7 @@
         except (UnavailableError, AmbiguousError) as error:
             log_event(log, logging.DEBUG, "acquiring_failed", reason=str(error))
             self.acquiring = False
-            await trio.sleep(min(self._timings.renewal_interval_s, constants.RETRY_S * 2))
+            await trio.sleep(min(self._timings.renewal_interval_s, constants.RETRY_PAUSE_S * 2))
         finally:
             self.acquiring = False
 
@@ -322,7 +322,7 @@
             if self._validity_expired(sent_at):
                 return False
             if not await self._watch_cache.read_barrier():
-                await trio.sleep(constants.RETRY_S / 5)
+                await trio.sleep(constants.RETRY_PAUSE_S / 5)
         # Guards against beginning an expired term if the process was paused during the last read.
         return not self._validity_expired(sent_at)
 
--- a/sorrelsill/membership/detector.py
+++ b/sorrelsill/membership/detector.py
@@ -1,5 +1,5 @@
-"""State machine of failure detection: derives each controller's status from heartbeats, probes and leases. Does no I/O
-and reads no clock.
+"""State machine of failure detection: derives each controller's status from heartbeats, probes and leases. No I/O;
+callers pass the current time.
 
     unknown -> alive -> suspected -> confirmed
                  ^----------|-----------|      a later heartbeat of the same or of a later process
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from sorrelsill.membership.arrivals import HeartbeatIntervals
+from sorrelsill.membership.heartbeat_intervals import HeartbeatIntervals
 from sorrelsill.membership.messages import PeerHeartbeat
 from sorrelsill.membership.settings import MembershipSettings
 from sorrelsill.membership.view import MembershipView, Peer, Status
@@ -83,7 +83,7 @@
             since=peer.since if peer.status is status else now,
             incarnation=message.incarnation,
             sequence=message.sequence,
-            heard_at=now,
+            last_heartbeat_at=now,
             evidence="it said that it stops" if message.leaving else text,
         )
         self.view = self.view.with_peer(changed)
--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -20,7 +20,7 @@
 
 class _MachineSampler:
     """Draws random samples of machines until one contains a feasible machine. Infeasible machines are not considered
-    again. After `DRAWS_BEFORE_LISTING` failed samples the remaining machines are listed and filtered, so a feasible
+    again. After `SAMPLES_BEFORE_LISTING` failed samples the remaining machines are listed and filtered, so a feasible
     machine is always found if there is one."""
 
     __slots__ = ("_failed_samples", "_image", "_machines", "_rejected", "_remaining")
@@ -39,7 +39,7 @@
             if found:
                 return found
             self._failed_samples += 1
-            if self._failed_samples >= constants.DRAWS_BEFORE_LISTING or len(self._rejected) >= len(self._machines):
+            if self._failed_samples >= constants.SAMPLES_BEFORE_LISTING or len(self._rejected) >= len(self._machines):
                 self._remaining = [machine for machine in self._machines if machine.name not in self._rejected]
         while self._remaining:
             found = self._filter_remaining(self._remaining, rng, sample, is_feasible)
@@ -85,11 +85,11 @@
 
     def __init__(self, cluster: ClusterState, spec: JobSpec) -> None:
         machines_with_room = cluster.index.with_room(spec)
-        holders = cluster.index.holders(spec.image)
+        machines_with_image = cluster.index.machines_with_image(spec.image)
         # Sample the smaller set: if all machines hold the image, most of them may be full.
         holder_sampler = (
-            _MachineSampler(holders)
-            if len(holders) <= len(machines_with_room)
+            _MachineSampler(machines_with_image)
+            if len(machines_with_image) <= len(machines_with_room)
             else _MachineSampler(machines_with_room, spec.image)
         )
         self.samplers = (holder_sampler, _MachineSampler(machines_with_room))
@@ -148,9 +148,9 @@
     def is_feasible(self, job: Job, machine: Machine, now: float) -> bool:
         """Return whether a task of the job may start on the machine now."""
         spec = job.spec
-        if not machine.has_room_for(spec) or not machine.allows(spec) or not machine.usable:
+        if not machine.has_room_for(spec) or not machine.meets_constraints_of(spec) or not machine.usable:
             return False
-        if not spec.may_add_in(machine.zone, job.zones):
+        if not spec.zone_allows_another_task(machine.zone, job.zones):
             return False
         # Without reservations, small tasks would take room as preemption frees it, and the victims would be evicted in
         # vain.
@@ -169,7 +169,7 @@
         score = (machine.capacity_cpus - machine.cpus - spec.cpus) / max(machine.capacity_cpus, 1e-9)
         if spec.image not in machine.images:
             # A fetch by the job's own replicas does not count: else a new image would never reach a second machine.
-            joins_fetch = spec.image in machine.fetching and not (
+            joins_fetch = spec.image in machine.images_being_fetched and not (
                 replicas_by_machine and replicas_by_machine.get(machine.name)
             )
             score += constants.FETCH_WEIGHT * (_SHARED_FETCH_FACTOR if joins_fetch else 1.0)
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -129,7 +129,7 @@
                 if (
                     machine.bound_count
                     and machine.usable
-                    and machine.allows(job.spec)
+                    and machine.meets_constraints_of(job.spec)
                     and self._reservations.may_be_reserved(job, machine, now)
                 ):
                     found.append(machine)
@@ -156,7 +156,7 @@
             if tasks_with_room >= wanted:
                 break
             machine = candidate.attempts[0].machine
-            if not spec.may_add_in(machine.zone, zones):
+            if not spec.zone_allows_another_task(machine.zone, zones):
                 continue
             until = now + self._evict(cluster, spec, candidate.attempts, reservation_s)
             zones[machine.zone] = zones.get(machine.zone, 0) + 1
@@ -241,7 +241,7 @@
         eligible = [
             m
             for m in sample
-            if m.bound_count and m.usable and m.allows(spec) and self._reservations.admits(job, m, now)
+            if m.bound_count and m.usable and m.meets_constraints_of(spec) and self._reservations.admits(job, m, now)
         ]
 
         def select_victims(machine: Machine, additional: int) -> VictimSet | None:
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -101,7 +101,7 @@
         if not self._remaining_jobs:
             self._start_cycle(cluster, now)
         self._gang_headroom.update(cluster)
-        cycle = SchedulingCycle(cluster, now, lambda: clock() - started_at > budget, cluster.index.ready)
+        cycle = SchedulingCycle(cluster, now, lambda: clock() - started_at > budget, cluster.index.usable)
         while self._remaining_jobs:
             job = cluster.jobs.get(self._remaining_jobs[0])
             if job is not None and job.waiting > 0:
@@ -131,7 +131,7 @@
     def _schedule_job(self, cycle: SchedulingCycle, job: Job) -> bool:
         """Schedule the waiting tasks of a job; return False if the cycle's time budget was used up first."""
         self.unschedulable.pop(job.spec.job_id, None)
-        if not cycle.cluster.failover.reconciled(job) or job.failures.next_retry_at > cycle.now:
+        if not cycle.cluster.failover.is_reconciled(job) or job.failures.next_retry_at > cycle.now:
             return True
         if job.spec.is_gang:
             self._gangs.schedule(cycle, job)
@@ -149,7 +149,7 @@
         """Bind tasks of a job one by one until none is waiting or the next one cannot be bound."""
         spec = job.spec
         equivalence = equivalence_class(spec)
-        unconstrained = not (spec.spread_zones or spec.one_zone or job.avoid)
+        unconstrained = not (spec.spread_zones or spec.one_zone or job.avoided_machines)
         pool: CandidatePool | None = None
         while (index := job.next_task()) is not None:
             if cycle.out_of_time():
@@ -207,10 +207,10 @@
         """Return whether the job could run on the machine if the machine were drained."""
         spec = job.spec
         return (
-            machine.allows(spec)
+            machine.meets_constraints_of(spec)
             and self._reservations.may_be_reserved(job, machine, now)
             and machine.large_enough_for(spec)
-            and spec.may_add_in(machine.zone, job.zones)
+            and spec.zone_allows_another_task(machine.zone, job.zones)
         )
 
     def _cold_start_misses_objective(self, cluster: ClusterState, job: Job, machine: Machine) -> bool:
@@ -234,7 +234,7 @@
         become free."""
         job_id, now = job.spec.job_id, cycle.now
         if job_id not in self._warm_room_deadlines:
-            warm = cycle.cluster.index.holders(job.spec.image)
+            warm = cycle.cluster.index.machines_with_image(job.spec.image)
             room_made = self._preemption.make_room(cycle, job, warm, constants.WARM_PREEMPTION_WAIT_S) if warm else 0
             self._warm_room_deadlines[job_id] = now + constants.WARM_PREEMPTION_WAIT_S if room_made else now
         return now < self._warm_room_deadlines[job_id]
--- a/sorrelsill/store/watch_cache.py
+++ b/sorrelsill/store/watch_cache.py
@@ -93,7 +93,7 @@
         of them."""
         return [job_id for job_id in self._chunk_keys if JOB_PREFIX + job_id not in self.keys]
 
-    def registry_parts(self, machine: str) -> dict[str, tuple[dict[str, Any], int]]:
+    def registry_keys(self, machine: str) -> dict[str, tuple[dict[str, Any], int]]:
         """The registry keys that may hold a machine's entry, with value and revision."""
         key = base = registry_key(machine)
         parts: dict[str, tuple[dict[str, Any], int]] = {}
@@ -250,12 +250,12 @@
                 await self._watch_once(constants.WATCH_HOLD_S, constants.WATCH_HOLD_S + constants.WATCH_GRACE_S)
             except StoreError as error:
                 log_event(log, logging.DEBUG, "watch_failed", error=error)
-                await trio.sleep(constants.RETRY_S)
+                await trio.sleep(constants.RETRY_PAUSE_S)
             except (KeyError, TypeError, ValueError):
                 # A malformed response must not end the process: load all keys again.
                 log.exception("watch_answer_damaged")
                 self.loaded = False
-                await trio.sleep(constants.RETRY_S)
+                await trio.sleep(constants.RETRY_PAUSE_S)
 
     # --- read barriers ---
 
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -1,4 +1,4 @@
-"""The leader's view of the cluster: jobs, machines, and the attempts bound to machines. No I/O; the caller passes the
+"""The leader's view of the cluster: jobs, machines, and the attempts bound to machines. No I/O; callers pass the
 current time.
 
 The central invariant: an attempt is bound to (machine, incarnation) from before its start command is first sent until
@@ -79,13 +79,13 @@
         self.wake_scheduler = True
 
     @property
-    def renewed_by_others(self) -> float:
+    def others_may_renew_until(self) -> float:
         """The time until which any node may have renewed leases."""
-        return self.leases.renewed_by_others
+        return self.leases.others_may_renew_until
 
-    @renewed_by_others.setter
-    def renewed_by_others(self, until: float) -> None:
-        self.leases.renewed_by_others = until
+    @others_may_renew_until.setter
+    def others_may_renew_until(self, until: float) -> None:
+        self.leases.others_may_renew_until = until
 
     def team_use(self, team: str) -> TeamUse:
         """All resources that a team may be using. Its limit is checked against this figure only."""
@@ -114,13 +114,13 @@
         self.pending_writes.record_not_due(job_id)
         if job is None:
             return
-        if not self.failover.reconciled(job):
+        if not self.failover.is_reconciled(job):
             ended = self.failover.add_ended_job(job.spec, job.done.copy())
             for index in job.bound:
                 ended.mark_observed(index)
         for attempt in self.attempts.of_job(job_id):
             if attempt.exited:
-                attempt.clearable = True
+                attempt.may_be_cleared = True
             else:
                 attempt.grace_period_s = 0.0
                 self.request_stop(attempt, "over")
@@ -132,7 +132,7 @@
 
     def take_changed_jobs(self) -> list[str]:
         """Return the jobs changed since the last call. Only the scheduler may call it, as the list is cleared."""
-        return self._job_table.take_changed()
+        return self._job_table.take_changed_jobs()
 
     # --- binding ---
 
@@ -150,7 +150,7 @@
         job.last_activity_at = now
         self.mark_job_changed(job.spec.job_id)
         if job.spec.image not in machine.images:
-            machine.fetching.add(job.spec.image)
+            machine.images_being_fetched.add(job.spec.image)
         log_attempt(
             log,
             "bind",
@@ -181,7 +181,7 @@
             return
         attempt.spec = None
         if self.failover.unconfirmed:
-            self.failover.recount()  # it may come from a stale message while the real one is unobserved
+            self.failover.invalidate_unobserved()  # it may come from a stale message while the real one is unobserved
         self._allocations.release(machine, spec)
         ended = self.failover.ended.get(spec.job_id)
         if ended is not None and not attempt.verified:
@@ -193,7 +193,7 @@
             self.mark_job_changed(spec.job_id)
         if machine.bound_count == 0:
             machine.idle_since = now
-            machine.fetching.clear()
+            machine.images_being_fetched.clear()
         self.wake_scheduler = True
 
     def gang_headroom_cpus(self, classes: Iterable[str]) -> float:
@@ -216,7 +216,7 @@
         """Replace the catalog of machine types, and update the capacities of all machines by it."""
         self.catalog = catalog
         self._machine_table.set_catalog(catalog)
-        self.failover.recount()
+        self.failover.invalidate_unobserved()
         self.wake_scheduler = True
 
     def get_or_add_machine(self, name: str, machine_type: str, zone: str, spot: bool, now: float) -> Machine:
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -1,7 +1,7 @@
 """The leader's view of the cluster, as the rest of the service uses it.
 
 Adds event handling to the records: heartbeats, expired leases, tasks to be stopped, and tasks found that an earlier
-leader started. No I/O; the caller passes the current time."""
+leader started. No I/O; callers pass the current time."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     """The jobs, machines and attempts of one term, with the handlers of events."""
 
     def on_heartbeat(
-        self, heartbeat: WorkerHeartbeat, now: float, acting: bool = True, jobs_fresh: bool = True
+        self, heartbeat: WorkerHeartbeat, now: float, may_command: bool = True, jobs_fresh: bool = True
     ) -> list[Command] | None:
         """Process a heartbeat. Returns the commands for the response, or None if it must not be answered with 200.
 
         Raises FencedError if the worker has seen a higher fencing token."""
-        commands = heartbeats.on_heartbeat(self, heartbeat, now, acting, jobs_fresh)
+        commands = heartbeats.on_heartbeat(self, heartbeat, now, may_command, jobs_fresh)
         self._watch_if_new(heartbeat.machine)
         return commands
 
@@ -44,13 +44,13 @@
         """Declare machines lost that have been silent for longer than the workers' lease, and return them."""
         return loss.expire_leases(self, now)
 
-    def hears_no_worker(self, now: float, limit: float) -> bool:
-        """Whether workers sent heartbeats in this term, but none within the last `limit` seconds."""
-        return loss.hears_no_worker(self, now, limit)
+    def receives_no_heartbeats(self, now: float, limit_s: float) -> bool:
+        """Whether workers sent heartbeats in this term, but none within the last `limit_s` seconds."""
+        return loss.receives_no_heartbeats(self, now, limit_s)
 
-    def drain(self, now: float) -> None:
+    def stop_tasks_on_reclaimed_machines(self, now: float) -> None:
         """Stop tasks on machines that the cloud provider is about to reclaim."""
-        loss.drain(self, now)
+        loss.stop_tasks_on_reclaimed_machines(self, now)
 
     def stop(self, attempt: Attempt, reason: str, immediately: bool = False) -> None:
         """Stop a task to free capacity or to drain its machine; the tasks of a gang are stopped together."""
@@ -70,11 +70,11 @@
         job = Job(spec, done, rev, from_earlier_term, submitted, notes)
         job.accepted = accepted
         self.insert_job(job)
-        adoption.adopt_tasks_of(self, job)
+        adoption.adopt_tasks_of_job(self, job)
         return job
 
     def add_ended_job(self, spec: JobSpec, done: TaskSet) -> None:
         """Add a job that ended before this term. Its tasks on machines are stopped, and count toward its team's usage
         until they are gone."""
         ended = self.failover.add_ended_job(spec, done)
-        adoption.adopt_tasks_of_ended(self, ended)
+        adoption.adopt_tasks_of_ended_job(self, ended)
--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from sorrelsill.model import NOTHING, Catalog, JobSpec, RegistryEntry, Resources, TaskSet, resources_of
+from sorrelsill.model import NO_RESOURCES, Catalog, JobSpec, RegistryEntry, Resources, TaskSet, resources_of
 from sorrelsill.workers.ended_jobs import EndedJob
 from sorrelsill.workers.job import Job
 from sorrelsill.workers.machine import Machine
@@ -57,7 +57,7 @@
         self._all_ended_known = False  # no ended job other than these can have left tasks there
         self._unobserved: _Unobserved | None = None  # None: to be computed when it is next needed
 
-    def recount(self) -> None:
+    def invalidate_unobserved(self) -> None:
         """Discard the computed resources, since something that they depend on has changed. They are computed again when
         next needed."""
         self._unobserved = None
@@ -67,7 +67,7 @@
         until it acknowledges our fencing token or its lease expires."""
         for name, value in registered:
             entry = RegistryEntry.from_stored(value)
-            # An entry from an earlier version has no zone and no spot flag, so neither rules out any task.
+            # An entry from the previous version has no zone and no spot flag, so neither rules out any task.
             kind = MachineKind(entry.machine_type, entry.zone, entry.spot)
             if name in self.unconfirmed:
                 # The machine is in two parts of the registry. If it were counted twice but confirmed once, jobs from
@@ -107,7 +107,7 @@
         self._unobserved = None
         return True
 
-    def reconciled(self, job: Job) -> bool:
+    def is_reconciled(self, job: Job) -> bool:
         """Whether all tasks of a job that an earlier leader may have started are accounted for. An unconfirmed machine
         can hold only tasks of jobs that allow its type, its zone and, if it is one, spot machines."""
         return not job.from_earlier_term or not self._may_run_on_unconfirmed(job.spec)
@@ -138,7 +138,7 @@
         return unobserved
 
     def _count_unobserved(self, jobs: dict[str, Job], catalog: Catalog) -> _Unobserved:
-        capacity = NOTHING
+        capacity = NO_RESOURCES
         for kind, count in self._unconfirmed_by_kind.items():
             capacity = capacity.plus(_total_capacity(kind.machine_type, count, catalog))
         if not self._all_ended_known or not self.unconfirmed:
@@ -148,9 +148,9 @@
             if self._may_run_on_unconfirmed(ended.spec):
                 _add_tasks(by_team, ended.spec, ended.unobserved_count)
         for job in jobs.values():
-            if not self.reconciled(job):
+            if not self.is_reconciled(job):
                 _add_tasks(by_team, job.spec, job.unobserved_count)
-        return _Unobserved({team: amount.at_most(capacity) for team, amount in by_team.items()}, NOTHING)
+        return _Unobserved({team: amount.at_most(capacity) for team, amount in by_team.items()}, NO_RESOURCES)
 
 
 def _total_capacity(machine_type: str, count: int, catalog: Catalog) -> Resources:
@@ -163,8 +163,8 @@
 def _free_capacity(machine: Machine, catalog: Catalog) -> Resources:
     if machine.machine_type not in catalog.machine_types:
         return _UNBOUNDED  # its capacity of 0 means unknown, not that the machine is full
-    return Resources(machine.capacity_cpus - machine.cpus, machine.capacity_gpus - machine.gpus).at_least(NOTHING)
+    return Resources(machine.capacity_cpus - machine.cpus, machine.capacity_gpus - machine.gpus).at_least(NO_RESOURCES)
 
 
 def _add_tasks(by_team: dict[str, Resources], spec: JobSpec, tasks: int) -> None:
-    by_team[spec.team] = by_team.get(spec.team, NOTHING).plus(resources_of(spec, tasks))
+    by_team[spec.team] = by_team.get(spec.team, NO_RESOURCES).plus(resources_of(spec, tasks))
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -16,11 +16,11 @@
 
     __slots__ = (
         "accepted",
-        "avoid",
+        "avoided_machines",
         "bound",
         "cursor",
         "done",
-        "unrecorded_parts",
+        "unrecorded_small_chunks",
         "failures",
         "from_earlier_term",
         "order",
@@ -52,9 +52,9 @@
         self.cursor = 0  # every task below this index has been done or bound at some time
         self.requeued: list[int] = []  # heap of tasks to be started again
         self.failures = FailureHistory(succeeded=done.count > 0)
-        self.avoid: dict[str, float] = {}  # machine -> time until which no task of the job is placed on it
-        # Indices of the parts of the finished-task set that are not stored yet; a part covers PART_TASKS tasks.
-        self.unrecorded_parts: set[int] = set()
+        self.avoided_machines: dict[str, float] = {}  # machine -> time until which no task of the job is placed on it
+        # Indices of the small progress chunks that are not stored yet; a small chunk covers SMALL_CHUNK_TASKS tasks.
+        self.unrecorded_small_chunks: set[int] = set()
         self.chunked = spec.task_count > constants.CHUNK_TASKS  # its finished tasks are stored in keys of their own
         self.recorded_running = 0  # running tasks according to the stored record
         self.recorded_at = now
@@ -108,7 +108,7 @@
     def new_starts_allowed(self) -> int:
         """How many more of its tasks may be started now; few if the job probably fails on every machine."""
         bound = len(self.bound)
-        return constants.TRIAL_TASKS - bound if self.failures.is_suspect(bound) else self.spec.task_count
+        return constants.SUSPECT_JOB_TASKS - bound if self.failures.is_suspect(bound) else self.spec.task_count
 
     def running(self) -> int:
         """The number of tasks that run or write a checkpoint; a gang's task that waits for its peers is not counted."""
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -18,7 +18,7 @@
     """Declare lost the machines that have been silent for longer than the workers' lease. Returns these machines."""
     if not cluster.leases.begin_check_if_due(now):
         return []
-    cluster.failover.recount()
+    cluster.failover.invalidate_unobserved()
     cluster.failover.forget_ended_jobs()
     lost = _check_due_machines(cluster, now)
     _confirm_expired_machines(cluster, now)
@@ -39,7 +39,7 @@
             machine.heartbeat_overdue = True
         if now <= cluster.leases.lease_expires_at(machine):
             continue
-        if released_tasks >= constants.EXPIRE_TASKS:
+        if released_tasks >= constants.LOST_TASKS_PER_CHECK:
             # Stop here and go on with the next call: when hundreds of machines are lost at once, lease renewals must
             # not be delayed.
             cluster.leases.make_check_due()
@@ -77,18 +77,21 @@
     cluster.wake_scheduler = True
 
 
-def hears_no_worker(cluster: ClusterRecords, now: float, limit_s: float) -> bool:
+def receives_no_heartbeats(cluster: ClusterRecords, now: float, limit_s: float) -> bool:
     """Whether there were heartbeats in this term, but none from any worker for `limit_s` seconds. The silence of a
     single machine proves nothing. A leader that never received a heartbeat is not replaced either, because another
     leader would be no better."""
-    if cluster.last_heartbeat_at is None or now - max(cluster.last_heartbeat_at, cluster.renewed_by_others) <= limit_s:
+    if (
+        cluster.last_heartbeat_at is None
+        or now - max(cluster.last_heartbeat_at, cluster.others_may_renew_until) <= limit_s
+    ):
         return False
     machines = cluster.machines.values()
     with_lease = sum(1 for m in machines if not m.lease_expired and m.lease_renewed_at is not None)
     return with_lease >= constants.NO_HEARTBEAT_MACHINES
 
 
-def drain(cluster: ClusterRecords, now: float) -> None:
+def stop_tasks_on_reclaimed_machines(cluster: ClusterRecords, now: float) -> None:
     """Stop tasks on machines that are about to be reclaimed. The loss of a task that runs until its machine is gone is
     detected only after a full lease of silence."""
     for machine in cluster.machines_with_reclaim_notice.values():
@@ -112,6 +115,6 @@
     if attempt.running_since is None:
         return True
     if spec.checkpoint_interval_s > 0:
-        return remaining_s <= spec.checkpoint_cost_s + constants.DRAIN_AHEAD_S
+        return remaining_s <= spec.checkpoint_cost_s + constants.RECLAIM_STOP_AHEAD_S
     complete_at = attempt.running_since + spec.expected_run_s
-    return remaining_s <= constants.DRAIN_AHEAD_S or spec.is_service or complete_at > reclaim_at
+    return remaining_s <= constants.RECLAIM_STOP_AHEAD_S or spec.is_service or complete_at > reclaim_at
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -75,7 +75,7 @@
     unanswered_starts: int = 0  # start commands sent directly and not answered; the worker may still execute them
     start_sent: bool = False
     stop_sent: bool = False
-    clearable: bool = False  # its exit has been processed, so the worker may be told to clear it
+    may_be_cleared: bool = False  # its exit has been processed, so the worker may be told to clear it
     # Not to be cleared earlier: a delayed duplicate of its direct start command would then run the task again.
     clear_after: float = float("-inf")
     task_id: str = ""
@@ -140,7 +140,7 @@
         self.cpus = self.gpus = self.memory_gb = 0.0  # allocated
         self.capacity_cpus = self.capacity_gpus = self.capacity_memory_gb = self.cache_gb = 0.0
         self.images: OrderedDict[str, float] = OrderedDict()
-        self.fetching: set[str] = set()  # images being pulled for tasks on it
+        self.images_being_fetched: set[str] = set()  # for tasks on it
         self.idle_since = idle_since
         self.blamed_by_jobs: set[str] = set()  # jobs that failed here and succeeded on another machine
 
@@ -178,7 +178,7 @@
             and self.capacity_gpus + AMOUNT_TOLERANCE >= spec.gpus
         )
 
-    def allows(self, spec: JobSpec) -> bool:
+    def meets_constraints_of(self, spec: JobSpec) -> bool:
         """Whether machine type, zone and spot status meet the job's constraints; the worker checks none of these."""
         return (
             (spec.machine_types is None or self.machine_type in spec.machine_types)
@@ -190,7 +190,7 @@
         """Record a use of the image in the estimate of the worker's image cache, an LRU cache of `cache_gb`.
 
         Returns the images evicted from the estimate."""
-        self.fetching.discard(image)
+        self.images_being_fetched.discard(image)
         self.images[image] = size
         self.images.move_to_end(image)
         evicted = []
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -1,5 +1,5 @@
 """Handles the exit of a task: records its result, where it may be retried, and whether job or machine is at fault.
-Pure: no I/O, the current time is passed in."""
+No I/O; callers pass the current time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         _on_completion(cluster, attempt, now)
         return
     job = cluster.jobs.get(attempt.job_id)
-    attempt.clearable = True
+    attempt.may_be_cleared = True
     if attempt.start_sent:
         attempt.clear_after = now + constants.DUPLICATE_START_S
     cluster.unbind(attempt, now)
@@ -38,7 +38,7 @@
         _mark_done(cluster, job, attempt.index)
         _blame_machines(cluster, job, job.failures.record_success(attempt.machine.name))
     else:
-        attempt.clearable = True
+        attempt.may_be_cleared = True
     # Stop any other attempt of the task: its result is no longer needed.
     other = job.bound.get(attempt.index) if job is not None else None
     if other is not None and other is not attempt:
@@ -51,7 +51,7 @@
     machines fail before reporting it."""
     for done_index in range(job.spec.task_count) if job.spec.is_gang else (index,):
         if job.done.add(done_index):
-            job.unrecorded_parts.add(done_index // constants.PART_TASKS)
+            job.unrecorded_small_chunks.add(done_index // constants.SMALL_CHUNK_TASKS)
             cluster.pending_writes.record_due(job.spec.job_id)
             cluster.mark_job_changed(job.spec.job_id)
 
@@ -70,7 +70,7 @@
         job.note(f"task {attempt.index}: {status.exit_cause_text()}, its group is started anew")
         return
     job.note(f"task {attempt.index}: {status.exit_cause_text()} on {machine.name}")
-    job.avoid[machine.name] = now + constants.MACHINE_AVOID_S
+    job.avoided_machines[machine.name] = now + constants.MACHINE_AVOID_S
     if cause is ExitCause.ERROR:
         _on_failure(cluster, job, machine, now)
 
@@ -88,7 +88,7 @@
     if failures.is_suspect(len(job.bound)):
         # The other machines are probably not at fault: if the job avoided them all, it would wait although there is
         # free capacity.
-        job.avoid = {machine.name: job.avoid[machine.name]}
+        job.avoided_machines = {machine.name: job.avoided_machines[machine.name]}
         wait_s = max(0.0, failures.next_retry_at - now)
         job.note(f"failed on all {len(failures.machines)} machines tried; next try in {wait_s:.0f} s")
 
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -8,7 +8,7 @@
 import trio.testing
 
 from sorrelsill import constants
-from sorrelsill.http import Client, MaySend, NoAnswerError, always
+from sorrelsill.http import Client, MaySend, NoAnswerError, always_allowed
 from sorrelsill.model import TaskSet
 from sorrelsill.store import WatchCache, chunk_key, job_key, registry_key
 from sorrelsill.workers import CallLimits, CommandSender
@@ -45,10 +45,10 @@
     while batch := leader.cluster.expire_leases(leader.now):
         lost_machines += len(batch)
         largest_batch = max(largest_batch, sum(len(leader.tasks[machine.name]) for machine in batch))
-    assert lost_machines == 400 and largest_batch <= constants.EXPIRE_TASKS + 16
+    assert lost_machines == 400 and largest_batch <= constants.LOST_TASKS_PER_CHECK + 16
     assert sum(j.waiting for j in leader.cluster.jobs.values()) == lost_tasks
     assert not any(leader.cluster.machines[n].attempts for n in silent)
-    assert not leader.cluster.index.ready.names() & set(silent)
+    assert not leader.cluster.index.usable.names() & set(silent)
 
 
 def test_machines_with_overdue_heartbeat_get_no_new_tasks() -> None:
@@ -63,7 +63,7 @@
     bound = leader.cluster.jobs["run-n"].bound
     assert len(bound) == 350 and not {a.machine.name for a in bound.values()} & set(leader.names[:50])
     leader.all_send_heartbeats(leader.names[:50])
-    assert len(leader.cluster.index.ready) == MACHINES
+    assert len(leader.cluster.index.usable) == MACHINES
 
 
 def test_unobserved_machines_reserve_only_tasks_they_may_run() -> None:
@@ -109,7 +109,7 @@
         leader.add(
             array_job(f"run-{number}", shards=10, owner="red", flavours=["std"], region="a", reclaimable=False), True
         )
-        assert not leader.cluster.failover.reconciled(leader.cluster.jobs[f"run-{number}"])
+        assert not leader.cluster.failover.is_reconciled(leader.cluster.jobs[f"run-{number}"])
     assert leader.cluster.unobserved("red")[0] > 1000, "the size of a machine of an unknown type is unknown too"
     leader.cluster.failover.set_all_ended_known(True)
     assert leader.cluster.unobserved("red") == (30.0, 0.0)
@@ -121,7 +121,7 @@
     asked: list[float]
 
     async def request(
-        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always
+        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always_allowed
     ) -> tuple[int, bytes]:
         self.asked.append(trio.current_time())
         await trio.sleep(timeout)
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -11,7 +11,7 @@
 import trio.testing
 
 from sorrelsill import constants
-from sorrelsill.http import Client, MaySend, NoAnswerError, always
+from sorrelsill.http import Client, MaySend, NoAnswerError, always_allowed
 from sorrelsill.jobs import RecordWriter
 from sorrelsill.model import TaskSet
 from sorrelsill.settings import StateLimits, Team
@@ -113,14 +113,14 @@
         leader.all_send_heartbeats(others)
         if leader.now > OVERDUE_S + 1.0:
             leader.cluster.expire_leases(leader.now)
-            assert len(leader.cluster.index.ready) <= len(others), "silent machines get no new tasks"
+            assert len(leader.cluster.index.usable) <= len(others), "silent machines get no new tasks"
     batch_sizes, declared_lost = [], len([m for m in leader.cluster.machines.values() if m.lease_expired])
     assert declared_lost < 100
     while batch := leader.cluster.expire_leases(leader.now):
         batch_sizes.append(sum(len(leader.tasks[machine.name]) for machine in batch))
         declared_lost += len(batch)
-    assert declared_lost == len(lost) and max(batch_sizes) <= constants.EXPIRE_TASKS + TASKS_PER_MACHINE * 2
-    assert len(batch_sizes) <= lost_tasks / constants.EXPIRE_TASKS + 2
+    assert declared_lost == len(lost) and max(batch_sizes) <= constants.LOST_TASKS_PER_CHECK + TASKS_PER_MACHINE * 2
+    assert len(batch_sizes) <= lost_tasks / constants.LOST_TASKS_PER_CHECK + 2
     waiting = sum(job.waiting for job in leader.cluster.jobs.values())
     assert waiting == lost_tasks
     leader.run_cycle()
@@ -136,7 +136,7 @@
     asked: dict[str, int]
 
     async def request(
-        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always
+        self, method: str, target: str, body: bytes = b"", timeout: float = 1.5, may_send: MaySend = always_allowed
     ) -> tuple[int, bytes]:
         self.asked[self.addr] = self.asked.get(self.addr, 0) + 1
         await trio.sleep(0.002)
@@ -246,10 +246,10 @@
                 leader.send_heartbeat(name)
                 leader.send_heartbeat(name)
             writer = RecordWriter(store, watch_cache, leader.cluster, lambda: True)
-            while len(leader.cluster.index.ready) < machines and trio.current_time() < 60.0:
+            while len(leader.cluster.index.usable) < machines and trio.current_time() < 60.0:
                 await writer.step()
                 await trio.sleep(constants.WRITER_TICK_S)
-            assert len(leader.cluster.index.ready) == machines and trio.current_time() < 20.0
+            assert len(leader.cluster.index.usable) == machines and trio.current_time() < 20.0
             assert not fake_store.refusals
             entries = [name for key, (value, _, _) in fake_store.kv.items() if key.startswith("s/m/") for name in value]
             assert sorted(entries) == leader.names
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -112,7 +112,7 @@
             if index in finished:
                 big_job.done.add(index)
                 simulation.finished.add(f"run-big/{index}")
-                big_job.unrecorded_parts.add(index // constants.PART_TASKS)
+                big_job.unrecorded_small_chunks.add(index // constants.SMALL_CHUNK_TASKS)
         leader.cluster.pending_writes.records.add("run-big")
         await simulation.until(lambda: simulation.store.kv["s/j/run-big"][0]["n"] > 7000, 30)
         assert max(value_sizes(simulation, "s/j/")) > SMALL_VALUE_BYTES, (
@@ -130,7 +130,7 @@
             newly_finished = [i for i in range(shards) if i not in loaded and rng.random() < 0.03]
             for index in newly_finished:
                 big_job.done.add(index)
-                big_job.unrecorded_parts.add(index // constants.PART_TASKS)
+                big_job.unrecorded_small_chunks.add(index // constants.SMALL_CHUNK_TASKS)
             node.cluster.pending_writes.records.add("run-big")
             await trio.sleep(rng.choice((0.3, 0.5, 8.0)))
             chunks = [
@@ -141,7 +141,7 @@
             for key, encoded in chunks:
                 number = int(key.rpartition("/")[2])
                 stored.merge(
-                    encoded, number * (constants.CHUNK_TASKS if key.startswith("s/d/") else constants.PART_TASKS)
+                    encoded, number * (constants.CHUNK_TASKS if key.startswith("s/d/") else constants.SMALL_CHUNK_TASKS)
                 )
             recorded = {i for i in range(shards) if i in stored}
             simulation.kill(label)
@@ -175,9 +175,9 @@
         for index in range(shards):
             if index in done:
                 big_job.done.add(index)
-                big_job.unrecorded_parts.add(index // constants.PART_TASKS)
+                big_job.unrecorded_small_chunks.add(index // constants.SMALL_CHUNK_TASKS)
         leader.cluster.pending_writes.records.add("run-big")
-        await simulation.until(lambda: not big_job.unrecorded_parts, 40)
+        await simulation.until(lambda: not big_job.unrecorded_small_chunks, 40)
         simulation.kill(await simulation.until_leader())
         new_leader = simulation.nodes[await simulation.until_leader()]
         assert new_leader.cluster is not None
