--- a/tests/load/detection_times.py
+++ b/tests/load/detection_times.py
@@ -34,7 +34,7 @@
 
     @staticmethod
     def _status(simulation: SimulatedCluster, observer: str, label: str) -> Status:
-        membership = simulation.nodes[observer].membership
+        membership = simulation.controllers[observer].membership
         assert membership is not None
         return membership.view.peers[label].status
 
--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -141,7 +141,7 @@
             simulation.kill(label)
         await trio.sleep(0.2)
         simulation.start_all()
-        await simulation.until(lambda: all(node.watch_cache.loaded for node in simulation.nodes.values()), 3)
+        await simulation.until(lambda: all(node.watch_cache.loaded for node in simulation.controllers.values()), 3)
         assert simulation.leader() is None and len(simulation.running("run-c")) == 2
         simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
@@ -209,13 +209,13 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await two_services(simulation, "run-c")
-        term = simulation.nodes[old].elector.term
+        term = simulation.controllers[old].elector.term
         simulation.store.refused.add(old)
         await cancel_at(simulation, others(old)[0], "run-c")
         simulation.store.begin_outage()
         await trio.sleep(8)
         # Its watches hang on, though it is served again.
-        node = simulation.nodes[old]
+        node = simulation.controllers[old]
         simulation.net.hold_request = lambda src, dst, request: src == old and request.path == "/follow"
         simulation.store.refused.clear()
         simulation.store.end_outage()
@@ -271,14 +271,14 @@
         old = await two_services(simulation, "run-c")
         simulation.store.refused.add(old)
         for label in others(old):
-            tell_all = simulation.nodes[label].cancellations.answer_peer
+            tell_all = simulation.controllers[label].cancellations.answer_peer
             damaged = [{"cancelled": None}, {"cancelled": [7], "back": 1e9}, {"cancelled": [], "back": "x"}, [], None]
 
             def lie(asked: dict[str, object], now: float, tell_all=tell_all, damaged=damaged) -> object:  # type: ignore[no-untyped-def]
                 tell_all(asked, now)
                 return damaged[int(now * 10) % len(damaged)]
 
-            simulation.nodes[label].cancellations.answer_peer = lie  # type: ignore[method-assign, assignment]
+            simulation.controllers[label].cancellations.answer_peer = lie  # type: ignore[method-assign, assignment]
         await trio.sleep(0.2)
         await cancel_at(simulation, others(old)[0], "run-c")
         simulation.store.begin_outage()
--- a/tests/scenarios/test_controller_restarts.py
+++ b/tests/scenarios/test_controller_restarts.py
@@ -19,12 +19,12 @@
 
     while len(steps) < 6:
         assert trio.current_time() - began < 90, steps
-        up = [node for label, node in simulation.nodes.items() if label not in simulation.net.down]
+        up = [node for label, node in simulation.controllers.items() if label not in simulation.net.down]
         note("process up", bool(up))
         note("view loaded", any(node.watch_cache.loaded for node in up))
         label = simulation.leader()
         note("leading", label is not None)
-        cluster = simulation.nodes[label].cluster if label is not None else None
+        cluster = simulation.controllers[label].cluster if label is not None else None
         note(
             "machines confirmed", cluster is not None and not cluster.failover.unconfirmed and bool(cluster.index.ready)
         )
@@ -100,7 +100,7 @@
         await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
         for turn in range(6):
-            label = simulation.leader() or sorted(simulation.nodes)[turn % 3]
+            label = simulation.leader() or sorted(simulation.controllers)[turn % 3]
             simulation.kill(label)
             await trio.sleep(0.2)
             simulation.start(label)
@@ -123,7 +123,7 @@
         simulation.start(old)
         began = trio.current_time()
         await simulation.until_leader(10)
-        assert trio.current_time() - began < simulation.nodes[old].timings.lease_s / 2
+        assert trio.current_time() - began < simulation.controllers[old].timings.lease_s / 2
 
     run_scenario(scenario)
 
@@ -173,7 +173,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
-        for label in list(simulation.nodes):
+        for label in list(simulation.controllers):
             simulation.kill(label)
             await trio.sleep(4)
             simulation.start(label)
--- a/tests/scenarios/test_failing_tasks.py
+++ b/tests/scenarios/test_failing_tasks.py
@@ -27,7 +27,7 @@
         since = trio.current_time() + 10
         await simulation.until_phase("run-good", "done", 150)
         await trio.sleep(60)
-        cluster = simulation.nodes[label].cluster
+        cluster = simulation.controllers[label].cluster
         assert cluster is not None
         assert not any(machine.quarantined for machine in cluster.machines.values())
         assert all(not cluster.jobs[job_id].failures.blamed_machines for job_id in mistaken)
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -232,7 +232,7 @@
         await simulation.submit(saving("run-g", snapshotCostS=4.0, expectedRunS=60.0))
         machines = await runs(simulation, "run-g")
         leader = await simulation.until_leader()
-        node = simulation.nodes[leader]
+        node = simulation.controllers[leader]
         assert node.cluster is not None
         other = machines[-1]
         simulation.net.hold_request = lambda src, dst, request: dst == other and src == leader
@@ -278,7 +278,7 @@
             worker.pull_rate = 0.05
         await simulation.submit(group("run-g", shards=8, bundle="other", oneZone=False))
         await simulation.until(lambda: "alone" in simulation.gangs.reasons, 60)
-        leader = simulation.nodes[await simulation.until_leader()]
+        leader = simulation.controllers[await simulation.until_leader()]
         await trio.sleep(2)
         assert leader.cluster is not None
         held = leader.cluster.gangs["run-g"]
@@ -336,7 +336,7 @@
         simulation.cloud.capacity = 1
         await simulation.submit(group("run-g"))
         await trio.sleep(30)
-        leader = simulation.nodes[await simulation.until_leader()]
+        leader = simulation.controllers[await simulation.until_leader()]
         assert (
             leader.cluster is not None
             and leader.cluster.next_attempt_number() & ((1 << constants.ATTEMPT_COUNTER_BITS) - 1) < 5
--- a/tests/scenarios/test_handover.py
+++ b/tests/scenarios/test_handover.py
@@ -13,13 +13,13 @@
 
 
 def status_of(simulation: SimulatedCluster, observer: str, label: str) -> Status:
-    membership = simulation.nodes[observer].membership
+    membership = simulation.controllers[observer].membership
     assert membership is not None
     return membership.view.peers[label].status
 
 
 def handovers_to(simulation: SimulatedCluster, label: str) -> list[Handover]:
-    membership = simulation.nodes[label].membership
+    membership = simulation.controllers[label].membership
     assert membership is not None
     return membership.handovers()
 
@@ -52,7 +52,7 @@
         for label in LABELS:
             if label != old:
                 assert status_of(simulation, label, old) is Status.LEFT
-                assert not simulation.nodes[label].counts.get("membership_suspected")
+                assert not simulation.controllers[label].counts.get("membership_suspected")
         (handover,) = handovers_to(simulation, successor)
         assert handover.planned and (handover.former, handover.successor) == (old, successor)
         assert handover.suspected_at is handover.confirmed_at is None
@@ -74,7 +74,7 @@
         assert not handover.planned and handover.former == old
         assert died - SETTINGS.heartbeat_s <= handover.begun_at <= died
         assert handover.suspected_at is not None and died < handover.suspected_at < handover.key_taken_at
-        lease_s = simulation.nodes[successor].timings.lease_s
+        lease_s = simulation.controllers[successor].timings.lease_s
         assert handover.key_taken_at - died < lease_s + 1.0
         assert handover.first_start_at > handover.key_taken_at, "the machine for the new job had to be rented first"
         metrics = (await simulation.ask_raw(successor, "/metrics")).decode()
@@ -120,11 +120,11 @@
         for label in LABELS:
             await simulation.stop(label)
             simulation.start(label)
-            await simulation.until(lambda node=simulation.nodes[label]: node.ready(), 15)  # type: ignore[misc]
+            await simulation.until(lambda node=simulation.controllers[label]: node.ready(), 15)  # type: ignore[misc]
             await simulation.until_leader()
             await trio.sleep(5)
         assert len(simulation.starts) == starts, "no task was started anew"
-        assert not any(node.counts.get("membership_confirmed") for node in simulation.nodes.values())
+        assert not any(node.counts.get("membership_confirmed") for node in simulation.controllers.values())
         await simulation.wait_for_convergence()
 
     run_scenario(scenario, membership=SETTINGS)
--- a/tests/scenarios/test_job_lifecycle.py
+++ b/tests/scenarios/test_job_lifecycle.py
@@ -10,7 +10,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         assert await simulation.submit(job("run-1", shards=5)) == 201
         await simulation.until_phase("run-1", "done")
-        for label in simulation.nodes:
+        for label in simulation.controllers:
             assert (await simulation.poll("run-1", label))[1]["phase"] == "done"
         assert await simulation.submit(job("run-1", shards=5)) == 200
         await trio.sleep(40)
@@ -26,7 +26,7 @@
         await simulation.until(lambda: len(simulation.running("run-s")) == 4)
         assert (await simulation.cancel("run-s"))["phase"] == "cancelled"
         await simulation.until(lambda: not simulation.running("run-s"), 5)
-        for label in simulation.nodes:
+        for label in simulation.controllers:
             assert (await simulation.poll("run-s", label))[1]["phase"] == "cancelled"
         assert (await simulation.cancel("run-s"))["phase"] == "cancelled"
 
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -37,12 +37,12 @@
             if other != old:
                 simulation.net.cut(old, other)
         await simulation.until(lambda: simulation.leader() not in (None, old), 15)
-        assert not simulation.nodes[old].elector.valid()
+        assert not simulation.controllers[old].elector.valid()
         await simulation.submit(job("run-n"))
         await simulation.until_phase("run-n", "done")
         simulation.net.heal()  # all that was held arrives now: lease renewals, records, commands of the old term
         await trio.sleep(20)
-        leading = [n for n, node in simulation.nodes.items() if node.elector.valid()]
+        leading = [n for n, node in simulation.controllers.items() if node.elector.valid()]
         assert len(leading) == 1
         assert len(simulation.running("run-s")) == 4
 
@@ -57,11 +57,11 @@
         await simulation.submit(job("run-a", shards=20, expectedRunS=8.0))
         await simulation.until(lambda: len(simulation.running("run-a")) > 3)
         old = await simulation.until_leader()
-        node = simulation.nodes[old]
+        node = simulation.controllers[old]
         node.watch_cache.listeners.remove(node.elector.on_key_changed)  # it does not notice
         lease = next(iter(simulation.store.leases))
         simulation.store._end_lease(lease)
-        await simulation.until(lambda: any(n.elector.valid() for k, n in simulation.nodes.items() if k != old), 5)
+        await simulation.until(lambda: any(n.elector.valid() for k, n in simulation.controllers.items() if k != old), 5)
         await simulation.until_phase("run-a", "done", 200)
         assert len(simulation.running("run-s")) == 2
 
@@ -133,7 +133,7 @@
         await simulation.until_phase("run-0", "done")
         await simulation.until_leader()
         until = trio.current_time() + 4
-        for node in simulation.nodes.values():
+        for node in simulation.controllers.values():
             node.elector.promised_until = until
             node.degraded_mode.on_promised(until)
         await simulation.submit(job("run-1"))
@@ -165,7 +165,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         label = await simulation.until_leader()
-        node = simulation.nodes[label]
+        node = simulation.controllers[label]
         term = node.elector.term
         await trio.sleep(5)
         # As after a pause of the process: no heartbeat was taken in and no lease renewal went out meanwhile.
@@ -210,7 +210,7 @@
 def test_a_stalled_loop_makes_the_leader_step_down() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old = await simulation.until_leader()
-        node = simulation.nodes[old]
+        node = simulation.controllers[old]
         node.scheduler.run_cycle = None  # type: ignore[assignment, method-assign]
 
         async def stuck() -> None:
@@ -241,7 +241,7 @@
         await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
         old = await simulation.until_leader()
-        others = [n for n in simulation.nodes if n != old]
+        others = [n for n in simulation.controllers if n != old]
         for other in ("store", "cloud", *others, *(f"{n}:peer" for n in others)):
             simulation.net.cut(old, other)
         simulation.net.cut(f"{old}:peer", f"{old}:peer")
@@ -252,7 +252,7 @@
         await trio.sleep(1)
         for item in [s for s in sent if s[1] == old][-3:]:
             assert (await send_copy(simulation, old, item)).status in (421, 503)
-        assert not simulation.nodes[old].degraded_mode.active()
+        assert not simulation.controllers[old].degraded_mode.active()
         await trio.sleep(20)
         assert len(simulation.running("run-s")) == 4 and len(simulation.starts) == before
 
--- a/tests/scenarios/test_machine_failures.py
+++ b/tests/scenarios/test_machine_failures.py
@@ -15,7 +15,7 @@
         machines = set(simulation.cloud.machines)
         old = await simulation.until_leader()
         for name in simulation.workers:
-            for label in simulation.nodes:
+            for label in simulation.controllers:
                 simulation.net.cut(name, label)
         simulation.kill(old)
         await simulation.until_leader(10)
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -21,17 +21,17 @@
 
 
 def status_of(simulation: SimulatedCluster, observer: str, label: str) -> Status:
-    membership = simulation.nodes[observer].membership
+    membership = simulation.controllers[observer].membership
     assert membership is not None
     return membership.view.peers[label].status
 
 
 def events(simulation: SimulatedCluster, label: str) -> dict[str, int]:
-    return simulation.nodes[label].counts
+    return simulation.controllers[label].counts
 
 
 def never_confirmed(simulation: SimulatedCluster) -> bool:
-    return not any(events(simulation, label).get("membership_confirmed") for label in simulation.nodes)
+    return not any(events(simulation, label).get("membership_confirmed") for label in simulation.controllers)
 
 
 async def until_all_alive(simulation: SimulatedCluster) -> None:
@@ -63,7 +63,7 @@
 def test_a_controller_back_within_a_fraction_of_a_second_is_a_new_process_and_never_confirmed(times: int) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
-        membership = simulation.nodes["n0"].membership
+        membership = simulation.controllers["n0"].membership
         assert membership is not None
         before = membership.view.peers["n2"].incarnation
         for _ in range(times):
@@ -135,7 +135,7 @@
         await trio.sleep(3 * LONGEST_DETECTION_S)
         assert never_confirmed(simulation)
         if deaf != "all":
-            membership = simulation.nodes[deaf].membership
+            membership = simulation.controllers[deaf].membership
             assert membership is not None
             await simulation.until(lambda: status_of(simulation, deaf, unheard) is Status.ALIVE, 5)
             assert "through" in membership.view.peers[unheard].evidence
@@ -223,7 +223,7 @@
         await trio.sleep(2 * LONGEST_DETECTION_S)
         assert never_confirmed(simulation)
         assert len(simulation.running("run-s")) == 3
-        membership = simulation.nodes["n0"].membership
+        membership = simulation.controllers["n0"].membership
         assert membership is not None and "version" in membership.view.peers["n2"].evidence
 
     run_scenario(scenario, membership=SETTINGS)
@@ -259,7 +259,7 @@
 def test_malformed_foreign_and_older_messages_are_refused_counted_and_change_nothing() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
-        node = simulation.nodes["n0"]
+        node = simulation.controllers["n0"]
         membership = node.membership
         assert membership is not None
         for path in ("/membership/heartbeat", "/membership/probe"):
@@ -282,11 +282,11 @@
         await until_all_alive(simulation)
         simulation.kill("n2")
         await simulation.until(lambda: status_of(simulation, "n0", "n2") is Status.CONFIRMED, LONGEST_DETECTION_S + 5)
-        reply = await simulation.nodes["n0"].handle(Request("GET", "/state", "", b""))
+        reply = await simulation.controllers["n0"].handle(Request("GET", "/state", "", b""))
         peers = msgspec.msgpack.decode(reply.body)["peers"]
         assert peers["n1"]["status"] == "alive" and peers["n2"]["status"] == "confirmed"
         assert "lease" in peers["n2"]["evidence"] and peers["n2"]["for_s"] >= 0
-        metrics = (await simulation.nodes["n0"].handle(Request("GET", "/metrics", "", b""))).body.decode()
+        metrics = (await simulation.controllers["n0"].handle(Request("GET", "/metrics", "", b""))).body.decode()
         assert 'sorrelsill_peer{peer="n2",status="confirmed"} 1.0' in metrics
 
     run_scenario(scenario, membership=SETTINGS)
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -24,7 +24,9 @@
 async def send_copies(simulation: SimulatedCluster, sent: list[SentMessage], count: int) -> None:
     """Copies reach whoever is there now: machines that still are, and every controller."""
     for src, dst, request in simulation.rng.sample(sent, min(count, len(sent))):
-        targets = [dst] if dst in simulation.workers else [n for n in simulation.nodes if n not in simulation.net.down]
+        targets = (
+            [dst] if dst in simulation.workers else [n for n in simulation.controllers if n not in simulation.net.down]
+        )
         for target in targets:
             with trio.move_on_after(1):
                 await simulation.net.handlers[target](src, request)
@@ -77,7 +79,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         await start_mixed_load(simulation)
         sent = record_messages(simulation, "/hello", "/commands")
-        for label in sorted(simulation.nodes):
+        for label in sorted(simulation.controllers):
             simulation.kill(label)
             for name in simulation.rng.sample(sorted(simulation.workers), 3):
                 simulation.kill_machine(name)
--- a/tests/scenarios/test_process_pause.py
+++ b/tests/scenarios/test_process_pause.py
@@ -69,7 +69,7 @@
         moments = freeze_once(simulation, leader, ACTIONS[action], answered, for_s)
         await simulation.submit(job("run-a", shards=12, vcpus=4.0, expectedRunS=6.0))
         await simulation.until(lambda: bool(moments), 60)
-        await simulation.until(lambda: not simulation.nodes[leader].elector.valid(), 10)
+        await simulation.until(lambda: not simulation.controllers[leader].elector.valid(), 10)
         await simulation.submit(job("run-b", shards=4))
         await simulation.cancel("run-a")
         await simulation.until(lambda: not simulation.frozen(leader), 20)
@@ -89,7 +89,7 @@
         simulation.cloud.capacity = 2
         await simulation.submit(job("run-a", shards=120, vcpus=2.0, expectedRunS=1.0, sizeGb=0.0))
         await simulation.until(lambda: len(simulation.finished) > 8)
-        elector = simulation.nodes[leader].elector
+        elector = simulation.controllers[leader].elector
         moments = freeze_once(
             simulation,
             leader,
--- a/tests/scenarios/test_scale_out.py
+++ b/tests/scenarios/test_scale_out.py
@@ -64,7 +64,7 @@
         await simulation.until_phase("run-1", "done")
         first = set(simulation.cloud.machines)
         await simulation.until(lambda: not simulation.cloud.machines)
-        leader = simulation.nodes[await simulation.until_leader()]
+        leader = simulation.controllers[await simulation.until_leader()]
         assert leader.leader_term is not None
         ghosts = {name: ListedMachine(name, "running", "c8", "a", False, 20.0) for name in first}
         leader.leader_term.fleet.take_list(ghosts, trio.current_time())
--- a/tests/scenarios/test_store_failures.py
+++ b/tests/scenarios/test_store_failures.py
@@ -50,14 +50,14 @@
 def test_a_short_store_outage_is_hardly_noticed() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
-        term = simulation.nodes[await simulation.until_leader()].elector.term
+        term = simulation.controllers[await simulation.until_leader()].elector.term
         before = len(simulation.starts)
         simulation.store.begin_outage()
         await trio.sleep(2)
         assert (await simulation.ask("n0", "POST", "/v2/runs", job("run-x")))[0] == 503
         simulation.store.end_outage()
         leader = await simulation.until_leader(5)
-        assert simulation.nodes[leader].elector.term == term
+        assert simulation.controllers[leader].elector.term == term
         assert len(simulation.starts) == before
 
     run_scenario(scenario)
@@ -91,7 +91,7 @@
         await simulation.submit(service("run-c", shards=2))
         await simulation.until(lambda: len(simulation.running("run-s")) == 2 and len(simulation.running("run-c")) == 2)
         old = await simulation.until_leader()
-        other = next(label for label in simulation.nodes if label != old)
+        other = next(label for label in simulation.controllers if label != old)
         simulation.kill(old)
         assert (await simulation.ask(other, "POST", "/v2/runs/run-c/cancel"))[1]["phase"] == "cancelled"
         await trio.sleep(0.1)
@@ -161,7 +161,7 @@
         await simulation.until(lambda: simulation.leader() not in (None, old), 15)
         await trio.sleep(5)
         assert (await simulation.ask(old, "GET", "/ready"))[0] == 503
-        assert not simulation.nodes[old].degraded_mode.active()
+        assert not simulation.controllers[old].degraded_mode.active()
         await simulation.submit(job("run-n"))
         await simulation.until_phase("run-n", "done")
         assert len(simulation.running("run-s")) == 4
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -70,7 +70,7 @@
 
 def test_a_refused_rate_lowers_it_for_good() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        leader = simulation.nodes[await simulation.until_leader()]
+        leader = simulation.controllers[await simulation.until_leader()]
         before = leader.store.writes.rate
         lower_limits(simulation)
 
@@ -101,7 +101,7 @@
 
     async def scenario(simulation: SimulatedCluster, seed: int) -> None:
         dice = random.Random(seed)
-        leader = simulation.nodes[await simulation.until_leader()]
+        leader = simulation.controllers[await simulation.until_leader()]
         shards = 16_000
         await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
         assert leader.cluster is not None
@@ -119,7 +119,7 @@
         known: set[int] = set()
         for _ in range(4):
             label = await simulation.until_leader()
-            node = simulation.nodes[label]
+            node = simulation.controllers[label]
             assert node.cluster is not None
             task = node.cluster.jobs["run-big"]
             have = {i for i in range(shards) if i in task.done}
@@ -162,7 +162,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         lower_limits(simulation)
         simulation.may_refuse = 2
-        leader = simulation.nodes[await simulation.until_leader()]
+        leader = simulation.controllers[await simulation.until_leader()]
         shards = 100_000
         await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
         assert leader.cluster is not None
@@ -174,7 +174,7 @@
         leader.cluster.pending_writes.records.add("run-big")
         await simulation.until(lambda: not task.unrecorded_parts, 40)
         simulation.kill(await simulation.until_leader())
-        after = simulation.nodes[await simulation.until_leader()]
+        after = simulation.controllers[await simulation.until_leader()]
         assert after.cluster is not None
         found = after.cluster.jobs["run-big"].done
         assert found.count == done.count and all(i in found for i in range(shards) if i in done)
@@ -241,7 +241,7 @@
             await simulation.submit(job(f"run-{number}", shards=2))
         for number in range(6):
             await simulation.until_phase(f"run-{number}", "done", 60)
-        state = simulation.nodes[await simulation.until_leader()].state()
+        state = simulation.controllers[await simulation.until_leader()].state()
         assert state.set_aside == 1 and state.refused >= 1
         assert len(refused) <= 6, "not again and again"
         await simulation.until_phase("run-odd", "done")
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -165,7 +165,7 @@
         await simulation.submit(job("run-red", shards=9, expectedRunS=30.0))
         await simulation.until(lambda: len(simulation.running("run-red")) == 8)
         await trio.sleep(2)
-        node = simulation.nodes[await simulation.until_leader()]
+        node = simulation.controllers[await simulation.until_leader()]
         assert msgspec.to_builtins(node.state())["teams"]["red"] == {
             "bound_cpus": 16.0,
             "bound_gpus": 0.0,
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -69,7 +69,7 @@
         async def scenario(simulation: SimulatedCluster) -> None:
             nonlocal won
             leader = await simulation.until_leader()
-            assert type(simulation.nodes[leader]).__module__ == production.package() + ".node"
+            assert type(simulation.controllers[leader]).__module__ == production.package() + ".node"
             first, last = (label for label in LABELS if label != leader)
             simulation.kill(first)
             await trio.sleep(0.5)
@@ -108,7 +108,7 @@
             held.hold_request = lambda src, dst, request: False
             held.release()
         for job_id in [u for u in simulation.specs if u != "run-s"]:
-            if job_id not in simulation.over:
+            if job_id not in simulation.final_phases:
                 await simulation.until_phase(job_id, "done", 200)
         await simulation.until(lambda: len(simulation.running("run-s")) == 4, 60)
 
@@ -192,7 +192,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         shards = 9000
         await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
-        node = simulation.nodes[await simulation.until_leader()]
+        node = simulation.controllers[await simulation.until_leader()]
         assert node.cluster is not None
         simulation.store.rev += 1
         simulation.store.kv["s/d/run-big/0"] = ("0-99", simulation.store.rev, None)
@@ -206,7 +206,7 @@
             simulation.kill(label)
             await trio.sleep(0.3)
             simulation.start(label)
-            node = simulation.nodes[await simulation.until_leader()]
+            node = simulation.controllers[await simulation.until_leader()]
             assert node.cluster is not None
             done = node.cluster.jobs["run-big"].done
             assert done.count == 200 and 0 in done and 299 in done
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -29,11 +29,11 @@
         self.net.sent = self._check_entitled
         self.store = FakeStore(txn_ops=txn_ops)
         self.teams = teams
-        self.nodes: dict[str, Controller] = {}
+        self.controllers: dict[str, Controller] = {}
         self.workers: dict[str, FakeWorker] = {}
         self.specs: dict[str, dict[str, Any]] = {}
         self.accepted: set[str] = set()
-        self.over: dict[str, str] = {}  # what users were told: uid -> done or cancelled
+        self.final_phases: dict[str, str] = {}  # what users were told: uid -> done or cancelled
         self.cancelled_at: dict[str, float] = {}
         self.started_cancelled = 0  # starts after their user was told that the job is cancelled
         self.starts: list[tuple[float, str, str]] = []  # time, task, machine
@@ -44,9 +44,9 @@
 
     def _check_entitled(self, src: str, dst: str, request: Request) -> None:
         """Only a leader within its validity may command workers, rent or return machines."""
-        node = self.nodes.get(src)
+        controller = self.controllers.get(src)
         acts = request.path == "/commands" or request.method == "POST" and request.path.startswith("/rentals")
-        if acts and isinstance(node, Controller) and not node.elector.valid():
+        if acts and isinstance(controller, Controller) and not controller.elector.valid():
             self.broken.append(f"not entitled: {src} sends {request.path} at {trio.current_time():.1f}")
 
     def _on_task_change(self, worker: FakeWorker, task_id: str, on: bool) -> None:
@@ -96,10 +96,10 @@
 
     def _check_indices(self) -> None:
         """What the leader's indices of machines say is what a walk over all machines finds."""
-        for label, node in self.nodes.items():
-            if not isinstance(node, Controller) or node.cluster is None:
+        for label, controller in self.controllers.items():
+            if not isinstance(controller, Controller) or controller.cluster is None:
                 continue
-            index, machines = node.cluster.index, node.cluster.machines.values()
+            index, machines = controller.cluster.index, controller.cluster.machines.values()
             ready = {m.name for m in machines if m.usable}
             free = {m.name for m in machines if m.usable and m.capacity_cpus - m.cpus > 1e-6}
             idle = {m.name for m in machines if not m.bound_count}
@@ -123,10 +123,10 @@
             self.broken.append(f"invented: {job_id}")
         self.accepted.add(job_id)
         phase = answer["phase"]
-        if job_id in self.over and phase != self.over[job_id]:
-            self.broken.append(f"went_back: {job_id} from {self.over[job_id]} to {phase}")
+        if job_id in self.final_phases and phase != self.final_phases[job_id]:
+            self.broken.append(f"went_back: {job_id} from {self.final_phases[job_id]} to {phase}")
         if phase in ("done", "cancelled"):
-            self.over[job_id] = phase
+            self.final_phases[job_id] = phase
             if phase == "cancelled":
                 self.cancelled_at.setdefault(job_id, trio.current_time())
             missing = [i for i in range(self.specs[job_id]["shards"]) if f"{job_id}/{i}" not in self.finished]
--- a/tests/simulation/simulated_cluster.py
+++ b/tests/simulation/simulated_cluster.py
@@ -85,24 +85,24 @@
         settings = Settings(label, label, Services("cloud", "store"), facts, members=members)
         rng = random.Random(self.rng.random())
         if old:
-            node: Controller = production.make_node(settings, rng, self.net, label, trio.current_time)
+            controller: Controller = production.make_node(settings, rng, self.net, label, trio.current_time)
         else:
             client = self.net.client(label)
-            node = Controller(settings, OperatorOverrides(), rng, client, trio.current_time, self._membership)
+            controller = Controller(settings, OperatorOverrides(), rng, client, trio.current_time, self._membership)
 
         gate = self._gates[label] = Gate()
         self._processors[label] = trio.Lock()
 
         async def users(src: str, request: Request) -> Reply:
             await self._compute(label)
-            reply: Reply = await gate.under(node.handle, request)
+            reply: Reply = await gate.under(controller.handle, request)
             return reply
 
         async def peers(src: str, request: Request) -> Reply:
-            reply: Reply = await gate.under(node.handle_peer, request)
+            reply: Reply = await gate.under(controller.handle_peer, request)
             return reply
 
-        self.nodes[label] = node
+        self.controllers[label] = controller
         self.net.handlers[label], self.net.handlers[f"{label}:peer"] = users, peers
         self.net.down -= {label, f"{label}:peer"}
         scope = self._scopes[label] = trio.CancelScope()
@@ -110,10 +110,10 @@
         async def run() -> None:
             self._gated.put_under(gate)
             with scope:
-                await gate.under(node.run)
+                await gate.under(controller.run)
 
         self.nursery.start_soon(run)
-        return node
+        return controller
 
     async def _compute(self, label: str) -> None:
         """A request uses the controller's only processor: everything else of it waits meanwhile."""
@@ -142,7 +142,7 @@
 
     async def stop(self, label: str) -> None:
         """As planned: it gives its duties away, and then its process ends."""
-        await self._gates[label].under(self.nodes[label].drain)
+        await self._gates[label].under(self.controllers[label].drain)
         self.kill(label)
 
     def kill(self, label: str) -> None:
@@ -169,12 +169,14 @@
 
     def cluster_state(self, label: str) -> ClusterState:
         """What the leader with this label knows of the machines."""
-        cluster = self.nodes[label].cluster
+        cluster = self.controllers[label].cluster
         assert cluster is not None
         return cluster
 
     def leader(self) -> str | None:
-        leading = [n for n, node in self.nodes.items() if n not in self.net.down and node.elector.valid()]
+        leading = [
+            n for n, controller in self.controllers.items() if n not in self.net.down and controller.elector.valid()
+        ]
         return leading[0] if leading else None
 
     async def until_leader(self, limit: float = 30.0) -> str:
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -25,7 +25,7 @@
         machine_type: str,
         zone: str,
         spot: bool,
-        nodes: dict[str, str],
+        controllers: dict[str, str],
         client: Callable[[str], Client],
         heartbeat_interval_s: float,
         lease_s: float,
@@ -35,9 +35,9 @@
     ) -> None:
         self._gangs = gangs
         self.name, self.machine_type, self.zone, self.spot = name, machine_type, zone, spot
-        self._nodes = nodes  # label -> address
-        self._clients = {label: client(addr) for label, addr in nodes.items()}
-        self._controller = sorted(nodes)[0]
+        self._controllers = controllers  # label -> address
+        self._clients = {label: client(addr) for label, addr in controllers.items()}
+        self._controller = sorted(controllers)[0]
         self.heartbeat_interval_s, self.lease_s = heartbeat_interval_s, lease_s
         self._specs, self._on_task_change = specs, on_task_change
         self.incarnation, self.sequence_number, self.fencing_token = 1, 0, 0
@@ -200,7 +200,7 @@
         if self.dead or self.hung:
             return
         answer = _decode(raw) if raw else {}
-        if status == 421 and answer.get("upstream") in self._nodes and answer["upstream"] != self._controller:
+        if status == 421 and answer.get("upstream") in self._controllers and answer["upstream"] != self._controller:
             self._controller = answer["upstream"]
             self._changed()
         elif status != 200:
@@ -214,7 +214,7 @@
 
     async def _try_next_controller(self) -> None:
         await trio.sleep(1.0)
-        labels = sorted(self._nodes)
+        labels = sorted(self._controllers)
         self._controller = labels[(labels.index(self._controller) + 1) % len(labels)]
 
     async def live(self) -> None:
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -39,7 +39,7 @@
 
         simulation.net.handlers[name] = handle
 
-    for label in simulation.nodes:
+    for label in simulation.controllers:
         wrap(label)
         wrap(f"{label}:peer")
     return exchanges
@@ -73,9 +73,9 @@
 
 async def restart_all(simulation: SimulatedCluster) -> str:
     """New processes, which read everything from the store; returns the leader's label."""
-    for label in list(simulation.nodes):
+    for label in list(simulation.controllers):
         simulation.kill(label)
-    for label in list(simulation.nodes):
+    for label in list(simulation.controllers):
         simulation.start(label)
     return await simulation.until_leader()
 
@@ -451,7 +451,7 @@
             simulation.store.begin_outage()
             await trio.sleep(4)
         body = orjson.dumps({"promise": True, "back": 20.0})
-        for label in simulation.nodes:
+        for label in simulation.controllers:
             reply = await simulation.net.handlers[f"{label}:peer"]("peer", Request("POST", "/promise", "", body))
             answer = orjson.loads(reply.body)
             known = answer["known"]
@@ -526,7 +526,7 @@
         leader = await until_ready(simulation)
         await simulation.submit(job("run-a", shards=2, vcpus=1.0))
         await simulation.until_phase("run-a", "done")
-        follower = next(label for label in simulation.nodes if label != leader)
+        follower = next(label for label in simulation.controllers if label != leader)
         for label in (leader, follower):
             _, state = await simulation.ask(label, "GET", "/state")
             assert list(state) == STATE_NAMES
@@ -571,7 +571,7 @@
         leader = await until_ready(simulation)
         await simulation.submit(job("run-a", shards=2, vcpus=1.0))
         await simulation.until_phase("run-a", "done")
-        for label in simulation.nodes:
+        for label in simulation.controllers:
             await simulation.poll("run-a", label)
             page = (await simulation.ask_raw(label, "/metrics")).decode()
             names = {re.split("[{ ]", line)[0] for line in page.splitlines() if line and not line.startswith("#")}
