--- a/tests/processes/deployment.py
+++ b/tests/processes/deployment.py
@@ -99,7 +99,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(trio.serve_listeners, server.serve_stream, [listener])
                 nursery.start_soon(worker.run)
-                nursery.start_soon(worker.live)
+                nursery.start_soon(worker.run_tasks)
 
     def hang_one(self, for_s: float) -> None:
         """The machine with most tasks does nothing for so long, and then goes on."""
@@ -119,7 +119,7 @@
         if worker is not None:
             worker.dead = True
             for task_id in list(worker.active_tasks):
-                worker._put(task_id, False)
+                worker._set_active(task_id, False)
             self._scopes[name].cancel()
 
     def _on_task_change(self, worker: FakeWorker, task_id: str, on: bool) -> None:
--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -159,7 +159,7 @@
         leader = await two_services(simulation, "run-c")
         first, second = others(leader)
         simulation.kill(first)
-        simulation.start(first, old=True)
+        simulation.start(first, production_version=True)
         await trio.sleep(60)
         assert await simulation.until_leader() == leader
         # The former version goes on renewing, so the workers only reach the refused leader.
--- a/tests/scenarios/test_delayed_messages.py
+++ b/tests/scenarios/test_delayed_messages.py
@@ -121,7 +121,7 @@
             if src == first and request.path == "/hello" and b"run-s/0" in request.body:
                 old.append(request)
 
-        simulation.net.copy = keep
+        simulation.net.copy_request = keep
         await trio.sleep(3)
         simulation.cut_machine(first)
         await simulation.until(lambda: [h for _, h in simulation.running("run-s")] not in ([], [first]), 60)
--- a/tests/scenarios/test_failing_tasks.py
+++ b/tests/scenarios/test_failing_tasks.py
@@ -9,7 +9,7 @@
     """Tasks of these jobs fail on every machine, and every task on these machines."""
 
     def on(name: str) -> None:
-        simulation.workers[name].fail = lambda task_id: task_id.rpartition("/")[0] in mistaken or name in faulty
+        simulation.workers[name].task_fails = lambda task_id: task_id.rpartition("/")[0] in mistaken or name in faulty
 
     for name in list(simulation.workers):
         on(name)
@@ -67,7 +67,7 @@
         await simulation.submit(job("run-a", shards=4))
         await simulation.until(lambda: len(simulation.running("run-a")) > 0)
         name = simulation.running("run-a")[0][1]
-        simulation.workers[name].fail = lambda task_id: True
+        simulation.workers[name].task_fails = lambda task_id: True
         await simulation.submit(job("run-b", shards=4))
         await simulation.until_phase("run-a", "done")
         await simulation.until_phase("run-b", "done")
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -70,8 +70,8 @@
     """After a failover with fifty silent machines, their whole size filled each small team's limit for a lease."""
     leader = LeaderInMemory(MACHINES, registered=True)
     silent = [n for n in leader.names if leader.spot(n)][:50]
-    leader.add(array_job("run-old", shards=40, owner="red"), old=True)
-    leader.add(array_job("run-ordinary", shards=40, owner="red", reclaimable=False), old=True)
+    leader.add(array_job("run-old", shards=40, owner="red"), from_earlier_term=True)
+    leader.add(array_job("run-ordinary", shards=40, owner="red", reclaimable=False), from_earlier_term=True)
     leader.cluster.add_ended_job(array_job("run-over", shards=20, owner="red"), TaskSet(20))
     leader.cluster.add_ended_job(array_job("run-over-ordinary", shards=20, owner="red", reclaimable=False), TaskSet(20))
     leader.cluster.failover.set_all_ended_known(True)
@@ -90,7 +90,7 @@
 
 def test_a_job_that_ends_unseen_still_counts_toward_its_teams_limit() -> None:
     leader = LeaderInMemory(60, registered=True)
-    leader.add(array_job("run-old", shards=200, owner="red"), old=True)
+    leader.add(array_job("run-old", shards=200, owner="red"), from_earlier_term=True)
     leader.cluster.failover.set_all_ended_known(True)
     assert leader.cluster.unobserved("red") == (200.0, 0.0)
     leader.cluster.end_job("run-old")
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -44,7 +44,7 @@
         await simulation.until_phase("run-g", "running", 3)
         await simulation.until_phase("run-g", "done")
         assert await simulation.submit(group("run-g")) == 200
-        assert len(simulation.gangs.begun) == 1 and simulation.gangs.reasons == ["done"] * 6
+        assert len(simulation.gangs.starts) == 1 and simulation.gangs.exit_causes == ["done"] * 6
 
     run_scenario(scenario, teams=[Team("red", cpus_max=20.0)])
 
@@ -74,10 +74,10 @@
         machines = await runs(simulation, "run-g")
         await trio.sleep(11)
         simulation.kill_machine(machines[0])
-        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
-        assert simulation.gangs.saved["run-g"] >= 8, "from the last checkpoint"
+        await simulation.until(lambda: len(simulation.gangs.starts) == 2, 60)
+        assert simulation.gangs.saved_progress["run-g"] >= 8, "from the last checkpoint"
         await simulation.until_phase("run-g", "done")
-        assert len({n for _, n in simulation.gangs.begun}) == 2, "each start has a number of its own"
+        assert len({n for _, n in simulation.gangs.starts}) == 2, "each start has a number of its own"
         _, answer = await simulation.ask("n0", "GET", "/v2/runs/run-g/why")
         assert any("started anew" in note or "not whole" in note for note in answer["why"])
 
@@ -91,7 +91,7 @@
         victim = next(n for n, w in simulation.workers.items() if w.tasks)
         simulation.kill_machine(victim)
         await simulation.until_phase("run-g", "done", 120)
-        assert len(simulation.gangs.begun) == 1
+        assert len(simulation.gangs.starts) == 1
 
     run_scenario(scenario)
 
@@ -104,8 +104,8 @@
         simulation.workers[machines[0]].spot_reclaim_at = trio.current_time() + 12
         await trio.sleep(12)
         simulation.kill_machine(machines[0])
-        assert simulation.gangs.saved.get("run-g", 0) > 10, "in order, and as late as is safe"
-        assert simulation.gangs.reasons == ["halted"] * 6
+        assert simulation.gangs.saved_progress.get("run-g", 0) > 10, "in order, and as late as is safe"
+        assert simulation.gangs.exit_causes == ["halted"] * 6
         await simulation.until_phase("run-g", "done", 200)
 
     run_scenario(scenario)
@@ -191,12 +191,12 @@
         assert len(machines) == 2
         await trio.sleep(15)
         simulation.net.hold_request = lambda src, dst, request: src == machines[0]
-        await simulation.until(lambda: "run-g" in simulation.gangs.done)
+        await simulation.until(lambda: "run-g" in simulation.gangs.completed_jobs)
         simulation.kill_machine(machines[0])
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until_phase("run-g", "done", 10)
         await trio.sleep(40)
-        assert len(simulation.gangs.begun) == 1 and len(simulation.starts) == 4
+        assert len(simulation.gangs.starts) == 1 and len(simulation.starts) == 4
 
     run_scenario(scenario)
 
@@ -220,7 +220,7 @@
         await trio.sleep(3)
         simulation.net.release()  # the late starts come while nobody leads, or a new one does
         await simulation.until_phase("run-g", "done", 120)
-        assert len(simulation.gangs.begun) == 1
+        assert len(simulation.gangs.starts) == 1
 
     run_scenario(scenario)
 
@@ -242,7 +242,7 @@
         simulation.kill(leader)
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until_leader()
-        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
+        await simulation.until(lambda: len(simulation.gangs.starts) == 2, 60)
         await simulation.until_phase("run-g", "done", 120)
 
     run_scenario(scenario)
@@ -254,9 +254,9 @@
         machines = await runs(simulation, "run-g")
         simulation.workers[machines[0]].hung = True
         await trio.sleep(8)
-        assert set(simulation.gangs.reasons) == {"peers"}
+        assert set(simulation.gangs.exit_causes) == {"peers"}
         simulation.workers[machines[0]].hung = False
-        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
+        await simulation.until(lambda: len(simulation.gangs.starts) == 2, 60)
         machines = await runs(simulation, "run-g")
         hears_no_worker = machines[0]
         simulation.net.drop_answers = lambda src, dst, request: src == hears_no_worker and request.path == "/hello"
@@ -277,7 +277,7 @@
         for worker in list(simulation.workers.values())[1:]:
             worker.pull_rate = 0.05
         await simulation.submit(group("run-g", shards=8, bundle="other", oneZone=False))
-        await simulation.until(lambda: "alone" in simulation.gangs.reasons, 60)
+        await simulation.until(lambda: "alone" in simulation.gangs.exit_causes, 60)
         leader = simulation.controllers[await simulation.until_leader()]
         await trio.sleep(2)
         assert leader.cluster is not None
@@ -303,7 +303,7 @@
         machines = await runs(simulation, "run-g")
         simulation.cut_machine(machines[0])
         began = trio.current_time()
-        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
+        await simulation.until(lambda: len(simulation.gangs.starts) == 2, 60)
         assert trio.current_time() - began > 10
         simulation.net.heal()
         await simulation.until_phase("run-g", "done", 200)
--- a/tests/scenarios/test_large_fleet.py
+++ b/tests/scenarios/test_large_fleet.py
@@ -191,7 +191,7 @@
     def cost(machines: int) -> float:
         leader = LeaderInMemory(machines, registered=True)
         for number in range(machines // MACHINES_PER_JOB):
-            leader.add(array_job(f"run-{number}", shards=64, owner="blue"), old=True)
+            leader.add(array_job(f"run-{number}", shards=64, owner="blue"), from_earlier_term=True)
         leader.cluster.failover.set_all_ended_known(True)
         calls = count_calls(lambda: leader.all_send_heartbeats(leader.names))
         assert not leader.cluster.failover.unconfirmed or len(leader.cluster.failover.unconfirmed) == machines
--- a/tests/scenarios/test_machine_failures.py
+++ b/tests/scenarios/test_machine_failures.py
@@ -71,7 +71,7 @@
         worker = simulation.workers[name]
         worker.hung = True
         for task_id in list(worker.active_tasks):
-            worker._put(task_id, False)  # a hung machine does not execute its tasks
+            worker._set_active(task_id, False)  # a hung machine does not execute its tasks
         await trio.sleep(25)
         worker.hung = False
         await simulation.until_phase("run-a", "done")
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -197,7 +197,7 @@
             if request.path.startswith("/membership/") and src == "n2":
                 kept.append((src, dst, request))
 
-        simulation.net.copy = keep
+        simulation.net.copy_request = keep
         await until_all_alive(simulation)
         simulation.kill("n2")
         both = ("n0", "n1")
@@ -214,7 +214,7 @@
 def test_a_controller_of_the_former_version_counts_as_living_and_the_work_goes_on() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.kill("n2")
-        simulation.start("n2", old=True)
+        simulation.start("n2", production_version=True)
         await simulation.submit(service("run-s", shards=3))
         await simulation.submit(job("run-a", shards=4))
         await simulation.until_phase("run-a", "done")
@@ -234,7 +234,7 @@
         await until_all_alive(simulation)
         simulation.kill("n2")
         await trio.sleep(0.5)
-        simulation.start("n2", old=True)
+        simulation.start("n2", production_version=True)
         await trio.sleep(30)
         suspected = events(simulation, "n0").get("membership_suspected", 0)
         await trio.sleep(30)
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -150,7 +150,7 @@
             simulation.start(leader)
             await simulation.until_leader()
             await simulation.cancel(names[3 * turn + 2])
-        assert simulation.started_cancelled == 0
+        assert simulation.starts_after_cancellation == 0
         await simulation.until(lambda: not any(simulation.running(job_id) for job_id in names), 15)
 
     run_scenario(scenario)
@@ -200,7 +200,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
-        simulation.net.late = lambda src, dst, request: (
+        simulation.net.late_delivery_s = lambda src, dst, request: (
             12.0 if request.path == "/multi" and b"s/m/" in request.body else None
         )
         await simulation.submit(job("run-a", shards=8, vcpus=2.0, expectedRunS=25.0))
@@ -271,7 +271,9 @@
                     simulation.kill(leader)
                     nursery.start_soon(simulation.restart_later, leader, 4.0)
                 await trio.sleep(0.25)
-        assert cancelled > 50 and simulation.started_cancelled <= cancelled // 10, simulation.started_cancelled
+        assert cancelled > 50 and simulation.starts_after_cancellation <= cancelled // 10, (
+            simulation.starts_after_cancellation
+        )
         await simulation.wait_for_convergence()
 
     run_scenario(scenario)
--- a/tests/scenarios/test_process_pause.py
+++ b/tests/scenarios/test_process_pause.py
@@ -39,13 +39,13 @@
             simulation.freeze(label, for_s)
 
     if answered:
-        check = simulation.net.sent
+        check = simulation.net.on_sent
 
         def after(src: str, dst: str, request: Request) -> None:
             check(src, dst, request)
             hook(src, dst, request)
 
-        simulation.net.sent = after
+        simulation.net.on_sent = after
     else:
         simulation.net.on_connected = hook
     return moments
@@ -124,7 +124,7 @@
                 frozen.append(trio.current_time())
                 simulation.freeze(other, 3.0)
 
-        simulation.net.sent = hook
+        simulation.net.on_sent = hook
         async with trio.open_nursery() as nursery:
             for job_id in [*job_ids, "run-new"]:
                 nursery.start_soon(simulation.ask, other, "GET", f"/v2/runs/{job_id}")
--- a/tests/scenarios/test_read_consistency.py
+++ b/tests/scenarios/test_read_consistency.py
@@ -87,7 +87,7 @@
         await simulation.until_leader()
         held: list[str] = []
 
-        def late(src: str, dst: str, request: Request) -> float | None:
+        def late_delivery_s(src: str, dst: str, request: Request) -> float | None:
             if request.path != "/multi" or held:
                 return None
             writes = msgspec.msgpack.decode(request.body)["writes"]
@@ -96,7 +96,7 @@
                 return 12.0
             return None
 
-        simulation.net.late = late
+        simulation.net.late_delivery_s = late_delivery_s
         await simulation.submit(job("run-a", shards=2, expectedRunS=3.0))
         await simulation.until_phase("run-a", "done")
         assert held
--- a/tests/scenarios/test_scale_out.py
+++ b/tests/scenarios/test_scale_out.py
@@ -28,15 +28,15 @@
         print("twenty after", trio.current_time() - began)
         await simulation.until_phase("run-a", "done", 240)
         spent = trio.current_time() - began
-        print("spent", spent, "rented", sum(count for _, count in cloud.rented), "calls", cloud.calls)
+        print("spent", spent, "rented", sum(count for _, count in cloud.rented), "calls", cloud.request_count)
         assert spent < 180, f"done after {spent:.0f} s"
-        assert cloud.calls < 1.5 * spent + 10, "the cloud's rate"
+        assert cloud.request_count < 1.5 * spent + 10, "the cloud's rate"
         rented = sum(count for _, count in cloud.rented)
         assert rented <= 40, f"{rented} machines were rented for the work of 12"
         await trio.sleep(90)
         for name, machine in cloud.machines.items():
             assert name in simulation.workers, f"{name} was never up and is paid for since {machine['born']:.0f} s"
-        lost = [seconds for name, seconds in cloud.paid.items() if name not in simulation.ever_up]
+        lost = [seconds for name, seconds in cloud.paid_s.items() if name not in simulation.booted_machines]
         assert lost, "some never came up"
         print("lost", sorted(lost))
         assert max(lost) < 50, f"paid for {max(lost):.0f} s, with boots of 5 s"
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -48,7 +48,7 @@
         assert simulation.store.throttled <= 12, "the rate is kept once it was met"
         assert max(sizes(simulation, "s/")) <= SMALL
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, next_limits=COMING)
 
 
 def test_progress_is_written_at_the_lower_rate_too_but_never_before_what_is_urgent() -> None:
@@ -65,7 +65,7 @@
         await trio.sleep(8)
         assert (await simulation.poll("run-a"))[1]["done"] > answer["done"]
 
-    run_scenario(scenario, coming=NextLimits(write_rps=18.0, value_kb=2.0, txn_ops=5))
+    run_scenario(scenario, next_limits=NextLimits(write_rps=18.0, value_kb=2.0, txn_ops=5))
 
 
 def test_a_refused_rate_lowers_it_for_good() -> None:
@@ -85,7 +85,7 @@
         assert 0 < simulation.store.throttled <= 12
         assert leader.store.writes.rate < before
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, next_limits=COMING)
 
 
 def scattered(shards: int, seed: int = 5) -> TaskSet:
@@ -152,16 +152,16 @@
     for seed in range(3):
 
         async def run_seed(simulation: SimulatedCluster, seed: int = seed) -> None:
-            simulation.may_refuse = 7  # each process learns of the limits by one refusal
+            simulation.allowed_refusals = 7  # each process learns of the limits by one refusal
             await scenario(simulation, seed)
 
-        run_scenario(run_seed, seed=seed, coming=COMING)
+        run_scenario(run_seed, seed=seed, next_limits=COMING)
 
 
 def test_a_hundred_thousand_tasks_in_no_order_fit_small_values() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         lower_limits(simulation)
-        simulation.may_refuse = 2
+        simulation.allowed_refusals = 2
         leader = simulation.controllers[await simulation.until_leader()]
         shards = 100_000
         await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
@@ -182,7 +182,7 @@
         await simulation.until_phase("run-x", "done")
         assert max(sizes(simulation, "s/")) <= SMALL
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, next_limits=COMING)
 
 
 def test_a_record_accepted_under_larger_limits_lives_to_its_end_under_smaller_ones() -> None:
@@ -191,7 +191,7 @@
         assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long)) == 201
         await simulation.until(lambda: len(simulation.running("run-long")) > 0)
         lower_limits(simulation)
-        simulation.may_refuse = 3
+        simulation.allowed_refusals = 3
         assert await simulation.submit(job("run-next", **long), 5) in (400, 201)
         assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long)) == 200, (
             "known: not judged anew"
@@ -201,13 +201,13 @@
         await simulation.submit(job("run-x"))
         await simulation.until_phase("run-x", "done")
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, next_limits=COMING)
 
 
 def test_one_submission_that_is_too_long_does_not_hold_up_its_batch() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         lower_limits(simulation)
-        simulation.may_refuse = 6
+        simulation.allowed_refusals = 6
         long = {"flavours": ["c8", *(f"type-{n:04d}" for n in range(190))]}
         answers: dict[str, int] = {}
 
@@ -220,13 +220,13 @@
                 nursery.start_soon(user, f"run-{number}")
         assert answers == {"run-long": 400, **{f"run-{n}": 201 for n in range(8)}}
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, next_limits=COMING)
 
 
 def test_a_write_that_is_refused_alone_is_quarantined_and_the_rest_goes_on() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         refused = []
-        judge = simulation.store._too_large
+        judge = simulation.store._exceeded_limit
 
         def odd(body: dict[str, Any]) -> str | None:
             if any(w.get("set") == job_key("run-odd") for w in body["writes"]) and body["if"][0]["k"] == "s/leader":
@@ -234,8 +234,8 @@
                 return "for a reason of its own"
             return judge(body)
 
-        simulation.store._too_large = odd  # type: ignore[method-assign]
-        simulation.may_refuse = 40
+        simulation.store._exceeded_limit = odd  # type: ignore[method-assign]
+        simulation.allowed_refusals = 40
         await simulation.submit(job("run-odd", shards=3, expectedRunS=20.0))
         for number in range(6):
             await simulation.submit(job(f"run-{number}", shards=2))
@@ -286,7 +286,7 @@
             simulation.store.kv[key] = (full, simulation.store.rev, None)
             simulation.store.log.append((simulation.store.rev, key, full, True))
         lower_limits(simulation)
-        simulation.may_refuse = 3  # each process learns of the limits by one refusal
+        simulation.allowed_refusals = 3  # each process learns of the limits by one refusal
         await simulation.submit(job("run-a", shards=12))
         await simulation.until_phase("run-a", "done", 60)
         simulation.kill(await simulation.until_leader())
@@ -305,7 +305,7 @@
             120,
         )
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, next_limits=COMING)
 
 
 def test_progress_chunks_of_a_finished_job_are_garbage_collected() -> None:
@@ -344,7 +344,7 @@
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until_phase("run-a", "done", 200)
 
-    run_scenario(scenario, coming=COMING)
+    run_scenario(scenario, next_limits=COMING)
 
 
 def test_a_machine_in_two_chunks_of_the_registry_is_confirmed_once() -> None:
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -114,7 +114,7 @@
 def test_a_job_that_ends_in_the_term_counts_each_task_once() -> None:
     leader = leader_after_takeover(3)
     run_by_earlier_leader(leader, leader.names[0], "run-old", 4)
-    leader.add(array_job("run-old", shards=6, owner="red"), old=True)
+    leader.add(array_job("run-old", shards=6, owner="red"), from_earlier_term=True)
     leader.cluster.on_heartbeat(leader.next_heartbeat(leader.names[0]), leader.now)
     assert leader.cluster.team_use("red").total == (16.0, 0.0)
     leader.cluster.end_job("run-old")
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -59,7 +59,7 @@
         count = {s: sum(1 for _, t, _ in simulation.starts if t == s) for _, s, _ in simulation.starts}
         assert set(count.values()) == {1}, "no task was started twice"
 
-    run_scenario(scenario, seed=turn, old=True, coming=COMING)
+    run_scenario(scenario, seed=turn, production_version=True, next_limits=COMING)
 
 
 def test_a_new_controller_takes_the_key_before_old_ones_that_still_have_to_go() -> None:
@@ -79,7 +79,7 @@
             await simulation.until(lambda: simulation.leader() is not None, 10)
             won += simulation.leader() == first
 
-        run_scenario(scenario, seed=seed, old=True, coming=COMING)
+        run_scenario(scenario, seed=seed, production_version=True, next_limits=COMING)
     assert won >= 5
 
 
@@ -96,7 +96,7 @@
             held = simulation.net
             held.hold_request = lambda src, dst, request: dice.random() < 0.02
             await trio.sleep(dice.choice((0.2, 2.0, 5.0)))
-            simulation.start(label, old=dice.random() < 0.5)
+            simulation.start(label, production_version=dice.random() < 0.5)
             assert await simulation.submit(job(f"run-{number}", shards=3)) in (200, 201)
             if number % 3 == 0:
                 await simulation.cancel(f"run-{number}")
@@ -117,7 +117,7 @@
         async def told(simulation: SimulatedCluster, seed: int = seed) -> None:
             await scenario(simulation, seed)
 
-        run_scenario(told, seed=seed, old=True, coming=COMING)
+        run_scenario(told, seed=seed, production_version=True, next_limits=COMING)
 
 
 def test_degraded_mode_of_both_versions_keeps_every_task() -> None:
@@ -135,7 +135,7 @@
         assert sorted(simulation.running("run-s")) == before
         await simulation.until_phase("run-slow", "done")
 
-    run_scenario(scenario, old=True, coming=COMING)
+    run_scenario(scenario, production_version=True, next_limits=COMING)
 
 
 def test_late_copies_for_former_processes_reach_the_new_ones_and_harm_nothing() -> None:
@@ -161,7 +161,7 @@
         await simulation.until_phase("run-slow", "done")
         assert len(simulation.running("run-s")) == 4
 
-    run_scenario(scenario, old=True, coming=COMING)
+    run_scenario(scenario, production_version=True, next_limits=COMING)
 
 
 def test_one_that_dies_before_its_turn_comes_back_old_and_an_operator_goes_back() -> None:
@@ -170,20 +170,20 @@
         await upgrade(simulation, ["n0"])
         simulation.kill("n2")
         await trio.sleep(0.3)
-        simulation.start("n2", old=True)
+        simulation.start("n2", production_version=True)
         await trio.sleep(5)
         await upgrade(simulation, ["n1", "n2"])
         for label in LABELS:  # and back
             simulation.kill(label)
             await trio.sleep(1)
-            simulation.start(label, old=True)
+            simulation.start(label, production_version=True)
             await trio.sleep(9)
         await simulation.until_phase("run-slow", "done")
         assert await simulation.submit(job("run-last")) == 201
         await simulation.until_phase("run-last", "done")
         assert len(simulation.running("run-s")) == 4
 
-    run_scenario(scenario, old=True, coming=COMING)
+    run_scenario(scenario, production_version=True, next_limits=COMING)
 
 
 def test_what_an_old_leader_adds_to_a_job_kept_in_parts_is_not_lost() -> None:
@@ -222,14 +222,14 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-g", shape="group", shards=6, oneZone=True, expectedRunS=30.0))
-        await simulation.until(lambda: len(simulation.gangs.begun) == 1)
+        await simulation.until(lambda: len(simulation.gangs.starts) == 1)
         for label in LABELS:
             simulation.kill(label)
             await trio.sleep(1)
-            simulation.start(label, old=True)
+            simulation.start(label, production_version=True)
             await trio.sleep(6)
         await simulation.until_phase("run-g", "done", 200)
-        assert len(simulation.gangs.begun) == 1
+        assert len(simulation.gangs.starts) == 1
 
     run_scenario(scenario)
 
--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,5 +1,5 @@
-"""A simulated cluster: network, state service, cloud, workers and users after the protocol, in memory and on a virtual
-clock. It checks the protocol's rules as a scenario goes."""
+"""A simulated cluster: network, key-value store, cloud, workers and users that follow the protocol, in memory and on a
+virtual clock. It checks the protocol's rules while a scenario runs."""
 
 from tests.simulation.cloud import FakeCloud, machine_name
 from tests.simulation.counting import count_calls
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud after the protocol page: request names, boot times, a list that lags."""
+"""A fake of the cloud's API: idempotent rental requests, boot times and a machine list that lags behind."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 _encode = msgspec.msgpack.encode
 _decode = msgspec.msgpack.decode
 
-PAGE = 500  # machines; the most that one page of the list holds
+MAX_PAGE_SIZE = 500  # machines in one page of the machine list
 
 FLAVOUR = {
     "sku": "c8",
@@ -31,7 +31,7 @@
 
 
 def machine_name(number: int) -> str:
-    """Machines are named by their address here, so that one name serves both."""
+    """Return the name of a machine; it is also the machine's address."""
     return f"10.1.{number // 200}.{number % 200}:9000"
 
 
@@ -41,16 +41,19 @@
         self.capacity = capacity
         self.lag_s = lag_s
         self.machines: dict[str, dict[str, Any]] = {}
-        self.done: dict[str, list[str]] = {}  # request name -> its answer
+        self.answered_requests: dict[
+            str, list[str]
+        ] = {}  # request id -> names of the rented machines, for repeated requests
         self.on_return: Callable[[str], None] = lambda name: None
         self.name_of: Callable[[int], str] = machine_name
         self.outage = False
-        self.page = PAGE  # machines in one answer
-        self.never_boots: set[int] = set()  # machine numbers that stay booting
-        self.boot_times: Callable[[int], float] = lambda number: 1.0  # of the published boot time, by machine number
-        self.rented: list[tuple[float, int]] = []  # when, how many
-        self.calls = 0
-        self.paid: dict[str, float] = {}  # machine -> seconds until it was returned
+        self.page_size = MAX_PAGE_SIZE  # machines; may be set lower than what the client asks for
+        self.never_boots: set[int] = set()  # numbers of the machines that never finish booting
+        # Boot time of a machine, by its number, as a multiple of the published boot time.
+        self.boot_times: Callable[[int], float] = lambda number: 1.0
+        self.rented: list[tuple[float, int]] = []  # time, number of machines
+        self.request_count = 0
+        self.paid_s: dict[str, float] = {}  # machine -> seconds from its rental until its return
         self._count = 0
 
     def add(self, machine_type: str, zone: str, spot: bool) -> str:
@@ -72,18 +75,18 @@
         while True:
             now = trio.current_time()
             for item in list(self.machines.values()):
-                up = item["number"] not in self.never_boots and now - item["born"] >= (
+                booted = item["number"] not in self.never_boots and now - item["born"] >= (
                     FLAVOUR["bootS"] * self.boot_times(item["number"])  # type: ignore[operator]
                 )
-                if item["phase"] == "booting" and up:
+                if item["phase"] == "booting" and booted:
                     item["phase"] = "running"
                     self._boot(item["uid"], item["flavour"], item["region"], item["reclaimable"])
             await trio.sleep(0.25)
 
     async def handle(self, src: str, request: Request) -> Reply:
-        self.calls += 1
+        self.request_count += 1
         if self.outage:
-            return Reply(503, _encode({"error": "trouble"}))
+            return Reply(503, _encode({"error": "unavailable"}))
         body = _decode(request.body) if request.body else {}
         if request.path == "/catalog":
             return Reply(200, _encode({"flavours": [FLAVOUR]}))
@@ -91,22 +94,22 @@
             for name in body["hosts"]:
                 machine = self.machines.pop(name, None)
                 if machine is not None:
-                    self.paid[name] = trio.current_time() - machine["born"]
+                    self.paid_s[name] = trio.current_time() - machine["born"]
                     self.on_return(name)
             return Reply(200, _encode({}))
         if request.method == "GET":
             query = {k: v[0] for k, v in parse_qs(request.query).items()}
             now = trio.current_time()
-            old = [m for m in self.machines.values() if now - m["born"] >= self.lag_s]
-            seen = sorted((m for m in old if m["uid"] > query.get("from", "")), key=lambda m: str(m["uid"]))
-            page = min(int(query.get("page", PAGE)), self.page)
-            machines = [{**m, "ageS": now - m["born"]} for m in seen[:page]]
-            return Reply(200, _encode({"hosts": machines, "hasNext": len(seen) > page}))
-        if body["hireRef"] not in self.done:
+            visible = [m for m in self.machines.values() if now - m["born"] >= self.lag_s]
+            remaining = sorted((m for m in visible if m["uid"] > query.get("from", "")), key=lambda m: str(m["uid"]))
+            page_size = min(int(query.get("page", MAX_PAGE_SIZE)), self.page_size)
+            machines = [{**m, "ageS": now - m["born"]} for m in remaining[:page_size]]
+            return Reply(200, _encode({"hosts": machines, "hasNext": len(remaining) > page_size}))
+        if body["hireRef"] not in self.answered_requests:
             count = min(body["howMany"], self.capacity - len(self.machines))
             if count <= 0:
                 return Reply(503, _encode({"error": "no capacity"}))
             names = [self.add(body["flavour"], body["region"], body["reclaimable"]) for _ in range(count)]
-            self.done[body["hireRef"]] = names
+            self.answered_requests[body["hireRef"]] = names
             self.rented.append((trio.current_time(), count))
-        return Reply(200, _encode({"hosts": self.done[body["hireRef"]]}))
+        return Reply(200, _encode({"hosts": self.answered_requests[body["hireRef"]]}))
--- a/tests/simulation/counting.py
+++ b/tests/simulation/counting.py
@@ -1,4 +1,5 @@
-"""Work counted in calls of the package's own functions, not in seconds: the same on every machine and every time."""
+"""Measures work as the number of calls of the package's own functions: unlike a duration, the number is the same on
+every machine and in every run."""
 
 from __future__ import annotations
 
@@ -8,8 +9,8 @@
 from typing import Any
 
 
-def count_calls(what: Callable[[], object]) -> int:
-    """How many functions, comprehensions and generator steps of the package run meanwhile."""
+def count_calls(function: Callable[[], object]) -> int:
+    """Call the function; return how many functions, comprehensions and generator steps of the package it ran."""
     calls = 0
 
     def profile(frame: FrameType, event: str, arg: Any) -> None:
@@ -17,10 +18,10 @@
         if event == "call" and "sorrelsill" in frame.f_code.co_filename:
             calls += 1
 
-    before = sys.getprofile()
+    previous = sys.getprofile()
     sys.setprofile(profile)
     try:
-        what()
+        function()
     finally:
-        sys.setprofile(before)
+        sys.setprofile(previous)
     return calls
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -1,4 +1,4 @@
-"""The leader's pure parts with workers that execute every command: no network, no store, no message is lost."""
+"""The leader's cluster state and scheduler without I/O. Workers execute every command at once; no message is lost."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 MACHINE_TYPE = MachineType("std", 16.0, 0.0, 64.0, 40.0, 0.3, 1.0, 0.4, 30.0, ("a", "b"))
 TERM, LOSS_S, VALIDITY_S, OVERDUE_S = 7, 14.5, 3.4, 4.2
 TEAMS = [Team("red", cpus_max=600.0), Team("blue")]
-_MACHINES_IN_A_SUBNET = 250
+_MACHINES_PER_SUBNET = 250
 
 
 def array_job(job_id: str, **fields: object) -> JobSpec:
@@ -26,7 +26,7 @@
 
 
 class LeaderInMemory:
-    """A leader's cluster state and scheduler, with workers whose images are there at once."""
+    """A leader's cluster state and scheduler, with workers that pull images in no time."""
 
     def __init__(self, machines: int, registered: bool = False, teams: list[Team] | None = None) -> None:
         self.now = 0.0
@@ -50,11 +50,11 @@
         return self._numbers[name] % 3 == 0
 
     def address(self, name: str) -> str:
-        subnet, host = divmod(self._numbers[name], _MACHINES_IN_A_SUBNET)
+        subnet, host = divmod(self._numbers[name], _MACHINES_PER_SUBNET)
         return f"10.1.{subnet}.{host}:9000"
 
     def next_heartbeat(self, name: str, fencing_token: int = TERM) -> WorkerHeartbeat:
-        """What the machine says next."""
+        """Return the machine's next heartbeat."""
         self.sequence_number[name] += 1
         tasks = [
             TaskStatus(task_id, attempt_number, phase, "done" if phase == "exited" else None)
@@ -73,7 +73,7 @@
         )
 
     def execute(self, name: str, commands: Sequence[Command]) -> None:
-        """The worker carries the commands out at once."""
+        """Apply the commands to the worker's tasks."""
         tasks = self.tasks[name]
         for command in commands:
             key = command.task_id, command.attempt_number
@@ -86,33 +86,33 @@
                 tasks.pop(key, None)
 
     def send_heartbeat(self, name: str, fencing_token: int = TERM) -> None:
-        """A machine sends a heartbeat and executes the commands in the answer."""
+        """Send a machine's heartbeat and execute the commands in the response."""
         self.execute(name, self.cluster.on_heartbeat(self.next_heartbeat(name, fencing_token), self.now) or [])
 
     def write_registry(self) -> None:
-        """The registry entries of all machines that wait for one are committed."""
+        """Mark all pending registry entries of machines as committed."""
         for machine in list(self.cluster.pending_writes.registrations.values()):
             machine.registered = True
         self.cluster.pending_writes.registrations.clear()
 
     def all_send_heartbeats(self, names: list[str] | None = None) -> None:
-        """All of these machines send heartbeats, and are registered."""
+        """Send a heartbeat of each of these machines, by default of all, and register them."""
         for name in names if names is not None else self.names:
             self.send_heartbeat(name)
         self.write_registry()
 
-    def add(self, spec: JobSpec, old: bool = False) -> None:
-        """A job is accepted."""
-        self.cluster.add_job(spec, TaskSet(spec.task_count), 1, old, self.now, [])
+    def add(self, spec: JobSpec, from_earlier_term: bool = False) -> None:
+        """Add an accepted job; `from_earlier_term` if an earlier leader accepted it."""
+        self.cluster.add_job(spec, TaskSet(spec.task_count), 1, from_earlier_term, self.now, [])
 
     def run_cycle(self) -> None:
-        """Look for losses and place until all jobs were seen."""
+        """Expire leases, then run the scheduler until it has tried every job."""
         self.cluster.expire_leases(self.now)
         while not self.scheduler.run_cycle(self.cluster, self.now, lambda: self.now, 1.0):
             pass
 
     def fill(self, tasks_each: int) -> None:
-        """A hundred jobs that keep every machine busy."""
+        """Run a hundred jobs that together give each machine this many tasks."""
         self.all_send_heartbeats()
         self.all_send_heartbeats()
         total = tasks_each * len(self.names)
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -1,4 +1,4 @@
-"""A network of request and answer, with cuts that hold packets and deliver them late."""
+"""A simulated request/response network with partitions that hold requests back and deliver them when they end."""
 
 from __future__ import annotations
 
@@ -14,34 +14,39 @@
 
 
 @dataclass(eq=False)
-class _HeldRequest:
-    """A request caught by a cut: delivered when the cut ends, whether or not anybody still waits."""
+class _PendingRequest:
+    """A request on its way. Held by a cut, it is delivered when the cut ends, whether or not its sender still waits."""
 
     src: str
     dst: str
     request: Request
-    answer: trio.MemorySendChannel[Reply]
+    reply_channel: trio.MemorySendChannel[Reply]
 
 
 class FakeNet:
-    """Addresses are names. `down` refuses connections; a cut holds what is sent and hangs what connects."""
+    """Delivers requests between named endpoints.
+
+    Endpoints in `down` refuse connections. A cut holds requests until it ends and drops responses; the sender times
+    out."""
 
     def __init__(self, nursery: trio.Nursery, latency: float = 0.002) -> None:
         self._nursery = nursery
         self.latency = latency
         self.handlers: dict[str, Handler] = {}
         self.down: set[str] = set()
-        self.refused: set[tuple[str, str]] = set()  # from, to: connections that are refused at once
+        self.refused: set[tuple[str, str]] = set()  # (source, destination) pairs whose connections are refused
         self._cuts: set[tuple[str, str]] = set()
-        self._held: list[_HeldRequest] = []
+        self._held: list[_PendingRequest] = []
         self.drop_answers: Callable[[str, str, Request], bool] = lambda src, dst, request: False
         self.hold_request: Callable[[str, str, Request], bool] = lambda src, dst, request: False
-        # Seconds after which a request is delivered to nobody's use, or None: its sender never gets an answer.
-        self.late: Callable[[str, str, Request], float | None] = lambda src, dst, request: None
-        self.copy: Callable[[str, str, Request], None] = lambda src, dst, request: None  # sees all that is sent
-        # Between connecting and writing: what a test does there happens after the sender's decision.
+        # Seconds after which a request is delivered without a response to its sender; None for normal delivery.
+        self.late_delivery_s: Callable[[str, str, Request], float | None] = lambda src, dst, request: None
+        # Called with each request that is sent, to record it or to deliver copies of it.
+        self.copy_request: Callable[[str, str, Request], None] = lambda src, dst, request: None
+        # Called between connecting and writing, which is after the sender has decided to send.
         self.on_connected: Callable[[str, str, Request], None] = lambda src, dst, request: None
-        self.sent: Callable[[str, str, Request], None] = lambda src, dst, request: None  # what was really written
+        # Called with each request that was written, so not with one that `may_send` stopped.
+        self.on_sent: Callable[[str, str, Request], None] = lambda src, dst, request: None
 
     def cut(self, a: str, b: str, both: bool = True) -> None:
         self._cuts.add((a, b))
@@ -49,12 +54,12 @@
             self._cuts.add((b, a))
 
     def heal(self) -> None:
-        """End all cuts; what they held is delivered now, in order."""
+        """End all cuts and deliver the held requests in order."""
         self._cuts.clear()
         self.release()
 
     def end_cuts_to(self, dst: str) -> None:
-        """End the cuts on the way to one address; what was held is delivered now, in order."""
+        """End the cuts towards one address and deliver the held requests in order."""
         self._cuts = {cut for cut in self._cuts if cut[1] != dst}
         self.release()
 
@@ -69,25 +74,25 @@
     def client(self, src: str) -> Callable[[str], Client]:
         return lambda dst: _FakeClient(self, src, dst)
 
-    async def _deliver(self, item: _HeldRequest) -> None:
+    async def _deliver(self, item: _PendingRequest) -> None:
         handler = self.handlers.get(item.dst)
         if handler is None or item.dst in self.down:
-            item.answer.close()
+            item.reply_channel.close()
             return
         reply = await handler(item.src, item.request)
         if self.drop_answers(item.src, item.dst, item.request) or self.is_cut(item.dst, item.src):
             return
         with contextlib.suppress(trio.BrokenResourceError, trio.WouldBlock):
-            item.answer.send_nowait(reply)
+            item.reply_channel.send_nowait(reply)
 
-    async def _deliver_late(self, item: _HeldRequest, delay: float) -> None:
+    async def _deliver_late(self, item: _PendingRequest, delay: float) -> None:
         await trio.sleep(delay)
         handler = self.handlers.get(item.dst)
         if handler is not None and item.dst not in self.down:
             await handler(item.src, item.request)
 
     async def deliver_copy(self, src: str, dst: str, request: Request) -> None:
-        """A late copy: whoever is there now takes it, and nobody waits for the answer."""
+        """Deliver a copy of an earlier request to the current endpoint and drop its response."""
         handler = self.handlers.get(dst)
         if handler is not None and dst not in self.down:
             await handler(src, request)
@@ -95,18 +100,18 @@
     async def send(self, src: str, dst: str, request: Request, timeout: float, may_send: MaySend = always) -> Reply:
         if dst in self.down or dst not in self.handlers or (src, dst) in self.refused:
             await trio.sleep(self.latency)
-            raise NotSentError(f"{dst} refuses")
+            raise NotSentError(f"{dst} refused the connection")
         sender, receiver = trio.open_memory_channel[Reply](1)
-        item = _HeldRequest(src, dst, request, sender)
+        item = _PendingRequest(src, dst, request, sender)
         with trio.move_on_after(timeout):
             await trio.sleep(self.latency)
             self.on_connected(src, dst, request)
             await trio.lowlevel.checkpoint()
             if not may_send():
-                raise NotSentError(f"{src} is not entitled to send to {dst} any more")
-            self.sent(src, dst, request)
-            self.copy(src, dst, request)
-            delay = self.late(src, dst, request)
+                raise NotSentError(f"{src} may no longer send to {dst}")
+            self.on_sent(src, dst, request)
+            self.copy_request(src, dst, request)
+            delay = self.late_delivery_s(src, dst, request)
             if delay is not None:
                 self._nursery.start_soon(self._deliver_late, item, delay)
             elif self.is_cut(src, dst) or self.hold_request(src, dst, request):
@@ -116,13 +121,13 @@
             try:
                 return await receiver.receive()
             except trio.EndOfChannel:
-                raise NoAnswerError(f"{dst} closed") from None
+                raise NoAnswerError(f"{dst} closed the connection") from None
         receiver.close()
-        raise NoAnswerError(f"{dst} does not answer")
+        raise NoAnswerError(f"no response from {dst}")
 
 
 class _FakeClient(Client):
-    """The real client's interface on the fake network."""
+    """The HTTP client's interface on the fake network."""
 
     def __init__(self, net: FakeNet, src: str, dst: str) -> None:
         super().__init__(dst)
--- a/tests/simulation/production.py
+++ b/tests/simulation/production.py
@@ -1,6 +1,7 @@
-"""The version in production, taken from this repository's history at the commit that deploy/service.toml names, beside
-the present one in the same process: its package is written out under another name. If that commit can't be had this
-fails; nothing is skipped."""
+"""Loads the version in production beside the current one in the same process.
+
+Its sources come from this repository's history, at the commit that deploy/service.toml names, and are written out as a
+package with another name. If that commit is missing, the tests that need it fail; none is skipped."""
 
 from __future__ import annotations
 
@@ -32,48 +33,49 @@
     with open(_ROOT / "deploy" / "service.toml", "rb") as file:
         value = tomllib.load(file)["production"]
     if not re.fullmatch(r"[0-9a-f]{40}", value):
-        raise ValueError(f"deploy/service.toml: production: {value!r} is no commit")
+        raise ValueError(f"deploy/service.toml: production: {value!r} is not a commit hash")
     return str(value)
 
 
 @cache
 def package() -> str:
-    """Name of the importable package with that version's sources."""
+    """Return the name of the importable package with the production version's sources."""
     name = f"production_{commit()[:12]}"
-    place = _ROOT / "target" / "production"
-    if not (place / name).is_dir():
+    directory = _ROOT / "target" / "production"
+    if not (directory / name).is_dir():
         raw = subprocess.run(
             ["git", "-c", "safe.directory=*", "-C", str(_ROOT), "archive", commit(), "sorrelsill"],
             check=True,
             capture_output=True,
         ).stdout
-        place.mkdir(parents=True, exist_ok=True)
-        made = Path(tempfile.mkdtemp(dir=place))
+        directory.mkdir(parents=True, exist_ok=True)
+        unpacked = Path(tempfile.mkdtemp(dir=directory))
         with tarfile.open(fileobj=io.BytesIO(raw)) as archive:
             for member in archive.getmembers():
                 file = archive.extractfile(member) if member.isfile() else None
                 if file is None or not member.name.endswith(".py"):
                     continue
-                target = made / Path(*Path(member.name).parts[1:])
+                target = unpacked / Path(*Path(member.name).parts[1:])
                 target.parent.mkdir(parents=True, exist_ok=True)
                 target.write_text(_IMPORT.sub(rf"\1\2 {name}", file.read().decode()))
         try:
-            made.rename(place / name)
+            unpacked.rename(directory / name)
         except OSError:
-            shutil.rmtree(made)  # another run was quicker
-    if str(place) not in sys.path:
-        sys.path.append(str(place))
+            shutil.rmtree(unpacked)  # another process has created it meanwhile
+    if str(directory) not in sys.path:
+        sys.path.append(str(directory))
     return name
 
 
 def module(path: str) -> ModuleType:
-    """A module of that version, such as `jobs.records`."""
+    """Import a module of the production version, such as `jobs.records`."""
     return importlib.import_module(f"{package()}.{path}")
 
 
-def make_node(settings: Any, rng: Any, net: FakeNet, label: str, time_of_day: Callable[[], float]) -> Any:
-    """A controller of that version on the fake network; it is given the settings of the new page, as in an upgrade."""
-    kinds, http = module("settings"), module("http")
+def make_controller(settings: Any, rng: Any, net: FakeNet, label: str, time_of_day: Callable[[], float]) -> Any:
+    """Create a controller of the production version on the fake network. It gets the current version's settings, as in
+    an upgrade."""
+    settings_module, http = module("settings"), module("http")
 
     class Client(http.Client):  # type: ignore[misc, name-defined]
         async def request(self, method: str, target: str, body: bytes = b"", timeout: float = 1.5) -> tuple[int, bytes]:
@@ -86,5 +88,5 @@
                 raise http.NoAnswer(str(error)) from None
             return reply.status, reply.body
 
-    old = msgspec.convert(msgspec.to_builtins(settings), kinds.Settings)
-    return module("node").Node(old, kinds.Operator(), rng, Client, time_of_day)
+    converted = msgspec.convert(msgspec.to_builtins(settings), settings_module.Settings)
+    return module("node").Node(converted, settings_module.Operator(), rng, Client, time_of_day)
--- a/tests/simulation/recorded_messages.py
+++ b/tests/simulation/recorded_messages.py
@@ -1,4 +1,4 @@
-"""Messages recorded as they are sent, for late copies and repeats of them."""
+"""Records messages as they are sent, so that tests can deliver them again later."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 if TYPE_CHECKING:
     from tests.simulation.simulated_cluster import SimulatedCluster
 
-SentMessage = tuple[str, str, Request]  # from, to, what
+SentMessage = tuple[str, str, Request]  # source, destination, request
 
 
 def record_messages(simulation: SimulatedCluster, *paths: str) -> list[SentMessage]:
-    """All that is sent to one of these paths from now on; the list grows as it is sent."""
+    """Return a list to which every request to one of these paths is added from now on."""
     sent: list[SentMessage] = []
 
-    def hold_nothing(src: str, dst: str, request: Request) -> bool:
+    def record(src: str, dst: str, request: Request) -> bool:
         if request.path in paths:
             sent.append((src, dst, request))
         return False
 
-    simulation.net.hold_request = hold_nothing
+    simulation.net.hold_request = record
     return sent
 
 
 async def send_copy(simulation: SimulatedCluster, dst: str, sent: SentMessage) -> Reply:
-    """The same bytes once more, to any receiver."""
+    """Send the recorded request once more, to any destination."""
     return await simulation.net.handlers[dst](sent[0], sent[2])
--- a/tests/simulation/simulated_cluster.py
+++ b/tests/simulation/simulated_cluster.py
@@ -1,4 +1,4 @@
-"""A whole small deployment: three controllers, store, cloud, workers and users, and their failures."""
+"""A small simulated deployment: three controllers, key-value store, cloud, workers and users, and failures of each."""
 
 from __future__ import annotations
 
@@ -43,49 +43,49 @@
         seed: int,
         teams: list[Team],
         txn_ops: int = 16,
-        coming: NextLimits | None = None,
-        old: bool = False,
-        gated: GatedTasks | None = None,
+        next_limits: NextLimits | None = None,
+        production_version: bool = False,
+        gated_tasks: GatedTasks | None = None,
         membership: MembershipSettings | None = None,
     ) -> None:
-        self._membership = membership  # turns failure detection on
+        self._membership = membership  # enables failure detection between the controllers; None disables it
         super().__init__(nursery, seed, teams, txn_ops)
-        self.coming = coming
-        self._gated = gated or GatedTasks()
+        self.next_limits = next_limits
+        self._gated_tasks = gated_tasks or GatedTasks()
         self._gates: dict[str, Gate] = {}
-        self.request_cost_s = 0.0  # processor time of a controller for each request
+        self.request_cost_s = 0.0  # processor time that a controller spends on each user request
         self._processors: dict[str, trio.Lock] = {}
-        self.may_refuse = 0  # transactions that the store may refuse as too large in this scenario
-        self.value_kb, self.txn_ops = self.store.value_kb, txn_ops  # as the settings tell
+        self.allowed_refusals = 0  # how many transactions the store may refuse as too large in this scenario
+        self.value_kb, self.txn_ops = self.store.value_kb, txn_ops  # limits in the controllers' settings
         self.cloud = FakeCloud(self._boot)
         self.cloud.on_return = self.kill_machine
         self._scopes: dict[str, trio.CancelScope] = {}
-        self.ever_up: set[str] = set()  # machines that came up
+        self.booted_machines: set[str] = set()
         self.on_boot: Callable[[str], None] = lambda name: None
         self.net.handlers["store"] = self.store.handle
         self.net.handlers["cloud"] = self.cloud.handle
         nursery.start_soon(self.store.run)
         nursery.start_soon(self.cloud.run)
-        nursery.start_soon(self._watch)
+        nursery.start_soon(self._check_periodically)
         for label in LABELS:
-            self.start(label, old)
+            self.start(label, production_version)
 
     # --- controllers ---
 
-    def start(self, label: str, old: bool = False) -> Controller:
-        """`old`: the version in production, out of this repository's history."""
+    def start(self, label: str, production_version: bool = False) -> Controller:
+        """Start a new controller process, of this version or of the one in production."""
         members = [Member(o, f"{o}:peer") for o in LABELS if o != label]
-        facts = PlatformSettings(
+        platform = PlatformSettings(
             workers=Workers(HEARTBEAT_S, LEASE_S, CANCEL_S, GANG_WAIT_S, GANG_PEER_S),
-            state=StateLimits(500.0, 200.0, self.value_kb, self.txn_ops, self.coming),
+            state=StateLimits(500.0, 200.0, self.value_kb, self.txn_ops, self.next_limits),
             cloud=CloudLimits(5.0, 2.0),
             nodes=len(LABELS),
             teams=self.teams,
         )
-        settings = Settings(label, label, Services("cloud", "store"), facts, members=members)
+        settings = Settings(label, label, Services("cloud", "store"), platform, members=members)
         rng = random.Random(self.rng.random())
-        if old:
-            controller: Controller = production.make_node(settings, rng, self.net, label, trio.current_time)
+        if production_version:
+            controller: Controller = production.make_controller(settings, rng, self.net, label, trio.current_time)
         else:
             client = self.net.client(label)
             controller = Controller(settings, OperatorOverrides(), rng, client, trio.current_time, self._membership)
@@ -93,30 +93,30 @@
         gate = self._gates[label] = Gate()
         self._processors[label] = trio.Lock()
 
-        async def users(src: str, request: Request) -> Reply:
-            await self._compute(label)
+        async def handle_user_request(src: str, request: Request) -> Reply:
+            await self._use_processor(label)
             reply: Reply = await gate.under(controller.handle, request)
             return reply
 
-        async def peers(src: str, request: Request) -> Reply:
+        async def handle_peer_request(src: str, request: Request) -> Reply:
             reply: Reply = await gate.under(controller.handle_peer, request)
             return reply
 
         self.controllers[label] = controller
-        self.net.handlers[label], self.net.handlers[f"{label}:peer"] = users, peers
+        self.net.handlers[label], self.net.handlers[f"{label}:peer"] = handle_user_request, handle_peer_request
         self.net.down -= {label, f"{label}:peer"}
         scope = self._scopes[label] = trio.CancelScope()
 
         async def run() -> None:
-            self._gated.put_under(gate)
+            self._gated_tasks.gate_current_task(gate)
             with scope:
                 await gate.under(controller.run)
 
         self.nursery.start_soon(run)
         return controller
 
-    async def _compute(self, label: str) -> None:
-        """A request uses the controller's only processor: everything else of it waits meanwhile."""
+    async def _use_processor(self, label: str) -> None:
+        """Occupy the controller's only processor for one request; the controller does nothing else meanwhile."""
         if not self.request_cost_s:
             return
         gate = self._gates[label]
@@ -126,56 +126,58 @@
             gate.thaw()
 
     def freeze(self, label: str, for_s: float) -> None:
-        """The controller stands still as a whole; clocks and everything else go on."""
+        """Freeze the whole controller for some seconds; clocks and everything else keep running."""
         gate = self._gates[label]
         gate.freeze()
 
-        async def later() -> None:
+        async def thaw_later() -> None:
             await trio.sleep(for_s)
             gate.thaw()
 
-        self.nursery.start_soon(later)
+        self.nursery.start_soon(thaw_later)
 
     def frozen(self, label: str) -> bool:
-        """Whether the controller stands still."""
+        """Return whether the controller is frozen."""
         return self._gates[label].frozen
 
     async def stop(self, label: str) -> None:
-        """As planned: it gives its duties away, and then its process ends."""
+        """Stop a controller as planned: it hands over its leadership, then its process ends."""
         await self._gates[label].under(self.controllers[label].drain)
         self.kill(label)
 
     def kill(self, label: str) -> None:
-        """Without a signal: from one moment to the next."""
+        """End a controller's process abruptly."""
         self._scopes[label].cancel()
         self._gates[label].thaw()
         self.net.down |= {label, f"{label}:peer"}
 
     def kill_all(self) -> None:
-        """Every controller's process ends at the same moment."""
+        """End every controller's process at the same moment."""
         for label in LABELS:
             self.kill(label)
 
     def start_all(self) -> None:
-        """A new process for every controller, in the order of their labels."""
+        """Start a new process for every controller, in the order of their labels."""
         for label in LABELS:
             self.start(label)
 
-    async def restart_later(self, label: str, away_s: float) -> None:
-        """After this time the killed controller's process is started, unless it was meanwhile."""
-        await trio.sleep(away_s)
+    async def restart_later(self, label: str, delay_s: float) -> None:
+        """Restart a killed controller after this time, unless it has been started meanwhile."""
+        await trio.sleep(delay_s)
         if label in self.net.down:
             self.start(label)
 
     def cluster_state(self, label: str) -> ClusterState:
-        """What the leader with this label knows of the machines."""
+        """Return the cluster state of the leader with this label."""
         cluster = self.controllers[label].cluster
         assert cluster is not None
         return cluster
 
     def leader(self) -> str | None:
         leading = [
-            n for n, controller in self.controllers.items() if n not in self.net.down and controller.elector.valid()
+            label
+            for label, controller in self.controllers.items()
+            if label not in self.net.down and controller.elector.valid()
         ]
         return leading[0] if leading else None
 
@@ -203,18 +205,18 @@
         )
         worker.on_done = self.finished.add
         self.workers[name] = worker
-        self.ever_up.add(name)
+        self.booted_machines.add(name)
         self.on_boot(name)
         self.net.handlers[name] = worker.handle
         self.nursery.start_soon(worker.run)
-        self.nursery.start_soon(worker.live)
+        self.nursery.start_soon(worker.run_tasks)
 
     def kill_machine(self, name: str) -> None:
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.dead = True
             for task_id in list(worker.active_tasks):
-                worker._put(task_id, False)
+                worker._set_active(task_id, False)
             self.net.down.add(name)
 
     def cut_machine(self, name: str) -> None:
@@ -222,37 +224,37 @@
             self.net.cut(name, label)
 
     def drop_inbound(self, name: str) -> None:
-        """Its heartbeats arrive; answers and direct commands are lost."""
+        """Deliver the machine's heartbeats, but lose the responses and all commands sent to it."""
         for label in LABELS:
             self.net.cut(label, name, both=False)
 
     def refuse_outbound(self, name: str) -> None:
-        """It reaches no controller; direct commands reach it and are answered."""
+        """Refuse the machine's connections to all controllers; commands still reach it and are answered."""
         self.net.refused |= {(name, label) for label in LABELS}
 
     def hang(self, name: str) -> None:
-        """It does nothing until it goes on, within its lease or without its tasks."""
+        """Suspend the worker; if its lease has run out when it resumes, it has lost its tasks."""
         self.workers[name].hung = True
 
-    # --- messages that come late, twice or not at all ---
+    # --- late, duplicated and lost messages ---
 
     def late_writes(self, share: float, at_once: bool = False) -> None:
-        """Of this share of transactions the sender gets no answer; they are carried out at once, or 2 to 12 s later and
-        so after newer ones."""
+        """Drop the responses to this share of transactions. They are applied at once, or 2 to 12 s later and so after
+        newer ones."""
 
-        def late(src: str, dst: str, request: Request) -> float | None:
+        def late_delivery_s(src: str, dst: str, request: Request) -> float | None:
             if request.path != "/multi" or self.rng.random() >= share:
                 return None
             return 0.0 if at_once else self.rng.uniform(2.0, 12.0)
 
-        self.net.late = late
+        self.net.late_delivery_s = late_delivery_s
 
-    def late_heartbeat_copies(self, share: float, for_next: bool = False) -> None:
-        """Of this share of the heartbeats a copy reaches every controller, from 2 s to well over a lease later, or just
-        as the next leader begins."""
+    def late_heartbeat_copies(self, share: float, at_next_leader: bool = False) -> None:
+        """Deliver a copy of this share of heartbeats to every controller: 2 s to two leases later, or as soon as the
+        next leader's term begins."""
 
         async def deliver(src: str, request: Request) -> None:
-            if for_next:
+            if at_next_leader:
                 terms_before = len(self.leader_terms)
                 while len(self.leader_terms) == terms_before:
                     await trio.sleep(0.05)
@@ -261,17 +263,17 @@
             for label in LABELS:
                 await self.net.deliver_copy(src, label, request)
 
-        def copy(src: str, dst: str, request: Request) -> None:
+        def copy_request(src: str, dst: str, request: Request) -> None:
             if request.path == "/hello" and self.rng.random() < share:
                 self.nursery.start_soon(deliver, src, request)
 
-        self.net.copy = copy
+        self.net.copy_request = copy_request
 
     async def wait_for_convergence(self) -> None:
-        """All failures end. Then what users check at a day's end: every job's users are answered within 75 s, and every
-        job that was accepted and not cancelled runs or is done, as long as there is room."""
-        self.net.late = lambda src, dst, request: None
-        self.net.copy = lambda src, dst, request: None
+        """End all failures, then check that users get an answer about every job within 75 s, and that every job that
+        was accepted and not cancelled runs or completes. The fleet must have room for all of them."""
+        self.net.late_delivery_s = lambda src, dst, request: None
+        self.net.copy_request = lambda src, dst, request: None
         self.net.drop_answers = lambda src, dst, request: False
         self.net.hold_request = lambda src, dst, request: False
         self.net.refused.clear()
@@ -302,24 +304,31 @@
     seed: int = 1,
     teams: list[Team] | None = None,
     txn_ops: int = 16,
-    coming: NextLimits | None = None,
-    old: bool = False,
+    next_limits: NextLimits | None = None,
+    production_version: bool = False,
     membership: MembershipSettings | None = None,
 ) -> SimulatedCluster:
-    """Run a scenario on a virtual clock, and check at its end that no rule was broken on the way."""
+    """Run a scenario on a virtual clock, then check that it violated no rule of the protocol."""
     simulations: list[SimulatedCluster] = []
-    gated = GatedTasks()
+    gated_tasks = GatedTasks()
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             simulation = SimulatedCluster(
-                nursery, seed, teams or [Team("red"), Team("blue")], txn_ops, coming, old, gated, membership
+                nursery,
+                seed,
+                teams or [Team("red"), Team("blue")],
+                txn_ops,
+                next_limits,
+                production_version,
+                gated_tasks,
+                membership,
             )
             simulations.append(simulation)
             await scenario(simulation)
             nursery.cancel_scope.cancel()
 
-    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0), instruments=[gated])
-    assert not simulations[0].broken, simulations[0].broken
-    assert len(simulations[0].store.refusals) <= simulations[0].may_refuse, simulations[0].store.refusals
+    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0), instruments=[gated_tasks])
+    assert not simulations[0].violations, simulations[0].violations
+    assert len(simulations[0].store.refusals) <= simulations[0].allowed_refusals, simulations[0].store.refusals
     return simulations[0]
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -1,4 +1,5 @@
-"""The state service after the protocol page: revisions, conditions, leases that stand still in an outage."""
+"""A fake of the key-value store: revisions, conditional transactions, watches, and leases that do not expire during an
+outage."""
 
 from __future__ import annotations
 
@@ -19,24 +20,26 @@
         self.kv: dict[str, tuple[Any, int, int | None]] = {}
         self.rev = 0
         self.log: list[tuple[int, str, Any, bool]] = []
-        self.leases: dict[int, tuple[float, float]] = {}  # id -> ttl, end
+        self.leases: dict[int, tuple[float, float]] = {}  # id -> TTL, expiry time
         self._next_lease = 1
         self.outage = False
-        self.refused: set[str] = set()  # controllers that alone receive 503
+        self.refused: set[str] = set()  # controllers for which the store is unavailable, so that they alone receive 503
         self.txn_ops, self.value_kb = txn_ops, value_kb
         self.write_rps = float("inf")
-        self._tokens, self._filled = 0.0, 0.0
-        self.refusals: list[tuple[float, str]] = []  # transactions that were larger than allowed: when, and why
+        self._tokens, self._refilled_at = 0.0, 0.0  # token bucket of the write rate
+        self.refusals: list[
+            tuple[float, str]
+        ] = []  # time of each oversized transaction, and the limit that it exceeded
         self.throttled = 0
         self.requests: list[tuple[float, str, Request]] = []
         self._changed = trio.Event()
 
     def lower_limits(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
-        """Smaller limits, without notice."""
+        """Lower the limits without notice to the clients."""
         self.value_kb, self.txn_ops, self.write_rps = value_kb, txn_ops, write_rps
-        self._tokens, self._filled = write_rps, trio.current_time()
+        self._tokens, self._refilled_at = write_rps, trio.current_time()
 
-    def _too_large(self, body: dict[str, Any]) -> str | None:
+    def _exceeded_limit(self, body: dict[str, Any]) -> str | None:
         writes = body["writes"]
         if len(writes) > self.txn_ops or len(body["if"]) > 4 * self.txn_ops:
             return f"{len(writes)} writes, {len(body['if'])} conditions"
@@ -47,12 +50,12 @@
                 return f"value of {write['set']} too long"
         return None
 
-    def _over_rate(self, count: int) -> bool:
+    def _exceeds_write_rate(self, count: int) -> bool:
         if self.write_rps == float("inf"):
             return False
         now = trio.current_time()
-        self._tokens = min(self.write_rps, self._tokens + (now - self._filled) * self.write_rps)
-        self._filled = now
+        self._tokens = min(self.write_rps, self._tokens + (now - self._refilled_at) * self.write_rps)
+        self._refilled_at = now
         if self._tokens < count:
             self.throttled += 1
             return True
@@ -76,10 +79,10 @@
 
     def _end_lease(self, lease: int) -> None:
         self.leases.pop(lease, None)
-        gone = [k for k, (_, _, held) in self.kv.items() if held == lease]
-        if gone:
+        keys = [k for k, (_, _, key_lease) in self.kv.items() if key_lease == lease]
+        if keys:
             self.rev += 1
-            for key in gone:
+            for key in keys:
                 del self.kv[key]
                 self.log.append((self.rev, key, None, False))
             self._notify()
@@ -100,7 +103,7 @@
         if path == "/follow":
             return await self._watch(src, query)
         if self.outage or src in self.refused:
-            return Reply(503, _encode({"error": "trouble"}))
+            return Reply(503, _encode({"error": "unavailable"}))
         self.expire()
         body = _decode(request.body) if request.body else {}
         if path == "/kv":
@@ -135,17 +138,19 @@
 
     def _multi(self, body: dict[str, Any]) -> Reply:
         writes = body["writes"]
-        why = self._too_large(body)
+        why = self._exceeded_limit(body)
         if why is not None:
             self.refusals.append((trio.current_time(), why))
             return Reply(400, _encode({"error": why}))
-        if self._over_rate(len(writes)):
+        if self._exceeds_write_rate(len(writes)):
             return Reply(429, _encode({"error": "too many changes"}))
-        leaders_own = [w for w in writes if str(w.get("set") or w.get("remove")).startswith(("s/m/", "s/catalog"))]
-        assert not leaders_own or "s/leader" in [c["k"] for c in body["if"]], "a leader's write without its condition"
+        leader_writes = [w for w in writes if str(w.get("set") or w.get("remove")).startswith(("s/m/", "s/catalog"))]
+        assert not leader_writes or "s/leader" in [c["k"] for c in body["if"]], (
+            "a leader's write without a condition on the leader key"
+        )
         conditioned = {c["k"] for c in body["if"]}
-        roster = [k for w in writes if (k := str(w.get("set") or w.get("remove"))).startswith("s/m/")]
-        assert conditioned.issuperset(roster), "a roster write without its own revision"
+        machine_keys = [k for w in writes if (k := str(w.get("set") or w.get("remove"))).startswith("s/m/")]
+        assert conditioned.issuperset(machine_keys), "a registry entry's write without a condition on its revision"
         for write in writes:
             if write.get("tenancy") is not None and write["tenancy"] not in self.leases:
                 return Reply(400, _encode({"error": "no such lease"}))
@@ -170,9 +175,9 @@
             return Reply(503)
         while True:
             changed = self._changed
-            hidden = self.outage or src in self.refused
+            unavailable = self.outage or src in self.refused
             news = [e for e in self.log if e[0] > since and e[1].startswith(prefix)]
-            if not hidden and (news or trio.current_time() >= end):
+            if not unavailable and (news or trio.current_time() >= end):
                 out = [
                     {"set": k, "value": v, "keyRev": r} if present else {"remove": k, "keyRev": r}
                     for r, k, v, present in news
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -1,4 +1,4 @@
-"""Users of the simulated cluster: they submit, poll and cancel, and repeat what is not answered."""
+"""Users of the simulated cluster: they submit, poll and cancel jobs, and retry unanswered requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def job(name: str, **fields: Any) -> dict[str, Any]:
-    """A job as a user submits it."""
+    """Return a job spec as a user submits it."""
     base = {
         "uid": name,
         "workload": "w",
@@ -45,15 +45,15 @@
 
 
 def service(job_id: str, **fields: Any) -> dict[str, Any]:
-    """A service as a user submits it."""
+    """Return a service's spec as a user submits it."""
     return job(job_id, **{"shape": "standing", "expectedRunS": 0.0, **fields})
 
 
 class SimulatedUsers(ProtocolRules):
-    """Every answer to them is held against the rules."""
+    """Sends users' requests and checks every answer against the protocol's rules."""
 
     async def ask(self, label: str, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """One request of a user to one controller; 0 for no answer."""
+        """Send a user's request to one controller and return status and body; status 0 if there is no answer."""
         raw = body if isinstance(body, bytes) else _encode(body) if body is not None else b""
         try:
             reply = await self.net.send("user", label, Request(method, path, "", raw), 5.0)
@@ -64,17 +64,17 @@
         return reply.status, answer
 
     async def ask_raw(self, label: str, path: str) -> bytes:
-        """A page for operators, as it is."""
+        """Return the raw body of an operators' page."""
         return (await self.net.send("user", label, Request("GET", path, "", b""), 5.0)).body
 
     async def _retry(self, method: str, path: str, body: Any, limit: float) -> tuple[int, Any]:
         end = trio.current_time() + limit
-        turn = 0
+        attempt = 0
         while True:
-            status, answer = await self.ask(LABELS[turn % 3], method, path, body)
+            status, answer = await self.ask(LABELS[attempt % 3], method, path, body)
             if status in (200, 201, 400, 404, 422) or trio.current_time() > end:
                 return status, answer
-            turn += 1
+            attempt += 1
             await trio.sleep(1.0)
 
     async def submit(self, spec: dict[str, Any], limit: float = 60.0) -> int:
@@ -104,14 +104,15 @@
             await trio.sleep(0.5)
         raise AssertionError(f"{job_id} is {answer}, not {phase}, after {limit} s")
 
-    async def until(self, true: Callable[[], bool], limit: float = 60.0) -> None:
+    async def until(self, condition: Callable[[], bool], limit: float = 60.0) -> None:
+        """Wait until the condition holds; fail after `limit` seconds."""
         end = trio.current_time() + limit
-        while not true():
-            assert trio.current_time() < end, "did not come about in time"
+        while not condition():
+            assert trio.current_time() < end, "the condition did not hold in time"
             await trio.sleep(0.05)
 
     def running(self, job_id: str) -> list[tuple[str, str]]:
-        """Tasks of a job on machines now."""
+        """Return (task id, machine) for each task of the job that is active on a machine."""
         return [
             (s, w.name) for w in self.workers.values() for s in sorted(w.active_tasks) if s.startswith(job_id + "/")
         ]
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -1,4 +1,5 @@
-"""A worker after the protocol page: heartbeats, fencing tokens, leases and incarnations, start, halt and clear."""
+"""A fake worker that follows the protocol: heartbeats, fencing tokens, leases, incarnations and the commands start,
+halt and clear."""
 
 from __future__ import annotations
 
@@ -16,8 +17,8 @@
 
 
 class FakeWorker:
-    """`on_task_change` is called for each task that becomes active or inactive on the machine, for the checks of the
-    rules."""
+    """Runs tasks in simulated time, and calls `on_task_change` for each task that becomes active or inactive on the
+    machine, so that the protocol's rules can be checked."""
 
     def __init__(
         self,
@@ -42,22 +43,22 @@
         self._specs, self._on_task_change = specs, on_task_change
         self.incarnation, self.sequence_number, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
-        self.active_tasks: set[str] = set()  # tasks on the machine: with their image, not ended
+        self.active_tasks: set[str] = set()  # ids of the tasks whose image is pulled and that have not exited
         self.lease_renewed_at = trio.current_time()
         self.hung = False
         self.dead = False
         self.spot_reclaim_at: float | None = None
         self.on_done: Callable[[str], None] = lambda task_id: None
-        self.fail: Callable[[str], bool] = lambda task_id: False
+        self.task_fails: Callable[[str], bool] = lambda task_id: False
         self.pull_rate = 1.0  # GB a second
         self._change = trio.Event()
 
-    # --- its tasks ---
+    # --- tasks ---
 
-    def _put(self, task_id: str, on: bool) -> None:
-        if on != (task_id in self.active_tasks):
-            (self.active_tasks.add if on else self.active_tasks.discard)(task_id)
-            self._on_task_change(self, task_id, on)
+    def _set_active(self, task_id: str, active: bool) -> None:
+        if active != (task_id in self.active_tasks):
+            (self.active_tasks.add if active else self.active_tasks.discard)(task_id)
+            self._on_task_change(self, task_id, active)
 
     def _changed(self) -> None:
         self._change.set()
@@ -66,35 +67,36 @@
     def _spec(self, task_id: str) -> dict[str, Any]:
         return self._specs[task_id.rpartition("/")[0]]
 
-    def end_lease(self) -> None:
-        """Also while it hangs: it resumes within its lease or without its tasks."""
+    def expire_lease(self) -> None:
+        """Drop all tasks if the lease has run out. Called also while the worker hangs, so that it resumes either within
+        its lease or without its tasks."""
         now = trio.current_time()
         if now - self.lease_renewed_at > self.lease_s:
             for task_id in list(self.active_tasks):
-                self._put(task_id, False)
+                self._set_active(task_id, False)
             self.tasks.clear()
             self.incarnation += 1
             self.lease_renewed_at = now
             self._changed()
 
     def advance(self) -> None:
-        """Let time pass for the tasks and for the lease."""
+        """Bring the tasks and the lease up to the current time."""
         now = trio.current_time()
-        self.end_lease()
+        self.expire_lease()
         for (task_id, attempt_number), task in list(self.tasks.items()):
             spec = self._spec(task_id)
-            whole = spec["shape"] == "group"
+            is_gang = spec["shape"] == "group"
             if task["phase"] == "pulling" and now >= task["at"] + spec["sizeGb"] / self.pull_rate:
-                task.update(phase="waiting" if whole else "running", at=now)
-                self._put(task_id, True)
+                task.update(phase="waiting" if is_gang else "running", at=now)
+                self._set_active(task_id, True)
                 self._changed()
-                if spec["uid"] in self._gangs.done:
-                    self._exit(task_id, task, "done")  # the result is kept
-                elif whole:
+                if spec["uid"] in self._gangs.completed_jobs:
+                    self._exit(task_id, task, "done")  # the gang has completed in an earlier attempt
+                elif is_gang:
                     self._gangs.join(self, task_id, attempt_number, task, now)
-            if whole and task["phase"] in ("waiting", "running", "saving") and not self.fail(task_id):
-                continue  # the gang decides
-            if task["phase"] in ("waiting", "running") and self.fail(task_id):
+            if is_gang and task["phase"] in ("waiting", "running", "saving") and not self.task_fails(task_id):
+                continue  # its gang decides when it exits
+            if task["phase"] in ("waiting", "running") and self.task_fails(task_id):
                 self._exit(task_id, task, "error")
             elif (
                 task["phase"] == "running" and spec["shape"] != "standing" and now >= task["at"] + spec["expectedRunS"]
@@ -104,10 +106,10 @@
                 task["saved"] = True
                 self._exit(task_id, task, "halted")
 
-    def _exit(self, task_id: str, task: dict[str, Any], why: str) -> None:
-        task.update(phase="exited", exitCause=why)
-        self._put(task_id, False)
-        if why == "done":
+    def _exit(self, task_id: str, task: dict[str, Any], cause: str) -> None:
+        task.update(phase="exited", exitCause=cause)
+        self._set_active(task_id, False)
+        if cause == "done":
             self.on_done(task_id)
         self._changed()
 
@@ -115,8 +117,8 @@
         key = (command["shard"], command["tryNo"])
         task = self.tasks.get(key)
         if command["verb"] == "start" and task is None:
-            same = [t for (s, _), t in self.tasks.items() if s == key[0] and t["phase"] != "exited"]
-            if same:
+            other_attempts = [t for (s, _), t in self.tasks.items() if s == key[0] and t["phase"] != "exited"]
+            if other_attempts:
                 self.tasks[key] = {"phase": "exited", "exitCause": "busy"}
             else:
                 self.tasks[key] = {"phase": "pulling", "at": trio.current_time()}
@@ -133,14 +135,14 @@
         elif command["verb"] == "clear" and task is not None and task["phase"] == "exited":
             del self.tasks[key]
 
-    # --- its messages ---
+    # --- messages ---
 
     def heartbeat_message(self) -> dict[str, Any]:
         self.sequence_number += 1
         shards = [
             {"shard": s, "tryNo": n, **{k: v for k, v in t.items() if k != "at"}} for (s, n), t in self.tasks.items()
         ]
-        evict = None if self.spot_reclaim_at is None else max(0.0, self.spot_reclaim_at - trio.current_time())
+        evict_in_s = None if self.spot_reclaim_at is None else max(0.0, self.spot_reclaim_at - trio.current_time())
         return {
             "host": self.name,
             "addr": self.name,
@@ -150,7 +152,7 @@
             "tenure": self.incarnation,
             "serial": self.sequence_number,
             "epoch": self.fencing_token,
-            "evictInS": evict,
+            "evictInS": evict_in_s,
             "shards": shards,
         }
 
@@ -180,16 +182,16 @@
 
     async def run(self) -> None:
         while not self.dead:
-            sent = trio.current_time()
+            sent_at = trio.current_time()
             incarnation = self.incarnation
             if not self.hung:
-                await self._send_heartbeat(sent, incarnation)
+                await self._send_heartbeat(sent_at, incarnation)
             change = self._change
-            with trio.move_on_at(max(sent + self.heartbeat_interval_s, trio.current_time() + 0.01)):
+            with trio.move_on_at(max(sent_at + self.heartbeat_interval_s, trio.current_time() + 0.01)):
                 await change.wait()
-                await trio.sleep_until(sent + 0.5)
+                await trio.sleep_until(sent_at + 0.5)
 
-    async def _send_heartbeat(self, sent: float, incarnation: int) -> None:
+    async def _send_heartbeat(self, sent_at: float, incarnation: int) -> None:
         try:
             status, raw = await self._clients[self._controller].request(
                 "POST", "/hello", _encode(self.heartbeat_message()), 4.0
@@ -207,7 +209,7 @@
             await self._try_next_controller()
         elif incarnation == self.incarnation and answer.get("epoch", -1) >= self.fencing_token:
             self._accept_fencing_token(answer["epoch"])
-            self.lease_renewed_at = max(self.lease_renewed_at, sent)
+            self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
             for command in answer["orders"]:
                 self._execute(command)
             self.advance()
@@ -217,7 +219,7 @@
         labels = sorted(self._controllers)
         self._controller = labels[(labels.index(self._controller) + 1) % len(labels)]
 
-    async def live(self) -> None:
+    async def run_tasks(self) -> None:
         while not self.dead:
-            (self.end_lease if self.hung else self.advance)()
+            (self.expire_lease if self.hung else self.advance)()
             await trio.sleep(0.1)
--- a/tests/soak/failover_soak.py
+++ b/tests/soak/failover_soak.py
@@ -38,7 +38,7 @@
     starts_refused: int  # for a team's limit
     unaccounted_cpus: float  # of limited teams, summed over the failovers
     tasks_over: int  # tasks of jobs that were over, found on machines after a failover
-    broken: tuple[str, ...]
+    violations: tuple[str, ...]
 
     @property
     def aim(self) -> bool:
@@ -50,7 +50,7 @@
             f"seed {self.seed}: {self.starts} starts, {self.changes_of_leader} changes of leader,"
             f" {self.cancelled} cancelled, {self.starts_refused} starts refused for a limit,"
             f" {self.unaccounted_cpus:g} CPUs unaccounted at takeovers, {self.tasks_over} tasks of jobs over found;"
-            f" broken: {list(self.broken) or 'none'}"
+            f" violations: {list(self.violations) or 'none'}"
         )
 
 
@@ -190,9 +190,9 @@
         simulation.net.heal()
 
     async def _copy_heartbeats(self) -> None:
-        self._simulation.late_heartbeat_copies(0.3, for_next=self._dice.random() < 0.5)
+        self._simulation.late_heartbeat_copies(0.3, at_next_leader=self._dice.random() < 0.5)
         await trio.sleep(8.0)
-        self._simulation.net.copy = lambda src, dst, request: None
+        self._simulation.net.copy_request = lambda src, dst, request: None
 
     def _end_troubles(self) -> None:
         for worker in self._simulation.workers.values():
@@ -217,16 +217,16 @@
         simulations.append(simulation)
         await FailoverSoak(simulation, seed).play()
 
-    broken: tuple[str, ...] = ()
+    violations: tuple[str, ...] = ()
     with counted_events() as counts:
         try:
             run_scenario(scenario, seed=seed, teams=TEAMS)
         except (AssertionError, BaseExceptionGroup) as error:
-            broken = tuple(simulations[0].broken) or (repr(error),)
-    return _reached(seed, simulations[0], counts, broken)
+            violations = tuple(simulations[0].violations) or (repr(error),)
+    return _reached(seed, simulations[0], counts, violations)
 
 
-def _reached(seed: int, simulation: SimulatedCluster, counts: EventCounts, broken: tuple[str, ...]) -> Reached:
+def _reached(seed: int, simulation: SimulatedCluster, counts: EventCounts, violations: tuple[str, ...]) -> Reached:
     return Reached(
         seed=seed,
         starts=len(simulation.starts),
@@ -235,5 +235,5 @@
         starts_refused=counts.count("start_refused"),
         unaccounted_cpus=counts.unaccounted_cpus(),
         tasks_over=counts.count("ended_task_found"),
-        broken=broken,
+        violations=violations,
     )
--- a/tests/soak/long_run.py
+++ b/tests/soak/long_run.py
@@ -26,14 +26,14 @@
 @click.option("--processes", default=4, show_default=True, help="how many at a time")
 def main(first: int, seeds: int, processes: int) -> None:
     """Play many histories, each in its own simulated cluster."""
-    broken = missed = 0
+    failed = missed = 0
     with Pool(processes) as pool:
         for reached in pool.imap_unordered(_play, range(first, first + seeds)):
             click.echo(str(reached))
-            broken += bool(reached.broken)
+            failed += bool(reached.violations)
             missed += not reached.aim
-    click.echo(f"{seeds} seeds: {broken} broke a rule, {missed} did not reach the state that is meant")
-    sys.exit(1 if broken else 0)
+    click.echo(f"{seeds} seeds: {failed} broke a rule, {missed} did not reach the state that is meant")
+    sys.exit(1 if failed else 0)
 
 
 if __name__ == "__main__":
--- a/tests/soak/test_failover_soak.py
+++ b/tests/soak/test_failover_soak.py
@@ -12,5 +12,5 @@
 def test_limits_hold_around_failovers(seed: int) -> None:
     reached = play(seed)
     print(reached)
-    assert not reached.broken, reached
+    assert not reached.violations, reached
     assert reached.aim, f"the state that is meant was never reached: {reached}"
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -49,11 +49,11 @@
     """All that is sent to this path from now on."""
     requests: list[Request] = []
 
-    def copy(src: str, dst: str, request: Request) -> None:
+    def copy_request(src: str, dst: str, request: Request) -> None:
         if request.path == path:
             requests.append(request)
 
-    simulation.net.copy = copy
+    simulation.net.copy_request = copy_request
     return requests
 
 
