--- a/tests/load/__init__.py
+++ b/tests/load/__init__.py
@@ -1,1 +1,1 @@
-"""Tools that measure under load; not part of the test run."""
+"""Tools that measure performance under load; not part of the test run."""
--- a/tests/load/detection_times.py
+++ b/tests/load/detection_times.py
@@ -1,8 +1,9 @@
-"""Measure how soon silent controllers are suspected and confirmed, and how often living ones are suspected.
+"""Measure how soon killed controllers are suspected and confirmed as failed, and how often paused controllers are.
 
     python -m tests.load.detection_times --kills 40 --pauses 40
 
-Three controllers of the simulated cluster on its virtual clock, settings of deploy/membership.hcl. Not part of CI."""
+Runs three controllers in the simulated cluster, on its virtual clock, with the settings of deploy/membership.hcl. Not
+part of CI."""
 
 from __future__ import annotations
 
@@ -17,17 +18,17 @@
 from tests.simulation import SimulatedCluster, run_scenario, service
 from tests.simulation.users import LABELS
 
-LONGEST_MS = 120_000  # ms; the longest time that the distributions can hold
-SETTLE_S = 15.0  # s; between two troubles
-LONGEST_PAUSE_S = 8.0  # s; shorter than the presence lease, so nobody may be confirmed
-WATCH_S = 0.02  # s; between two looks at the views
+MAX_TIME_MS = 120_000  # ms; upper bound of the histograms
+FAULT_INTERVAL_S = 15.0  # s; between two faults
+LONGEST_PAUSE_S = 8.0  # s; shorter than the presence lease, so no paused controller may be confirmed as failed
+POLL_INTERVAL_S = 0.02  # s; between two checks of the membership views
 
 
-class Detection:
-    """Times from the trouble to each observer's judgement."""
+class DetectionTimes:
+    """Times from a kill until each other controller suspects and confirms the failure, and counts of false alarms."""
 
     def __init__(self, seed: int) -> None:
-        self.times = {status: HdrHistogram(1, LONGEST_MS, 3) for status in (Status.SUSPECTED, Status.CONFIRMED)}
+        self.times = {status: HdrHistogram(1, MAX_TIME_MS, 3) for status in (Status.SUSPECTED, Status.CONFIRMED)}
         self.suspected_pauses = 0
         self.confirmed_pauses = 0
         self.rng = random.Random(seed)
@@ -39,21 +40,21 @@
         return membership.view.peers[label].status
 
     async def kill(self, simulation: SimulatedCluster) -> None:
-        """One death, until all others have confirmed it; then the controller comes back."""
-        dead = self.rng.choice(LABELS)
-        waiting = {(observer, status) for observer in LABELS if observer != dead for status in self.times}
-        simulation.kill(dead)
-        died_at = trio.current_time()
+        """Kill a controller, wait until all others have confirmed the failure, and restart it."""
+        killed = self.rng.choice(LABELS)
+        waiting = {(observer, status) for observer in LABELS if observer != killed for status in self.times}
+        simulation.kill(killed)
+        killed_at = trio.current_time()
         while waiting:
             for observer, status in sorted(waiting, key=lambda item: (item[0], item[1].value)):
-                if self._status(simulation, observer, dead) in (status, Status.CONFIRMED):
-                    self.times[status].record_value(max(1, int((trio.current_time() - died_at) * 1000)))
+                if self._status(simulation, observer, killed) in (status, Status.CONFIRMED):
+                    self.times[status].record_value(max(1, int((trio.current_time() - killed_at) * 1000)))
                     waiting.discard((observer, status))
-            await trio.sleep(WATCH_S)
-        simulation.start(dead)
+            await trio.sleep(POLL_INTERVAL_S)
+        simulation.start(killed)
 
     async def pause(self, simulation: SimulatedCluster) -> None:
-        """One pause that is too short to prove a death."""
+        """Pause a controller for less than its presence lease."""
         paused = self.rng.choice(LABELS)
         others = [label for label in LABELS if label != paused]
         simulation.freeze(paused, self.rng.uniform(0.5, LONGEST_PAUSE_S))
@@ -61,18 +62,18 @@
         began = trio.current_time()
         while trio.current_time() < began + LONGEST_PAUSE_S + 2.0:
             seen |= {self._status(simulation, observer, paused) for observer in others}
-            await trio.sleep(WATCH_S)
+            await trio.sleep(POLL_INTERVAL_S)
         self.suspected_pauses += Status.SUSPECTED in seen
         self.confirmed_pauses += Status.CONFIRMED in seen
 
     async def run(self, simulation: SimulatedCluster, kills: int, pauses: int) -> None:
-        """All troubles, one after the other, while a service runs."""
+        """Inject all faults one after the other while a service runs."""
         await simulation.submit(service("run-s", shards=3))
-        troubles = [self.kill] * kills + [self.pause] * pauses
-        self.rng.shuffle(troubles)
-        for trouble in troubles:
-            await trio.sleep(SETTLE_S)
-            await trouble(simulation)
+        faults = [self.kill] * kills + [self.pause] * pauses
+        self.rng.shuffle(faults)
+        for fault in faults:
+            await trio.sleep(FAULT_INTERVAL_S)
+            await fault(simulation)
 
 
 @click.command()
@@ -80,19 +81,19 @@
 @click.option("--pauses", default=40, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 def main(kills: int, pauses: int, seed: int) -> None:
-    """Print the distributions."""
-    detection = Detection(seed)
+    """Measure and print the distributions."""
+    detection_times = DetectionTimes(seed)
 
     async def scenario(simulation: SimulatedCluster) -> None:
-        await detection.run(simulation, kills, pauses)
+        await detection_times.run(simulation, kills, pauses)
 
     run_scenario(scenario, seed=seed, membership=MembershipSettings())
-    for status, times in detection.times.items():
+    for status, times in detection_times.times.items():
         points = ", ".join(f"{p:g}%: {times.get_value_at_percentile(p) / 1000:.2f} s" for p in (50, 90, 99, 100))
-        click.echo(f"{status.value:9} after a death, {times.get_total_count()} judgements: {points}")
+        click.echo(f"{status.value:9} after a kill, {times.get_total_count()} observations: {points}")
     click.echo(
-        f"{pauses} pauses of 0.5 to {LONGEST_PAUSE_S:g} s: {detection.suspected_pauses} suspected, "
-        f"{detection.confirmed_pauses} confirmed"
+        f"{pauses} pauses of 0.5 to {LONGEST_PAUSE_S:g} s: {detection_times.suspected_pauses} suspected, "
+        f"{detection_times.confirmed_pauses} confirmed"
     )
 
 
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -1,9 +1,9 @@
-"""Measure the leader's processor time per second of service, by part, at several fleet sizes.
+"""Measure the leader's processor time per second of operation, by component, at several fleet sizes.
 
     python -m tests.load.leader_cpu --machines 930 2000 4000 --seconds 30
 
-The leader's own code decides on simulated machines and jobs; nothing is sent. Rates of jobs follow the largest site
-file, in proportion to the machines. Not part of CI: the figures depend on the machine that measures."""
+The leader's own code runs on simulated machines and jobs, without a network. The rates of jobs are those of the largest
+site, scaled with the number of machines. Not part of CI: the figures depend on the machine that measures."""
 
 from __future__ import annotations
 
@@ -32,55 +32,57 @@
 from sorrelsill.workers import HeartbeatResponse, enforce_gang_completeness, parse_heartbeat
 from tests.simulation.leader_in_memory import LeaderInMemory, array_job
 
-STEP_S = 0.05  # s; simulated time between two looks at what is due, about a round of placing
+STEP_S = 0.05  # s; simulated time of one step, about one scheduling cycle
 HEARTBEAT_S = 2.5  # s; the interval between heartbeats
-LARGEST_SITE = 617  # machines; the rates of jobs below belong to so many
-SERVICES = 63  # jobs; running from the start
-ARRAYS_PER_S = 43 / 60  # of 50 tasks of one CPU for some 25 s
-SWEEPS_PER_S = 36 / 60  # of 25 tasks of two CPUs for some 70 s
-LONGEST_STEP_US = 60_000_000  # us; the longest step that the distributions can hold
-FRAMING_EXCHANGES = 2000  # exchanges from which the cost of one is taken
+BASE_MACHINES = 617  # machines; size of the largest site, for which the numbers of jobs below hold
+BASE_SERVICES = 63  # jobs; running from the start
+ARRAYS_PER_S = 43 / 60  # jobs/s; each of 50 one-CPU tasks that run for about 25 s
+SWEEPS_PER_S = 36 / 60  # jobs/s; each of 25 two-CPU tasks that run for about 70 s
+MAX_STEP_US = 60_000_000  # us; upper bound of the histograms
+FRAMING_REQUESTS = 2000  # requests over which the cost of one is averaged
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class _Part(AbstractContextManager["_Part"]):
-    """Processor time spent in one part of the leader, in all and as a distribution over its steps."""
+class _Component(AbstractContextManager["_Component"]):
+    """Processor time of one component of the leader: the total, and a histogram over its steps."""
 
     def __init__(self) -> None:
-        self.spent_s = 0.0
-        self.steps_us = HdrHistogram(1, LONGEST_STEP_US, 2)
-        self._begun = 0.0
+        self.cpu_s = 0.0
+        self.steps_us = HdrHistogram(1, MAX_STEP_US, 2)
+        self._started_at = 0.0
 
-    def __enter__(self) -> _Part:
-        self._begun = time.process_time()
+    def __enter__(self) -> _Component:
+        self._started_at = time.process_time()
         return self
 
-    def __exit__(self, kind: type[BaseException] | None, error: BaseException | None, at: TracebackType | None) -> None:
-        spent = time.process_time() - self._begun
-        self.spent_s += spent
+    def __exit__(
+        self, error_type: type[BaseException] | None, error: BaseException | None, traceback: TracebackType | None
+    ) -> None:
+        spent = time.process_time() - self._started_at
+        self.cpu_s += spent
         self.steps_us.record_value(max(1, int(spent * 1e6)))
 
     def at_percentile_ms(self, percentile: float) -> float:
-        """How long so many of its steps took at the most."""
+        """Return this percentile of the duration of its steps."""
         return float(self.steps_us.get_value_at_percentile(percentile)) / 1000
 
 
 class Load:
-    """Machines that send heartbeats, jobs that come and end, and the leader's parts with their cost."""
+    """Simulates machines that send heartbeats and jobs that start and end, and measures the leader's components."""
 
     def __init__(self, machines: int, burst: float, seed: int) -> None:
         teams = [Team("blue", cpus=machines * 8.0), Team("green", cpus=machines * 4.0)]
         self.leader = LeaderInMemory(machines, teams=teams)
-        self._scale = machines / LARGEST_SITE
+        self._scale = machines / BASE_MACHINES
         self._burst = burst
         self._rng = random.Random(seed)
-        self._jobs_made = 0
+        self._job_count = 0
         self._due = {"array": 0.0, "sweep": 0.0}
-        self._ends: list[tuple[float, str, tuple[str, int]]] = []
+        self._task_ends: list[tuple[float, str, tuple[str, int]]] = []
         self._changed: set[str] = set()
         self._schedule = deque(self.leader.names)
-        self.parts = {name: _Part() for name in ("reports", "losses", "rounds", "records", "fleet", "list")}
+        self.components = {name: _Component() for name in ("reports", "losses", "rounds", "records", "fleet", "list")}
         cloud = Cloud(Client("10.0.0.1:1"), CloudLimits(5.0, 12.0))
         self._fleet = FleetManager(
             cloud,
@@ -92,25 +94,25 @@
         self._fleet.state.lists_read = 1
         store = KeyValueStore(Client("10.0.0.1:2"), StateLimits(1e6, 1e6, 32.0, 40), 3)
         self._record_writer = RecordWriter(store, WatchCache(store, 60.0), self.leader.cluster, lambda: True)
-        self.reports = 0
-        self.waiting_most = 0
+        self.heartbeats = 0
+        self.max_waiting = 0
 
     def _add(self, name: str, **fields: object) -> None:
-        self._jobs_made += 1
-        owner = ("blue", "green")[self._jobs_made % 2]
-        spec: JobSpec = array_job(f"run-{self._jobs_made:06d}", owner=owner, workload=name, **fields)
+        self._job_count += 1
+        owner = ("blue", "green")[self._job_count % 2]
+        spec: JobSpec = array_job(f"run-{self._job_count:06d}", owner=owner, workload=name, **fields)
         self.leader.add(spec)
 
-    def begin(self) -> None:
-        """All machines are up and the services run."""
+    def start(self) -> None:
+        """Register all machines and start the services."""
         self.leader.all_send_heartbeats()
         self.leader.all_send_heartbeats()
-        for _ in range(int(SERVICES * self._scale)):
+        for _ in range(int(BASE_SERVICES * self._scale)):
             self._add("service", shape="standing", rank="prod", shards=7, vcpus=4.0, memoryGb=13.0, expectedRunS=0.0)
         self.leader.run_cycle()
         self.leader.all_send_heartbeats()
 
-    def _jobs_come(self) -> None:
+    def _submit_due_jobs(self) -> None:
         for name, rate, shards, cpus, run_s in (
             ("array", ARRAYS_PER_S, 50, 1.0, 25.0),
             ("sweep", SWEEPS_PER_S, 25, 2.0, 70.0),
@@ -122,29 +124,31 @@
                 image = f"img-{self._rng.randrange(14)}"
                 self._add(name, shards=shards, vcpus=cpus, rank=rank, bundle=image, expectedRunS=run_s)
 
-    def _tasks_end(self) -> None:
+    def _end_due_tasks(self) -> None:
         now = self.leader.now
-        while self._ends and self._ends[0][0] <= now:
-            _, name, key = heapq.heappop(self._ends)
+        while self._task_ends and self._task_ends[0][0] <= now:
+            _, name, key = heapq.heappop(self._task_ends)
             if self.leader.tasks[name].get(key) == "running":
                 self.leader.tasks[name][key] = "exited"
                 self._changed.add(name)
 
-    def _report(self, name: str) -> None:
+    def _send_heartbeat(self, name: str) -> None:
         leader = self.leader
         body = _encode(leader.next_heartbeat(name))
-        with self.parts["reports"]:
+        with self.components["reports"]:
             commands = leader.cluster.on_heartbeat(parse_heartbeat(body), leader.now) or []
             _encode(HeartbeatResponse(leader.cluster.term, commands))
         before = set(leader.tasks[name])
         leader.execute(name, commands)
-        self.reports += 1
+        self.heartbeats += 1
         for key in leader.tasks[name].keys() - before:
             spec = leader.cluster.jobs[key[0].rpartition("/")[0]].spec
             if not spec.is_service:
-                heapq.heappush(self._ends, (leader.now + spec.expected_run_s * self._rng.uniform(0.6, 1.4), name, key))
+                heapq.heappush(
+                    self._task_ends, (leader.now + spec.expected_run_s * self._rng.uniform(0.6, 1.4), name, key)
+                )
 
-    def _machines_report(self) -> None:
+    def _send_due_heartbeats(self) -> None:
         count = max(1, int(len(self._schedule) * STEP_S / HEARTBEAT_S))
         regular = set(self._schedule[i] for i in range(count))
         self._schedule.rotate(-count)
@@ -153,15 +157,15 @@
         due = regular | self._changed | pushed
         self._changed.clear()
         for name in sorted(due):
-            self._report(name)
+            self._send_heartbeat(name)
 
-    def _record(self) -> None:
-        """What the writer of records does to the cluster state once a write is committed; what it looks for with every
-        live job's progress due is measured."""
+    def _commit_records(self) -> None:
+        """Update the cluster state as the record writer does once a write is committed. Measured is only its search for
+        due records, with every live job's progress due."""
         cluster = self.leader.cluster
         if self.leader.now % constants.WRITER_TICK_S < STEP_S:
             due, cluster.pending_writes.records = cluster.pending_writes.records, set(cluster.jobs)
-            with self.parts["records"]:
+            with self.components["records"]:
                 self._record_writer.due_records()
             cluster.pending_writes.records = due
         for job_id in list(cluster.pending_writes.records):
@@ -173,33 +177,33 @@
         cluster.pending_writes.records.clear()
 
     def step(self) -> None:
-        """One step of simulated time."""
+        """Advance simulated time by one step."""
         leader, cluster = self.leader, self.leader.cluster
         leader.now += STEP_S
-        self._jobs_come()
-        self._tasks_end()
-        self._machines_report()
-        self._record()
-        with self.parts["losses"]:
+        self._submit_due_jobs()
+        self._end_due_tasks()
+        self._send_due_heartbeats()
+        self._commit_records()
+        with self.components["losses"]:
             cluster.expire_leases(leader.now)
             cluster.drain(leader.now)
             enforce_gang_completeness(cluster)
-        with self.parts["rounds"]:
+        with self.components["rounds"]:
             leader.scheduler.run_cycle(cluster, leader.now, time.process_time, constants.CYCLE_BUDGET_S)
-        self.waiting_most = max(self.waiting_most, len(leader.scheduler.unschedulable))
+        self.max_waiting = max(self.max_waiting, len(leader.scheduler.unschedulable))
         if leader.now % constants.PLAN_EVERY_S < STEP_S:
-            with self.parts["fleet"]:
+            with self.components["fleet"]:
                 self._fleet.scale_in.choose(leader.now)
                 self._fleet.scale_out.plan(leader.now)
             self._fleet.scale_out.open_requests.clear()
         if leader.now % constants.LIST_EVERY_S < STEP_S:
             found = {name: ListedMachine(name, "running", age_s=leader.now) for name in leader.names}
-            with self.parts["list"]:
+            with self.components["list"]:
                 self._fleet.take_list(found, leader.now)
 
 
-def framing_s() -> float:
-    """Processor time of one exchange of a plain heartbeat over memory streams, sender included."""
+def measure_framing_s() -> float:
+    """Return the processor time of one HTTP heartbeat request and response over memory streams, client included."""
     body = _encode(LeaderInMemory(1).next_heartbeat("m-000000"))
 
     async def answer(request: Request) -> Reply:
@@ -214,35 +218,35 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(Server(answer, 4).serve_stream, there)
             client = Client("10.0.0.1:80", connect)
-            begun = time.process_time()
-            for _ in range(FRAMING_EXCHANGES):
+            started_at = time.process_time()
+            for _ in range(FRAMING_REQUESTS):
                 await client.request("POST", "/hello", body)
-            spent = time.process_time() - begun
+            spent = time.process_time() - started_at
             nursery.cancel_scope.cancel()
-        return spent / FRAMING_EXCHANGES
+        return spent / FRAMING_REQUESTS
 
     return trio.run(main)
 
 
 def measure(
-    machines: int, seconds: float, burst: float, seed: int, exchange_s: float, say: Callable[[str], None]
+    machines: int, seconds: float, burst: float, seed: int, exchange_s: float, echo: Callable[[str], None]
 ) -> None:
-    """Play some seconds and say what each part took."""
+    """Simulate the load for some seconds and print the processor time of each component."""
     load = Load(machines, burst, seed)
-    load.begin()
+    load.start()
     while load.leader.now < seconds:
         load.step()
-    total = sum(part.spent_s for part in load.parts.values()) / seconds
-    rate = load.reports / seconds
+    total = sum(component.cpu_s for component in load.components.values()) / seconds
+    rate = load.heartbeats / seconds
     framing = rate * exchange_s
-    say(
+    echo(
         f"{machines} machines, jobs at {burst:g} of the usual rate: {total:.3f} s/s, with framing {total + framing:.3f}"
-        f" ({rate:.0f} reports/s, {len(load.leader.cluster.jobs)} live jobs, {load.waiting_most} waiting at most)"
+        f" ({rate:.0f} reports/s, {len(load.leader.cluster.jobs)} live jobs, {load.max_waiting} waiting at most)"
     )
-    for name, part in load.parts.items():
-        steps = ", ".join(f"{p:g}%: {part.at_percentile_ms(p):.2f} ms" for p in (50, 99, 100))
-        say(f"  {name:8} {part.spent_s / seconds:.4f} s/s; a step {steps}")
-    say(f"  {'framing':8} {framing:.4f} s/s")
+    for name, component in load.components.items():
+        steps = ", ".join(f"{p:g}%: {component.at_percentile_ms(p):.2f} ms" for p in (50, 99, 100))
+        echo(f"  {name:8} {component.cpu_s / seconds:.4f} s/s; a step {steps}")
+    echo(f"  {'framing':8} {framing:.4f} s/s")
 
 
 @click.command()
@@ -251,15 +255,15 @@
 @click.option("--burst", default=1.0, show_default=True, help="rate of jobs, in multiples of the usual one")
 @click.option("--seed", default=1, show_default=True)
 def main(machines: tuple[int, ...], seconds: float, burst: float, seed: int) -> None:
-    """Print the leader's processor time per second of service."""
+    """Print the leader's processor time per second of operation."""
 
-    async def play(count: int, framing: float) -> None:
+    async def run_load(count: int, framing: float) -> None:
         measure(count, seconds, burst, seed, framing, click.echo)
 
-    framing = framing_s()
+    framing = measure_framing_s()
     for count in machines:
-        # The fleet's code asks for the time of the event loop.
-        trio.run(play, count, framing, clock=trio.testing.MockClock())
+        # The fleet manager reads the event loop's clock, so it needs a running loop.
+        trio.run(run_load, count, framing, clock=trio.testing.MockClock())
 
 
 if __name__ == "__main__":
