--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded histories of failures that are aimed at one moment, for minutes or, started by hand, for hours."""
+"""Randomized, seeded failure runs around leader failover: short in the test run, or hours long when started by hand."""
--- a/tests/soak/event_counts.py
+++ b/tests/soak/event_counts.py
@@ -1,4 +1,4 @@
-"""Counts structured log lines of the service, to tell whether a history reached the state that it aims at."""
+"""Counts structured log events of the service, to tell whether a run reached the state that it should test."""
 
 from __future__ import annotations
 
@@ -16,40 +16,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One structured line."""
+    """One structured log event."""
 
     name: str
     fields: dict[str, str]
 
 
 class EventCounts(logging.Handler):
-    """The events that were logged, in their order."""
+    """Collects the logged events in order."""
 
     def __init__(self) -> None:
         super().__init__(logging.DEBUG)
         self.events: list[Event] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take one line."""
+        """Parse one log line."""
         name, *fields = record.getMessage().split()
         pairs = (field.partition("=") for field in fields)
         self.events.append(Event(name, {key: value for key, _, value in pairs}))
 
     def count(self, name: str) -> int:
-        """How often an event was logged."""
+        """Return how often an event was logged."""
         return sum(1 for event in self.events if event.name == name)
 
     def unaccounted_cpus(self) -> float:
-        """CPUs that limited teams may have used unobserved, summed over the failovers."""
-        at_takeovers = [event.fields for event in self.events if event.name == "team_use"]
-        return sum(float(fields["unaccounted_cpus"]) for fields in at_takeovers if float(fields["limit_cpus"]))
+        """Return the CPUs that teams with a limit may have used unknown to the new leader, over all failovers."""
+        team_use = [event.fields for event in self.events if event.name == "team_use"]
+        return sum(float(fields["unaccounted_cpus"]) for fields in team_use if float(fields["limit_cpus"]))
 
 
 @contextmanager
 def counted_events() -> Iterator[EventCounts]:
-    """Count what the leader logs of limits, failovers and stop commands."""
+    """Count what the leader logs about limits, failovers and stop commands."""
     counts = EventCounts()
-    before = [(log, log.level, log.propagate) for log in _LOGS]
+    previous = [(log, log.level, log.propagate) for log in _LOGS]
     for log in _LOGS:
         log.addHandler(counts)
         log.setLevel(logging.DEBUG)
@@ -57,7 +57,7 @@
     try:
         yield counts
     finally:
-        for log, level, propagate in before:
+        for log, level, propagate in previous:
             log.removeHandler(counts)
             log.setLevel(level)
             log.propagate = propagate
