--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -78,9 +78,9 @@
         self._burst = burst
         self._rng = random.Random(seed)
         self._job_count = 0
-        self._due = {"array": 0.0, "sweep": 0.0}
+        self._due = {"array": 0.0, "sweep": 0.0}  # jobs to submit by kind; fractions accumulate over the steps
         self._task_ends: list[tuple[float, str, tuple[str, int]]] = []
-        self._changed: set[str] = set()
+        self._changed: set[str] = set()  # machines on which a task has ended since their last heartbeat
         self._schedule = deque(self.leader.names)
         self.components = {name: _Component() for name in ("reports", "losses", "rounds", "records", "fleet", "list")}
         cloud = Cloud(Client("10.0.0.1:1"), CloudLimits(5.0, 12.0))
--- a/tests/processes/deployment.py
+++ b/tests/processes/deployment.py
@@ -139,11 +139,11 @@
         term = 0
         tokens: dict[str, int] = {}
         while True:
-            held = self.store.kv.get("s/leader")
+            leader_key = self.store.kv.get("s/leader")
             now = trio.current_time()
-            if held is not None and held[1] != term:
-                term = held[1]
-                self.events.append(LeaderChanged(now, term, held[0]["label"]))
+            if leader_key is not None and leader_key[1] != term:
+                term = leader_key[1]
+                self.events.append(LeaderChanged(now, term, leader_key[0]["label"]))
             for name, worker in self.workers.items():
                 if worker.fencing_token != tokens.get(name, 0):
                     tokens[name] = worker.fencing_token
@@ -152,8 +152,8 @@
 
     def leader(self) -> str | None:
         """Return the label of the holder of the leader key."""
-        held = self.store.kv.get("s/leader")
-        return str(held[0]["label"]) if held is not None else None
+        leader_key = self.store.kv.get("s/leader")
+        return str(leader_key[0]["label"]) if leader_key is not None else None
 
     # --- users ---
 
--- a/tests/processes/play.py
+++ b/tests/processes/play.py
@@ -53,7 +53,7 @@
         await trio.sleep(self._rng.choice(PAUSES_S))
         if self._rng.random() < SECOND_FAULT_SHARE:
             other = self._rng.choice([each for each in LABELS if each != label])
-            self._record("kill beside a pause", other)
+            self._record("kill during a pause", other)
             self._controllers.kill(other)
             self._controllers.start(other)
         self._controllers.resume(label)
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -16,6 +16,7 @@
 
 MAX_PAGE_SIZE = 500  # machines in one page of the machine list
 
+# The only machine type of the catalog, in the cloud's wire format.
 FLAVOUR = {
     "sku": "c8",
     "vcpus": 8,
@@ -39,7 +40,7 @@
     def __init__(self, boot: Callable[[str, str, str, bool], None], capacity: int = 20, lag_s: float = 2.0) -> None:
         self._boot = boot
         self.capacity = capacity
-        self.lag_s = lag_s
+        self.lag_s = lag_s  # s; age from which the machine list shows a machine
         self.machines: dict[str, dict[str, Any]] = {}
         self.answered_requests: dict[
             str, list[str]
@@ -54,11 +55,11 @@
         self.rented: list[tuple[float, int]] = []  # time, number of machines
         self.request_count = 0
         self.paid_s: dict[str, float] = {}  # machine -> seconds from its rental until its return
-        self._count = 0
+        self._next_number = 0
 
     def add(self, machine_type: str, zone: str, spot: bool) -> str:
-        name = self.name_of(self._count)
-        self._count += 1
+        name = self.name_of(self._next_number)
+        self._next_number += 1
         self.machines[name] = {
             "uid": name,
             "addr": name,
@@ -67,7 +68,7 @@
             "reclaimable": spot,
             "phase": "booting",
             "born": trio.current_time(),
-            "number": self._count - 1,
+            "number": self._next_number - 1,
         }
         return name
 
--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -86,7 +86,7 @@
                     self.starts.append((job_id, attempt_number))
                     for member in active:
                         member.task.update(phase="running", at=now)
-                        member.worker._changed()
+                        member.worker._notify_change()
                 continue
             self._step_running(job_id, gang, active, now)
 
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -37,7 +37,9 @@
         self.refused: set[tuple[str, str]] = set()  # (source, destination) pairs whose connections are refused
         self._cuts: set[tuple[str, str]] = set()
         self._held: list[_PendingRequest] = []
+        # Whether the response to a request is lost.
         self.drop_answers: Callable[[str, str, Request], bool] = lambda src, dst, request: False
+        # Whether a request is held back until the next release().
         self.hold_request: Callable[[str, str, Request], bool] = lambda src, dst, request: False
         # Seconds after which a request is delivered without a response to its sender; None for normal delivery.
         self.late_delivery_s: Callable[[str, str, Request], float | None] = lambda src, dst, request: None
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -17,9 +17,9 @@
 
 class FakeStore:
     def __init__(self, txn_ops: int = 16, value_kb: float = 32.0) -> None:
-        self.kv: dict[str, tuple[Any, int, int | None]] = {}
+        self.kv: dict[str, tuple[Any, int, int | None]] = {}  # key -> value, revision of its last write, lease
         self.rev = 0
-        self.log: list[tuple[int, str, Any, bool]] = []
+        self.log: list[tuple[int, str, Any, bool]] = []  # revision, key, value, whether the key exists after it
         self.leases: dict[int, tuple[float, float]] = {}  # id -> TTL, expiry time
         self._next_lease = 1
         self.outage = False
@@ -30,8 +30,8 @@
         self.refusals: list[
             tuple[float, str]
         ] = []  # time of each oversized transaction, and the limit that it exceeded
-        self.throttled = 0
-        self.requests: list[tuple[float, str, Request]] = []
+        self.throttled = 0  # transactions refused because of the write rate
+        self.requests: list[tuple[float, str, Request]] = []  # time, source, request
         self._changed = trio.Event()
 
     def lower_limits(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -14,7 +14,7 @@
 _encode = msgspec.msgpack.encode
 _decode = msgspec.msgpack.decode
 
-LABELS = ("n0", "n1", "n2")
+LABELS = ("n0", "n1", "n2")  # of the controllers
 
 
 def job(name: str, **fields: Any) -> dict[str, Any]:
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -48,10 +48,10 @@
         self.hung = False
         self.dead = False
         self.spot_reclaim_at: float | None = None
-        self.on_done: Callable[[str], None] = lambda task_id: None
-        self.task_fails: Callable[[str], bool] = lambda task_id: False
+        self.on_done: Callable[[str], None] = lambda task_id: None  # called with each task that completes
+        self.task_fails: Callable[[str], bool] = lambda task_id: False  # whether a task that runs exits with an error
         self.pull_rate = 1.0  # GB a second
-        self._change = trio.Event()
+        self._change_event = trio.Event()
 
     # --- tasks ---
 
@@ -60,9 +60,9 @@
             (self.active_tasks.add if active else self.active_tasks.discard)(task_id)
             self._on_task_change(self, task_id, active)
 
-    def _changed(self) -> None:
-        self._change.set()
-        self._change = trio.Event()
+    def _notify_change(self) -> None:
+        self._change_event.set()
+        self._change_event = trio.Event()
 
     def _spec(self, task_id: str) -> dict[str, Any]:
         return self._specs[task_id.rpartition("/")[0]]
@@ -77,7 +77,7 @@
             self.tasks.clear()
             self.incarnation += 1
             self.lease_renewed_at = now
-            self._changed()
+            self._notify_change()
 
     def advance(self) -> None:
         """Bring the tasks and the lease up to the current time."""
@@ -89,9 +89,9 @@
             if task["phase"] == "pulling" and now >= task["at"] + spec["sizeGb"] / self.pull_rate:
                 task.update(phase="waiting" if is_gang else "running", at=now)
                 self._set_active(task_id, True)
-                self._changed()
+                self._notify_change()
                 if spec["uid"] in self._gangs.completed_jobs:
-                    self._exit(task_id, task, "done")  # the gang has completed in an earlier attempt
+                    self._exit(task_id, task, "done")  # the gang has completed before and its result is kept
                 elif is_gang:
                     self._gangs.join(self, task_id, attempt_number, task, now)
             if is_gang and task["phase"] in ("waiting", "running", "saving") and not self.task_fails(task_id):
@@ -111,7 +111,7 @@
         self._set_active(task_id, False)
         if cause == "done":
             self.on_done(task_id)
-        self._changed()
+        self._notify_change()
 
     def _execute(self, command: dict[str, Any]) -> None:
         key = (command["shard"], command["tryNo"])
@@ -122,7 +122,7 @@
                 self.tasks[key] = {"phase": "exited", "exitCause": "busy"}
             else:
                 self.tasks[key] = {"phase": "pulling", "at": trio.current_time()}
-            self._changed()
+            self._notify_change()
         elif command["verb"] == "halt" and task is not None and task["phase"] != "exited":
             spec = self._spec(key[0])
             saves = spec["snapshotEveryS"] > 0 and command["windDownS"] >= spec["snapshotCostS"]
@@ -178,7 +178,7 @@
     def _accept_fencing_token(self, fencing_token: int) -> None:
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
-            self._changed()
+            self._notify_change()
 
     async def run(self) -> None:
         while not self.dead:
@@ -186,9 +186,9 @@
             incarnation = self.incarnation
             if not self.hung:
                 await self._send_heartbeat(sent_at, incarnation)
-            change = self._change
+            change_event = self._change_event
             with trio.move_on_at(max(sent_at + self.heartbeat_interval_s, trio.current_time() + 0.01)):
-                await change.wait()
+                await change_event.wait()
                 await trio.sleep_until(sent_at + 0.5)
 
     async def _send_heartbeat(self, sent_at: float, incarnation: int) -> None:
@@ -204,7 +204,7 @@
         answer = _decode(raw) if raw else {}
         if status == 421 and answer.get("upstream") in self._controllers and answer["upstream"] != self._controller:
             self._controller = answer["upstream"]
-            self._changed()
+            self._notify_change()
         elif status != 200:
             await self._try_next_controller()
         elif incarnation == self.incarnation and answer.get("epoch", -1) >= self.fencing_token:
