--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -40,6 +40,7 @@
     """The state of gangs across all machines: which tasks wait, each job's progress, and its saved checkpoint."""
 
     def __init__(self, wait_s: float = 50.0, peer_s: float = 5.0) -> None:
+        # s; how long a task waits for its whole gang, and how long a gang goes on after a loss or an incomplete stop.
         self.wait_s, self.peer_s = wait_s, peer_s
         self.saved_progress: dict[str, float] = {}  # job -> seconds of progress in its checkpoint
         self.completed_jobs: set[str] = set()
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -15,8 +15,8 @@
 from tests.simulation.store import FakeStore
 from tests.simulation.worker import FakeWorker
 
-HEARTBEAT_S, LEASE_S, CANCEL_S = 1.0, 11.0, 30.0
-GANG_WAIT_S, GANG_PEER_S = 40.0, 5.0
+HEARTBEAT_S, LEASE_S, CANCEL_S = 1.0, 11.0, 30.0  # s
+GANG_WAIT_S, GANG_PEER_S = 40.0, 5.0  # s
 
 
 class ProtocolRules:
