--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -151,7 +151,7 @@
             simulation.kill(label)
         await trio.sleep(0.2)
         simulation.start_all()
-        await simulation.until(lambda: all(node.watch_cache.loaded for node in simulation.nodes.values()), 3)
+        await simulation.until(lambda: all(node.watch_cache.loaded for node in simulation.controllers.values()), 3)
         assert simulation.leader() is None and len(simulation.running("run-c")) == 2
         simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
@@ -170,7 +170,7 @@
         leader = await start_services(simulation, "run-c")
         first, second = other_controllers(leader)
         simulation.kill(first)
-        simulation.start(first, old=True)
+        simulation.start(first, production_version=True)
         await trio.sleep(60)
         assert await simulation.until_leader() == leader
         # The previous version keeps renewing leases, so the workers may reach only the refused leader.
@@ -221,13 +221,13 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        term = simulation.nodes[old_leader].elector.term
+        term = simulation.controllers[old_leader].elector.term
         simulation.store.refused.add(old_leader)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
         await trio.sleep(8)
         # The store serves it again, but its watch requests still hang.
-        node = simulation.nodes[old_leader]
+        node = simulation.controllers[old_leader]
         simulation.net.hold_request = lambda src, dst, request: src == old_leader and request.path == "/follow"
         simulation.store.refused.clear()
         simulation.store.end_outage()
@@ -283,14 +283,14 @@
         old_leader = await start_services(simulation, "run-c")
         simulation.store.refused.add(old_leader)
         for label in other_controllers(old_leader):
-            answer = simulation.nodes[label].cancellations.answer_peer
+            answer = simulation.controllers[label].cancellations.answer_peer
             malformed = [{"cancelled": None}, {"cancelled": [7], "back": 1e9}, {"cancelled": [], "back": "x"}, [], None]
 
             def malformed_answer(asked: dict[str, object], now: float, answer=answer, malformed=malformed) -> object:  # type: ignore[no-untyped-def]
                 answer(asked, now)
                 return malformed[int(now * 10) % len(malformed)]
 
-            simulation.nodes[label].cancellations.answer_peer = malformed_answer  # type: ignore[method-assign, assignment]
+            simulation.controllers[label].cancellations.answer_peer = malformed_answer  # type: ignore[method-assign, assignment]
         await trio.sleep(0.2)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
--- a/tests/scenarios/test_controller_restarts.py
+++ b/tests/scenarios/test_controller_restarts.py
@@ -19,12 +19,12 @@
 
     while len(steps) < 6:
         assert trio.current_time() - began < 90, steps
-        up = [node for label, node in simulation.nodes.items() if label not in simulation.net.down]
+        up = [node for label, node in simulation.controllers.items() if label not in simulation.net.down]
         record("process up", bool(up))
         record("view loaded", any(node.watch_cache.loaded for node in up))
         label = simulation.leader()
         record("leading", label is not None)
-        cluster = simulation.nodes[label].cluster if label is not None else None
+        cluster = simulation.controllers[label].cluster if label is not None else None
         record(
             "machines confirmed",
             cluster is not None and not cluster.failover.unconfirmed and bool(cluster.index.usable),
@@ -101,7 +101,7 @@
         await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
         for turn in range(6):
-            label = simulation.leader() or sorted(simulation.nodes)[turn % 3]
+            label = simulation.leader() or sorted(simulation.controllers)[turn % 3]
             simulation.kill(label)
             await trio.sleep(0.2)
             simulation.start(label)
@@ -124,7 +124,7 @@
         simulation.start(old)
         began = trio.current_time()
         await simulation.until_leader(10)
-        assert trio.current_time() - began < simulation.nodes[old].timings.lease_s / 2
+        assert trio.current_time() - began < simulation.controllers[old].timings.lease_s / 2
 
     run_scenario(scenario)
 
@@ -174,7 +174,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
-        for label in list(simulation.nodes):
+        for label in list(simulation.controllers):
             simulation.kill(label)
             await trio.sleep(4)
             simulation.start(label)
--- a/tests/scenarios/test_delayed_messages.py
+++ b/tests/scenarios/test_delayed_messages.py
@@ -121,7 +121,7 @@
             if src == first and request.path == "/hello" and b"run-s/0" in request.body:
                 old_heartbeats.append(request)
 
-        simulation.net.copy = record_heartbeat
+        simulation.net.copy_request = record_heartbeat
         await trio.sleep(3)
         simulation.cut_machine(first)
         await simulation.until(lambda: [machine for _, machine in simulation.running("run-s")] not in ([], [first]), 60)
--- a/tests/scenarios/test_failing_tasks.py
+++ b/tests/scenarios/test_failing_tasks.py
@@ -9,7 +9,7 @@
     """All tasks of `faulty_jobs` fail, and all tasks on `faulty_machines`."""
 
     def set_failure(name: str) -> None:
-        simulation.workers[name].fail = lambda task_id: (
+        simulation.workers[name].task_fails = lambda task_id: (
             task_id.rpartition("/")[0] in faulty_jobs or name in faulty_machines
         )
 
@@ -29,7 +29,7 @@
         since = trio.current_time() + 10
         await simulation.until_phase("run-good", "done", 150)
         await trio.sleep(60)
-        cluster = simulation.nodes[label].cluster
+        cluster = simulation.controllers[label].cluster
         assert cluster is not None
         assert not any(machine.quarantined for machine in cluster.machines.values())
         assert all(not cluster.jobs[job_id].failures.blamed_machines for job_id in faulty_jobs)
@@ -71,7 +71,7 @@
         await simulation.submit(job("run-a", shards=4))
         await simulation.until(lambda: len(simulation.running("run-a")) > 0)
         name = simulation.running("run-a")[0][1]
-        simulation.workers[name].fail = lambda task_id: True
+        simulation.workers[name].task_fails = lambda task_id: True
         await simulation.submit(job("run-b", shards=4))
         await simulation.until_phase("run-a", "done")
         await simulation.until_phase("run-b", "done")
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -70,8 +70,8 @@
     """After a failover with fifty silent machines, their full capacity used up small teams' limits for one lease."""
     leader = LeaderInMemory(MACHINES, registered=True)
     silent = [n for n in leader.names if leader.spot(n)][:50]
-    leader.add(array_job("run-old", shards=40, owner="red"), old=True)
-    leader.add(array_job("run-ordinary", shards=40, owner="red", reclaimable=False), old=True)
+    leader.add(array_job("run-old", shards=40, owner="red"), from_earlier_term=True)
+    leader.add(array_job("run-ordinary", shards=40, owner="red", reclaimable=False), from_earlier_term=True)
     leader.cluster.add_ended_job(array_job("run-over", shards=20, owner="red"), TaskSet(20))
     leader.cluster.add_ended_job(array_job("run-over-ordinary", shards=20, owner="red", reclaimable=False), TaskSet(20))
     leader.cluster.failover.set_all_ended_known(True)
@@ -92,7 +92,7 @@
 
 def test_ended_job_with_unobserved_tasks_counts_toward_team_limit() -> None:
     leader = LeaderInMemory(60, registered=True)
-    leader.add(array_job("run-old", shards=200, owner="red"), old=True)
+    leader.add(array_job("run-old", shards=200, owner="red"), from_earlier_term=True)
     leader.cluster.failover.set_all_ended_known(True)
     assert leader.cluster.unobserved("red") == (200.0, 0.0)
     leader.cluster.end_job("run-old")
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -46,7 +46,7 @@
         await simulation.until_phase("run-g", "running", 3)
         await simulation.until_phase("run-g", "done")
         assert await simulation.submit(gang_job("run-g")) == 200
-        assert len(simulation.gangs.begun) == 1 and simulation.gangs.reasons == ["done"] * 6
+        assert len(simulation.gangs.starts) == 1 and simulation.gangs.exit_causes == ["done"] * 6
 
     run_scenario(scenario, teams=[Team("red", cpus_max=20.0)])
 
@@ -76,10 +76,10 @@
         machines = await until_all_running(simulation, "run-g")
         await trio.sleep(11)
         simulation.kill_machine(machines[0])
-        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
-        assert simulation.gangs.saved["run-g"] >= 8, "it resumes from the last checkpoint"
+        await simulation.until(lambda: len(simulation.gangs.starts) == 2, 60)
+        assert simulation.gangs.saved_progress["run-g"] >= 8, "it resumes from the last checkpoint"
         await simulation.until_phase("run-g", "done")
-        assert len({n for _, n in simulation.gangs.begun}) == 2, "each start of the gang has its own attempt number"
+        assert len({n for _, n in simulation.gangs.starts}) == 2, "each start of the gang has its own attempt number"
         _, answer = await simulation.ask("n0", "GET", "/v2/runs/run-g/why")
         assert any("started anew" in note or "not whole" in note for note in answer["why"])
 
@@ -93,7 +93,7 @@
         failed_machine = next(n for n, w in simulation.workers.items() if w.tasks)
         simulation.kill_machine(failed_machine)
         await simulation.until_phase("run-g", "done", 120)
-        assert len(simulation.gangs.begun) == 1
+        assert len(simulation.gangs.starts) == 1
 
     run_scenario(scenario)
 
@@ -106,8 +106,10 @@
         simulation.workers[machines[0]].spot_reclaim_at = trio.current_time() + 12
         await trio.sleep(12)
         simulation.kill_machine(machines[0])
-        assert simulation.gangs.saved.get("run-g", 0) > 10, "stopped in order, with a checkpoint as late as is safe"
-        assert simulation.gangs.reasons == ["halted"] * 6
+        assert simulation.gangs.saved_progress.get("run-g", 0) > 10, (
+            "stopped in order, with a checkpoint as late as is safe"
+        )
+        assert simulation.gangs.exit_causes == ["halted"] * 6
         await simulation.until_phase("run-g", "done", 200)
 
     run_scenario(scenario)
@@ -193,12 +195,12 @@
         assert len(machines) == 2
         await trio.sleep(15)
         simulation.net.hold_request = lambda src, dst, request: src == machines[0]
-        await simulation.until(lambda: "run-g" in simulation.gangs.done)
+        await simulation.until(lambda: "run-g" in simulation.gangs.completed_jobs)
         simulation.kill_machine(machines[0])
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until_phase("run-g", "done", 10)
         await trio.sleep(40)
-        assert len(simulation.gangs.begun) == 1 and len(simulation.starts) == 4
+        assert len(simulation.gangs.starts) == 1 and len(simulation.starts) == 4
 
     run_scenario(scenario)
 
@@ -222,7 +224,7 @@
         await trio.sleep(3)
         simulation.net.release()  # the delayed start commands arrive while there is no leader or a new one
         await simulation.until_phase("run-g", "done", 120)
-        assert len(simulation.gangs.begun) == 1
+        assert len(simulation.gangs.starts) == 1
 
     run_scenario(scenario)
 
@@ -234,7 +236,7 @@
         await simulation.submit(checkpointing_gang("run-g", snapshotCostS=4.0, expectedRunS=60.0))
         machines = await until_all_running(simulation, "run-g")
         leader = await simulation.until_leader()
-        node = simulation.nodes[leader]
+        node = simulation.controllers[leader]
         assert node.cluster is not None
         unreached_machine = machines[-1]
         simulation.net.hold_request = lambda src, dst, request: dst == unreached_machine and src == leader
@@ -244,7 +246,7 @@
         simulation.kill(leader)
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until_leader()
-        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
+        await simulation.until(lambda: len(simulation.gangs.starts) == 2, 60)
         await simulation.until_phase("run-g", "done", 120)
 
     run_scenario(scenario)
@@ -256,9 +258,9 @@
         machines = await until_all_running(simulation, "run-g")
         simulation.workers[machines[0]].hung = True
         await trio.sleep(8)
-        assert set(simulation.gangs.reasons) == {"peers"}
+        assert set(simulation.gangs.exit_causes) == {"peers"}
         simulation.workers[machines[0]].hung = False
-        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
+        await simulation.until(lambda: len(simulation.gangs.starts) == 2, 60)
         machines = await until_all_running(simulation, "run-g")
         unreachable = machines[0]
         simulation.net.drop_answers = lambda src, dst, request: src == unreachable and request.path == "/hello"
@@ -279,8 +281,8 @@
         for worker in list(simulation.workers.values())[1:]:
             worker.pull_rate = 0.05
         await simulation.submit(gang_job("run-g", shards=8, bundle="other", oneZone=False))
-        await simulation.until(lambda: "alone" in simulation.gangs.reasons, 60)
-        leader = simulation.nodes[await simulation.until_leader()]
+        await simulation.until(lambda: "alone" in simulation.gangs.exit_causes, 60)
+        leader = simulation.controllers[await simulation.until_leader()]
         await trio.sleep(2)
         assert leader.cluster is not None
         gang = leader.cluster.gangs["run-g"]
@@ -305,7 +307,7 @@
         machines = await until_all_running(simulation, "run-g")
         simulation.cut_machine(machines[0])
         began = trio.current_time()
-        await simulation.until(lambda: len(simulation.gangs.begun) == 2, 60)
+        await simulation.until(lambda: len(simulation.gangs.starts) == 2, 60)
         assert trio.current_time() - began > 10
         simulation.net.heal()
         await simulation.until_phase("run-g", "done", 200)
@@ -337,7 +339,7 @@
         simulation.cloud.capacity = 1
         await simulation.submit(gang_job("run-g"))
         await trio.sleep(30)
-        leader = simulation.nodes[await simulation.until_leader()]
+        leader = simulation.controllers[await simulation.until_leader()]
         assert (
             leader.cluster is not None
             and leader.cluster.next_attempt_number() & ((1 << constants.ATTEMPT_COUNTER_BITS) - 1) < 5
--- a/tests/scenarios/test_handover.py
+++ b/tests/scenarios/test_handover.py
@@ -13,13 +13,13 @@
 
 
 def peer_status(simulation: SimulatedCluster, observer: str, label: str) -> Status:
-    membership = simulation.nodes[observer].membership
+    membership = simulation.controllers[observer].membership
     assert membership is not None
     return membership.view.peers[label].status
 
 
 def handovers_to(simulation: SimulatedCluster, label: str) -> list[Handover]:
-    membership = simulation.nodes[label].membership
+    membership = simulation.controllers[label].membership
     assert membership is not None
     return membership.handovers()
 
@@ -54,7 +54,7 @@
         for label in LABELS:
             if label != old_leader:
                 assert peer_status(simulation, label, old_leader) is Status.LEFT
-                assert not simulation.nodes[label].counts.get("membership_suspected")
+                assert not simulation.controllers[label].counts.get("membership_suspected")
         (handover,) = handovers_to(simulation, successor)
         assert handover.planned and (handover.former, handover.successor) == (old_leader, successor)
         assert handover.suspected_at is handover.confirmed_at is None
@@ -76,7 +76,7 @@
         assert not handover.planned and handover.former == old_leader
         assert crashed_at - SETTINGS.heartbeat_s <= handover.begun_at <= crashed_at
         assert handover.suspected_at is not None and crashed_at < handover.suspected_at < handover.key_taken_at
-        lease_s = simulation.nodes[successor].timings.lease_s
+        lease_s = simulation.controllers[successor].timings.lease_s
         assert handover.key_taken_at - crashed_at < lease_s + 1.0
         assert handover.first_start_at > handover.key_taken_at, "the machine for the new job had to be rented first"
         metrics = (await simulation.ask_raw(successor, "/metrics")).decode()
@@ -122,11 +122,11 @@
         for label in LABELS:
             await simulation.stop(label)
             simulation.start(label)
-            await simulation.until(lambda node=simulation.nodes[label]: node.ready(), 15)  # type: ignore[misc]
+            await simulation.until(lambda node=simulation.controllers[label]: node.ready(), 15)  # type: ignore[misc]
             await simulation.until_leader()
             await trio.sleep(5)
         assert len(simulation.starts) == starts, "no task was restarted"
-        assert not any(node.counts.get("membership_confirmed") for node in simulation.nodes.values())
+        assert not any(node.counts.get("membership_confirmed") for node in simulation.controllers.values())
         await simulation.wait_for_convergence()
 
     run_scenario(scenario, membership=SETTINGS)
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -37,12 +37,12 @@
             if other != old_leader:
                 simulation.net.cut(old_leader, other)
         await simulation.until(lambda: simulation.leader() not in (None, old_leader), 15)
-        assert not simulation.nodes[old_leader].elector.valid()
+        assert not simulation.controllers[old_leader].elector.valid()
         await simulation.submit(job("run-n"))
         await simulation.until_phase("run-n", "done")
         simulation.net.heal()  # all held messages arrive now: lease renewals, records and commands of the old term
         await trio.sleep(20)
-        leading = [n for n, node in simulation.nodes.items() if node.elector.valid()]
+        leading = [n for n, node in simulation.controllers.items() if node.elector.valid()]
         assert len(leading) == 1
         assert len(simulation.running("run-s")) == 4
 
@@ -58,12 +58,12 @@
         await simulation.submit(job("run-a", shards=20, expectedRunS=8.0))
         await simulation.until(lambda: len(simulation.running("run-a")) > 3)
         old_leader = await simulation.until_leader()
-        node = simulation.nodes[old_leader]
+        node = simulation.controllers[old_leader]
         node.watch_cache.listeners.remove(node.elector.on_key_changed)  # the old leader does not notice
         lease = next(iter(simulation.store.leases))
         simulation.store._end_lease(lease)
         await simulation.until(
-            lambda: any(n.elector.valid() for k, n in simulation.nodes.items() if k != old_leader), 5
+            lambda: any(n.elector.valid() for k, n in simulation.controllers.items() if k != old_leader), 5
         )
         await simulation.until_phase("run-a", "done", 200)
         assert len(simulation.running("run-s")) == 2
@@ -136,7 +136,7 @@
         await simulation.until_phase("run-0", "done")
         await simulation.until_leader()
         until = trio.current_time() + 4
-        for node in simulation.nodes.values():
+        for node in simulation.controllers.values():
             node.elector.promised_until = until
             node.degraded_mode.on_renewal_promise(until)
         await simulation.submit(job("run-1"))
@@ -169,7 +169,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         label = await simulation.until_leader()
-        node = simulation.nodes[label]
+        node = simulation.controllers[label]
         term = node.elector.term
         await trio.sleep(5)
         # The state after a pause of the process: no heartbeat was processed and no lease renewal sent meanwhile.
@@ -214,7 +214,7 @@
 def test_leader_with_stalled_loop_steps_down() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await simulation.until_leader()
-        node = simulation.nodes[old_leader]
+        node = simulation.controllers[old_leader]
         node.scheduler.run_cycle = None  # type: ignore[assignment, method-assign]
 
         async def stalled_loop() -> None:
@@ -245,7 +245,7 @@
         await simulation.run_service("run-s", shards=4)
         before = len(simulation.starts)
         old_leader = await simulation.until_leader()
-        others = [n for n in simulation.nodes if n != old_leader]
+        others = [n for n in simulation.controllers if n != old_leader]
         for other in ("store", "cloud", *others, *(f"{n}:peer" for n in others)):
             simulation.net.cut(old_leader, other)
         simulation.net.cut(f"{old_leader}:peer", f"{old_leader}:peer")
@@ -256,7 +256,7 @@
         await trio.sleep(1)
         for item in [s for s in sent if s[1] == old_leader][-3:]:
             assert (await send_copy(simulation, old_leader, item)).status in (421, 503)
-        assert not simulation.nodes[old_leader].degraded_mode.active()
+        assert not simulation.controllers[old_leader].degraded_mode.active()
         await trio.sleep(20)
         assert len(simulation.running("run-s")) == 4 and len(simulation.starts) == before
 
--- a/tests/scenarios/test_machine_failures.py
+++ b/tests/scenarios/test_machine_failures.py
@@ -15,7 +15,7 @@
         machines = set(simulation.cloud.machines)
         old_leader = await simulation.until_leader()
         for name in simulation.workers:
-            for label in simulation.nodes:
+            for label in simulation.controllers:
                 simulation.net.cut(name, label)
         simulation.kill(old_leader)
         await simulation.until_leader(10)
@@ -71,7 +71,7 @@
         worker = simulation.workers[name]
         worker.hung = True
         for task_id in list(worker.active_tasks):
-            worker._put(task_id, False)  # a hung machine does not execute its tasks
+            worker._set_active(task_id, False)  # a hung machine does not execute its tasks
         await trio.sleep(25)
         worker.hung = False
         await simulation.until_phase("run-a", "done")
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -22,17 +22,17 @@
 
 
 def status_of(simulation: SimulatedCluster, observer: str, label: str) -> Status:
-    membership = simulation.nodes[observer].membership
+    membership = simulation.controllers[observer].membership
     assert membership is not None
     return membership.view.peers[label].status
 
 
 def event_counts(simulation: SimulatedCluster, label: str) -> dict[str, int]:
-    return simulation.nodes[label].counts
+    return simulation.controllers[label].counts
 
 
 def never_confirmed(simulation: SimulatedCluster) -> bool:
-    return not any(event_counts(simulation, label).get("membership_confirmed") for label in simulation.nodes)
+    return not any(event_counts(simulation, label).get("membership_confirmed") for label in simulation.controllers)
 
 
 async def until_all_alive(simulation: SimulatedCluster) -> None:
@@ -66,7 +66,7 @@
 def test_quickly_restarted_controller_is_never_confirmed(restarts: int) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
-        membership = simulation.nodes["n0"].membership
+        membership = simulation.controllers["n0"].membership
         assert membership is not None
         incarnation_before = membership.view.peers["n2"].incarnation
         for _ in range(restarts):
@@ -143,7 +143,7 @@
         await trio.sleep(3 * LONGEST_DETECTION_S)
         assert never_confirmed(simulation)
         if receiver != "all":
-            membership = simulation.nodes[receiver].membership
+            membership = simulation.controllers[receiver].membership
             assert membership is not None
             await simulation.until(lambda: status_of(simulation, receiver, sender) is Status.ALIVE, 5)
             assert "through" in membership.view.peers[sender].evidence
@@ -205,7 +205,7 @@
             if request.path.startswith("/membership/") and src == "n2":
                 recorded.append((src, dst, request))
 
-        simulation.net.copy = record
+        simulation.net.copy_request = record
         await until_all_alive(simulation)
         simulation.kill("n2")
         both = ("n0", "n1")
@@ -222,7 +222,7 @@
 def test_controller_of_the_previous_version_counts_as_alive() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.kill("n2")
-        simulation.start("n2", old=True)
+        simulation.start("n2", production_version=True)
         await simulation.submit(service("run-s", shards=3))
         await simulation.submit(job("run-a", shards=4))
         await simulation.until_phase("run-a", "done")
@@ -231,7 +231,7 @@
         await trio.sleep(2 * LONGEST_DETECTION_S)
         assert never_confirmed(simulation)
         assert len(simulation.running("run-s")) == 3
-        membership = simulation.nodes["n0"].membership
+        membership = simulation.controllers["n0"].membership
         assert membership is not None and "version" in membership.view.peers["n2"].evidence
 
     run_scenario(scenario, membership=SETTINGS)
@@ -242,7 +242,7 @@
         await until_all_alive(simulation)
         simulation.kill("n2")
         await trio.sleep(0.5)
-        simulation.start("n2", old=True)
+        simulation.start("n2", production_version=True)
         await trio.sleep(30)
         suspicions = event_counts(simulation, "n0").get("membership_suspected", 0)
         await trio.sleep(30)
@@ -267,7 +267,7 @@
 def test_malformed_foreign_and_stale_messages_change_nothing() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
-        node = simulation.nodes["n0"]
+        node = simulation.controllers["n0"]
         membership = node.membership
         assert membership is not None
         for path in ("/membership/heartbeat", "/membership/probe"):
@@ -292,11 +292,11 @@
         await until_all_alive(simulation)
         simulation.kill("n2")
         await simulation.until(lambda: status_of(simulation, "n0", "n2") is Status.CONFIRMED, LONGEST_DETECTION_S + 5)
-        reply = await simulation.nodes["n0"].handle(Request("GET", "/state", "", b""))
+        reply = await simulation.controllers["n0"].handle(Request("GET", "/state", "", b""))
         peers = msgspec.msgpack.decode(reply.body)["peers"]
         assert peers["n1"]["status"] == "alive" and peers["n2"]["status"] == "confirmed"
         assert "lease" in peers["n2"]["evidence"] and peers["n2"]["for_s"] >= 0
-        metrics = (await simulation.nodes["n0"].handle(Request("GET", "/metrics", "", b""))).body.decode()
+        metrics = (await simulation.controllers["n0"].handle(Request("GET", "/metrics", "", b""))).body.decode()
         assert 'sorrelsill_peer{peer="n2",status="confirmed"} 1.0' in metrics
 
     run_scenario(scenario, membership=SETTINGS)
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -27,7 +27,7 @@
         targets = (
             [dst]
             if dst in simulation.workers
-            else [label for label in simulation.nodes if label not in simulation.net.down]
+            else [label for label in simulation.controllers if label not in simulation.net.down]
         )
         for target in targets:
             with trio.move_on_after(1):
@@ -81,7 +81,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         await start_mixed_load(simulation)
         sent = record_messages(simulation, "/hello", "/commands")
-        for label in sorted(simulation.nodes):
+        for label in sorted(simulation.controllers):
             simulation.kill(label)
             for name in simulation.rng.sample(sorted(simulation.workers), 3):
                 simulation.kill_machine(name)
@@ -152,7 +152,7 @@
             simulation.start(leader)
             await simulation.until_leader()
             await simulation.cancel(job_ids[3 * round_number + 2])
-        assert simulation.started_cancelled == 0
+        assert simulation.starts_after_cancellation == 0
         await simulation.until(lambda: not any(simulation.running(job_id) for job_id in job_ids), 15)
 
     run_scenario(scenario)
@@ -203,7 +203,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
-        simulation.net.late = lambda src, dst, request: (
+        simulation.net.late_delivery_s = lambda src, dst, request: (
             12.0 if request.path == "/multi" and b"s/m/" in request.body else None
         )
         await simulation.submit(job("run-a", shards=8, vcpus=2.0, expectedRunS=25.0))
@@ -272,7 +272,9 @@
                     simulation.kill(leader)
                     nursery.start_soon(simulation.restart_later, leader, 4.0)
                 await trio.sleep(0.25)
-        assert cancelled > 50 and simulation.started_cancelled <= cancelled // 10, simulation.started_cancelled
+        assert cancelled > 50 and simulation.starts_after_cancellation <= cancelled // 10, (
+            simulation.starts_after_cancellation
+        )
         await simulation.wait_for_convergence()
 
     run_scenario(scenario)
--- a/tests/scenarios/test_process_pause.py
+++ b/tests/scenarios/test_process_pause.py
@@ -39,13 +39,13 @@
             simulation.freeze(label, pause_s)
 
     if after_sending:
-        check_sent = simulation.net.sent
+        check_sent = simulation.net.on_sent
 
         def check_and_freeze(src: str, dst: str, request: Request) -> None:
             check_sent(src, dst, request)
             freeze_on_match(src, dst, request)
 
-        simulation.net.sent = check_and_freeze
+        simulation.net.on_sent = check_and_freeze
     else:
         simulation.net.on_connected = freeze_on_match
     return paused_at
@@ -69,7 +69,7 @@
         paused_at = freeze_once(simulation, leader, ACTIONS[action], after_sending, pause_s)
         await simulation.submit(job("run-a", shards=12, vcpus=4.0, expectedRunS=6.0))
         await simulation.until(lambda: bool(paused_at), 60)
-        await simulation.until(lambda: not simulation.nodes[leader].elector.valid(), 10)
+        await simulation.until(lambda: not simulation.controllers[leader].elector.valid(), 10)
         await simulation.submit(job("run-b", shards=4))
         await simulation.cancel("run-a")
         await simulation.until(lambda: not simulation.frozen(leader), 20)
@@ -89,7 +89,7 @@
         simulation.cloud.capacity = 2
         await simulation.submit(job("run-a", shards=120, vcpus=2.0, expectedRunS=1.0, sizeGb=0.0))
         await simulation.until(lambda: len(simulation.finished) > 8)
-        elector = simulation.nodes[leader].elector
+        elector = simulation.controllers[leader].elector
         paused_at = freeze_once(
             simulation,
             leader,
@@ -124,7 +124,7 @@
                 frozen.append(trio.current_time())
                 simulation.freeze(other, 3.0)
 
-        simulation.net.sent = freeze_on_match
+        simulation.net.on_sent = freeze_on_match
         async with trio.open_nursery() as nursery:
             for job_id in [*job_ids, "run-new"]:
                 nursery.start_soon(simulation.ask, other, "GET", f"/v2/runs/{job_id}")
--- a/tests/scenarios/test_read_consistency.py
+++ b/tests/scenarios/test_read_consistency.py
@@ -88,7 +88,7 @@
         await simulation.until_leader()
         delayed: list[str] = []
 
-        def late(src: str, dst: str, request: Request) -> float | None:
+        def late_delivery_s(src: str, dst: str, request: Request) -> float | None:
             if request.path != "/multi" or delayed:
                 return None
             writes = msgspec.msgpack.decode(request.body)["writes"]
@@ -97,7 +97,7 @@
                 return 12.0
             return None
 
-        simulation.net.late = late
+        simulation.net.late_delivery_s = late_delivery_s
         await simulation.submit(job("run-a", shards=2, expectedRunS=3.0))
         await simulation.until_phase("run-a", "done")
         assert delayed
--- a/tests/scenarios/test_scale_out.py
+++ b/tests/scenarios/test_scale_out.py
@@ -28,15 +28,17 @@
         print("twenty tasks running after", trio.current_time() - submitted_at)
         await simulation.until_phase("run-a", "done", 240)
         elapsed_s = trio.current_time() - submitted_at
-        print("elapsed", elapsed_s, "rented", sum(count for _, count in cloud.rented), "calls", cloud.calls)
+        print("elapsed", elapsed_s, "rented", sum(count for _, count in cloud.rented), "calls", cloud.request_count)
         assert elapsed_s < 180, f"done after {elapsed_s:.0f} s"
-        assert cloud.calls < 1.5 * elapsed_s + 10, "calls stay within the cloud's rate limit"
+        assert cloud.request_count < 1.5 * elapsed_s + 10, "calls stay within the cloud's rate limit"
         rented = sum(count for _, count in cloud.rented)
         assert rented <= 40, f"{rented} machines were rented where 12 suffice"
         await trio.sleep(90)
         for name, machine in cloud.machines.items():
             assert name in simulation.workers, f"{name} never booted and is paid for since {machine['born']:.0f} s"
-        paid_without_boot = [seconds for name, seconds in cloud.paid.items() if name not in simulation.ever_up]
+        paid_without_boot = [
+            seconds for name, seconds in cloud.paid_s.items() if name not in simulation.booted_machines
+        ]
         assert paid_without_boot, "some machines never booted"
         print("paid without boot", sorted(paid_without_boot))
         assert max(paid_without_boot) < 50, (
@@ -67,7 +69,7 @@
         await simulation.until_phase("run-1", "done")
         returned = set(simulation.cloud.machines)
         await simulation.until(lambda: not simulation.cloud.machines)
-        leader = simulation.nodes[await simulation.until_leader()]
+        leader = simulation.controllers[await simulation.until_leader()]
         assert leader.leader_term is not None
         stale_list = {name: ListedMachine(name, "running", "c8", "a", False, 20.0) for name in returned}
         leader.leader_term.fleet.apply_machine_list(stale_list, trio.current_time())
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -48,7 +48,7 @@
         assert simulation.store.throttled <= 12, "the lower rate is kept once the store has enforced it"
         assert max(value_sizes(simulation, "s/")) <= SMALL_VALUE_BYTES
 
-    run_scenario(scenario, coming=NEXT_LIMITS)
+    run_scenario(scenario, next_limits=NEXT_LIMITS)
 
 
 def test_progress_is_written_at_a_lower_rate() -> None:
@@ -65,12 +65,12 @@
         await trio.sleep(8)
         assert (await simulation.poll("run-a"))[1]["done"] > answer["done"]
 
-    run_scenario(scenario, coming=NextLimits(write_rps=18.0, value_kb=2.0, txn_ops=5))
+    run_scenario(scenario, next_limits=NextLimits(write_rps=18.0, value_kb=2.0, txn_ops=5))
 
 
 def test_throttled_writes_lower_the_write_rate() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
-        leader = simulation.nodes[await simulation.until_leader()]
+        leader = simulation.controllers[await simulation.until_leader()]
         rate_before = leader.store.writes.rate
         lower_limits(simulation)
 
@@ -85,7 +85,7 @@
         assert 0 < simulation.store.throttled <= 12
         assert leader.store.writes.rate < rate_before
 
-    run_scenario(scenario, coming=NEXT_LIMITS)
+    run_scenario(scenario, next_limits=NEXT_LIMITS)
 
 
 def random_task_set(shards: int, seed: int = 5) -> TaskSet:
@@ -102,7 +102,7 @@
 
     async def scenario(simulation: SimulatedCluster, seed: int) -> None:
         rng = random.Random(seed)
-        leader = simulation.nodes[await simulation.until_leader()]
+        leader = simulation.controllers[await simulation.until_leader()]
         shards = 16_000
         await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
         assert leader.cluster is not None
@@ -122,7 +122,7 @@
         recorded: set[int] = set()
         for _ in range(4):
             label = await simulation.until_leader()
-            node = simulation.nodes[label]
+            node = simulation.controllers[label]
             assert node.cluster is not None
             big_job = node.cluster.jobs["run-big"]
             loaded = {i for i in range(shards) if i in big_job.done}
@@ -157,17 +157,17 @@
     for seed in range(3):
 
         async def run_seed(simulation: SimulatedCluster, seed: int = seed) -> None:
-            simulation.may_refuse = 7  # each process learns the new limits from one refusal
+            simulation.allowed_refusals = 7  # each process learns the new limits from one refusal
             await scenario(simulation, seed)
 
-        run_scenario(run_seed, seed=seed, coming=NEXT_LIMITS)
+        run_scenario(run_seed, seed=seed, next_limits=NEXT_LIMITS)
 
 
 def test_a_hundred_thousand_scattered_tasks_fit_small_values() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         lower_limits(simulation)
-        simulation.may_refuse = 2
-        leader = simulation.nodes[await simulation.until_leader()]
+        simulation.allowed_refusals = 2
+        leader = simulation.controllers[await simulation.until_leader()]
         shards = 100_000
         await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
         assert leader.cluster is not None
@@ -179,7 +179,7 @@
         leader.cluster.pending_writes.records.add("run-big")
         await simulation.until(lambda: not big_job.unrecorded_small_chunks, 40)
         simulation.kill(await simulation.until_leader())
-        new_leader = simulation.nodes[await simulation.until_leader()]
+        new_leader = simulation.controllers[await simulation.until_leader()]
         assert new_leader.cluster is not None
         loaded = new_leader.cluster.jobs["run-big"].done
         assert loaded.count == done.count and all(i in loaded for i in range(shards) if i in done)
@@ -187,7 +187,7 @@
         await simulation.until_phase("run-x", "done")
         assert max(value_sizes(simulation, "s/")) <= SMALL_VALUE_BYTES
 
-    run_scenario(scenario, coming=NEXT_LIMITS)
+    run_scenario(scenario, next_limits=NEXT_LIMITS)
 
 
 def test_long_record_accepted_before_the_limits_shrank_runs_to_its_end() -> None:
@@ -196,7 +196,7 @@
         assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long_fields)) == 201
         await simulation.until(lambda: len(simulation.running("run-long")) > 0)
         lower_limits(simulation)
-        simulation.may_refuse = 3
+        simulation.allowed_refusals = 3
         assert await simulation.submit(job("run-next", **long_fields), 5) in (400, 201)
         assert await simulation.submit(job("run-long", shards=6, expectedRunS=4.0, **long_fields)) == 200, (
             "a known job is not validated again"
@@ -206,13 +206,13 @@
         await simulation.submit(job("run-x"))
         await simulation.until_phase("run-x", "done")
 
-    run_scenario(scenario, coming=NEXT_LIMITS)
+    run_scenario(scenario, next_limits=NEXT_LIMITS)
 
 
 def test_too_long_submission_does_not_delay_its_batch() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         lower_limits(simulation)
-        simulation.may_refuse = 6
+        simulation.allowed_refusals = 6
         long_fields = {"flavours": ["c8", *(f"type-{n:04d}" for n in range(190))]}
         answers: dict[str, int] = {}
 
@@ -225,13 +225,13 @@
                 nursery.start_soon(submit_one, f"run-{number}")
         assert answers == {"run-long": 400, **{f"run-{n}": 201 for n in range(8)}}
 
-    run_scenario(scenario, coming=NEXT_LIMITS)
+    run_scenario(scenario, next_limits=NEXT_LIMITS)
 
 
 def test_refused_write_is_quarantined_and_others_go_on() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         refused = []
-        original_check = simulation.store._too_large
+        original_check = simulation.store._exceeded_limit
 
         def refuse_odd_job(body: dict[str, Any]) -> str | None:
             if (
@@ -242,14 +242,14 @@
                 return "refused by the test"
             return original_check(body)
 
-        simulation.store._too_large = refuse_odd_job  # type: ignore[method-assign]
-        simulation.may_refuse = 40
+        simulation.store._exceeded_limit = refuse_odd_job  # type: ignore[method-assign]
+        simulation.allowed_refusals = 40
         await simulation.submit(job("run-odd", shards=3, expectedRunS=20.0))
         for number in range(6):
             await simulation.submit(job(f"run-{number}", shards=2))
         for number in range(6):
             await simulation.until_phase(f"run-{number}", "done", 60)
-        state = simulation.nodes[await simulation.until_leader()].state()
+        state = simulation.controllers[await simulation.until_leader()].state()
         assert state.set_aside == 1 and state.refused >= 1
         assert len(refused) <= 6, "the write is not retried again and again"
         await simulation.until_phase("run-odd", "done")
@@ -300,7 +300,7 @@
             simulation.store.kv[key] = (entries, simulation.store.rev, None)
             simulation.store.log.append((simulation.store.rev, key, entries, True))
         lower_limits(simulation)
-        simulation.may_refuse = 3  # each process learns the new limits from one refusal
+        simulation.allowed_refusals = 3  # each process learns the new limits from one refusal
         await simulation.submit(job("run-a", shards=12))
         await simulation.until_phase("run-a", "done", 60)
         simulation.kill(await simulation.until_leader())
@@ -319,7 +319,7 @@
             120,
         )
 
-    run_scenario(scenario, coming=NEXT_LIMITS)
+    run_scenario(scenario, next_limits=NEXT_LIMITS)
 
 
 def test_progress_chunks_of_a_finished_job_are_garbage_collected() -> None:
@@ -358,7 +358,7 @@
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until_phase("run-a", "done", 200)
 
-    run_scenario(scenario, coming=NEXT_LIMITS)
+    run_scenario(scenario, next_limits=NEXT_LIMITS)
 
 
 def test_machine_in_two_registry_chunks_is_confirmed_once() -> None:
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -118,7 +118,7 @@
 def test_job_that_ends_in_the_term_counts_each_task_once() -> None:
     leader = leader_after_takeover(3)
     run_by_earlier_leader(leader, leader.names[0], "run-old", 4)
-    leader.add(array_job("run-old", shards=6, owner="red"), old=True)
+    leader.add(array_job("run-old", shards=6, owner="red"), from_earlier_term=True)
     leader.cluster.on_heartbeat(leader.next_heartbeat(leader.names[0]), leader.now)
     assert leader.cluster.team_use("red").total == (16.0, 0.0)
     leader.cluster.end_job("run-old")
@@ -171,7 +171,7 @@
         await simulation.submit(job("run-red", shards=9, expectedRunS=30.0))
         await simulation.until(lambda: len(simulation.running("run-red")) == 8)
         await trio.sleep(2)
-        node = simulation.nodes[await simulation.until_leader()]
+        node = simulation.controllers[await simulation.until_leader()]
         assert msgspec.to_builtins(node.state())["teams"]["red"] == {
             "bound_cpus": 16.0,
             "bound_gpus": 0.0,
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -62,7 +62,7 @@
         starts_per_task = {s: sum(1 for _, t, _ in simulation.starts if t == s) for _, s, _ in simulation.starts}
         assert set(starts_per_task.values()) == {1}, "no task was started twice"
 
-    run_scenario(scenario, seed=first, old=True, coming=NEXT_LIMITS)
+    run_scenario(scenario, seed=first, production_version=True, next_limits=NEXT_LIMITS)
 
 
 def test_upgraded_controller_becomes_leader_before_old_ones() -> None:
@@ -72,7 +72,7 @@
         async def scenario(simulation: SimulatedCluster) -> None:
             nonlocal takeovers
             leader = await simulation.until_leader()
-            assert type(simulation.nodes[leader]).__module__ == production.package() + ".node"
+            assert type(simulation.controllers[leader]).__module__ == production.package() + ".node"
             upgraded, remaining = (label for label in LABELS if label != leader)
             simulation.kill(upgraded)
             await trio.sleep(0.5)
@@ -82,7 +82,7 @@
             await simulation.until(lambda: simulation.leader() is not None, 10)
             takeovers += simulation.leader() == upgraded
 
-        run_scenario(scenario, seed=seed, old=True, coming=NEXT_LIMITS)
+        run_scenario(scenario, seed=seed, production_version=True, next_limits=NEXT_LIMITS)
     assert takeovers >= 5
 
 
@@ -100,7 +100,7 @@
             network = simulation.net
             network.hold_request = lambda src, dst, request: rng.random() < 0.02
             await trio.sleep(rng.choice((0.2, 2.0, 5.0)))
-            simulation.start(label, old=rng.random() < 0.5)
+            simulation.start(label, production_version=rng.random() < 0.5)
             assert await simulation.submit(job(f"run-{number}", shards=3)) in (200, 201)
             if number % 3 == 0:
                 await simulation.cancel(f"run-{number}")
@@ -112,7 +112,7 @@
             network.hold_request = lambda src, dst, request: False
             network.release()
         for job_id in [u for u in simulation.specs if u != "run-s"]:
-            if job_id not in simulation.over:
+            if job_id not in simulation.final_phases:
                 await simulation.until_phase(job_id, "done", 200)
         await simulation.until(lambda: len(simulation.running("run-s")) == 4, 60)
 
@@ -121,7 +121,7 @@
         async def run_seed(simulation: SimulatedCluster, seed: int = seed) -> None:
             await scenario(simulation, seed)
 
-        run_scenario(run_seed, seed=seed, old=True, coming=NEXT_LIMITS)
+        run_scenario(run_seed, seed=seed, production_version=True, next_limits=NEXT_LIMITS)
 
 
 def test_degraded_mode_with_both_versions_keeps_every_task() -> None:
@@ -139,7 +139,7 @@
         assert sorted(simulation.running("run-s")) == running_before
         await simulation.until_phase("run-slow", "done")
 
-    run_scenario(scenario, old=True, coming=NEXT_LIMITS)
+    run_scenario(scenario, production_version=True, next_limits=NEXT_LIMITS)
 
 
 def test_late_messages_to_previous_processes_are_harmless_after_an_upgrade() -> None:
@@ -165,7 +165,7 @@
         await simulation.until_phase("run-slow", "done")
         assert len(simulation.running("run-s")) == 4
 
-    run_scenario(scenario, old=True, coming=NEXT_LIMITS)
+    run_scenario(scenario, production_version=True, next_limits=NEXT_LIMITS)
 
 
 def test_restart_with_the_previous_version_and_rollback() -> None:
@@ -174,20 +174,20 @@
         await upgrade_controllers(simulation, ["n0"])
         simulation.kill("n2")
         await trio.sleep(0.3)
-        simulation.start("n2", old=True)
+        simulation.start("n2", production_version=True)
         await trio.sleep(5)
         await upgrade_controllers(simulation, ["n1", "n2"])
         for label in LABELS:  # the operator rolls back
             simulation.kill(label)
             await trio.sleep(1)
-            simulation.start(label, old=True)
+            simulation.start(label, production_version=True)
             await trio.sleep(9)
         await simulation.until_phase("run-slow", "done")
         assert await simulation.submit(job("run-last")) == 201
         await simulation.until_phase("run-last", "done")
         assert len(simulation.running("run-s")) == 4
 
-    run_scenario(scenario, old=True, coming=NEXT_LIMITS)
+    run_scenario(scenario, production_version=True, next_limits=NEXT_LIMITS)
 
 
 def test_finished_tasks_recorded_by_an_old_leader_are_kept() -> None:
@@ -197,7 +197,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         shards = 9000
         await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
-        node = simulation.nodes[await simulation.until_leader()]
+        node = simulation.controllers[await simulation.until_leader()]
         assert node.cluster is not None
         simulation.store.rev += 1
         simulation.store.kv["s/d/run-big/0"] = ("0-99", simulation.store.rev, None)
@@ -211,7 +211,7 @@
             simulation.kill(label)
             await trio.sleep(0.3)
             simulation.start(label)
-            node = simulation.nodes[await simulation.until_leader()]
+            node = simulation.controllers[await simulation.until_leader()]
             assert node.cluster is not None
             done = node.cluster.jobs["run-big"].done
             assert done.count == 200 and 0 in done and 299 in done
@@ -227,14 +227,14 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-g", shape="group", shards=6, oneZone=True, expectedRunS=30.0))
-        await simulation.until(lambda: len(simulation.gangs.begun) == 1)
+        await simulation.until(lambda: len(simulation.gangs.starts) == 1)
         for label in LABELS:
             simulation.kill(label)
             await trio.sleep(1)
-            simulation.start(label, old=True)
+            simulation.start(label, production_version=True)
             await trio.sleep(6)
         await simulation.until_phase("run-g", "done", 200)
-        assert len(simulation.gangs.begun) == 1
+        assert len(simulation.gangs.starts) == 1
 
     run_scenario(scenario)
 
