--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -124,8 +124,8 @@
 
 # --- users ------------------------------------------------------------------------------------------
 CLI_TIMEOUT_S: Final = 6.0  # s; slightly longer than the 5 s for which users wait
-RETRY_AFTER_S: Final = 1  # s; the Retry-After header of 503 and 429, the least that users wait in any case
-ADMIT_QUEUE: Final = 256  # submissions; waiting for one batch; further ones get 429 at once
+RETRY_AFTER_S: Final = 1  # s; the Retry-After header of 503, the least that users wait in any case
+ADMIT_QUEUE: Final = 256  # submissions; waiting for one batch; further ones get 503 at once
 POLL_QUEUE: Final = 1024  # polls; waiting for one shared read; further ones get 503 at once
 FINAL_READS_AT_ONCE: Final = 32  # reads; of final records, in flight for polls; a poll that needs one more gets 503
 ADMIT_TRIES: Final = 3  # tries; to commit a batch that the store throttles or that contains an existing job
