--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -34,7 +34,8 @@
     ALL_BOUND = enum.auto()
     NO_ROOM = enum.auto()
     QUOTA_EXCEEDED = enum.auto()  # another task would exceed the team's quota
-    TRIAL_PENDING = enum.auto()  # a job that failed on every machine tried waits for the results of its trial tasks
+    # the job failed on every machine tried, and the few tasks started to test it have not ended yet
+    SUSPECT_JOB_PENDING = enum.auto()
     OUT_OF_TIME = enum.auto()
 
 
@@ -139,7 +140,7 @@
         outcome = self._bind_tasks(cycle, job)
         if outcome is _BindOutcome.OUT_OF_TIME:
             return False
-        if outcome is not _BindOutcome.TRIAL_PENDING and job.waiting > 0:
+        if outcome is not _BindOutcome.SUSPECT_JOB_PENDING and job.waiting > 0:
             self._handle_unschedulable(cycle, job, limited=outcome is _BindOutcome.QUOTA_EXCEEDED)
         return True
 
@@ -155,7 +156,7 @@
             if cycle.out_of_time():
                 return _BindOutcome.OUT_OF_TIME
             if job.new_starts_allowed() <= 0:
-                return _BindOutcome.TRIAL_PENDING
+                return _BindOutcome.SUSPECT_JOB_PENDING
             if not self._quotas.allows(cycle.cluster, spec):
                 job.note(f"waiting: the limit of {spec.team} is reached")
                 return _BindOutcome.QUOTA_EXCEEDED
