--- a/sorrelsill/workers/machine_index.py
+++ b/sorrelsill/workers/machine_index.py
@@ -24,7 +24,7 @@
         self.free = FreeMachines()  # those of them with free CPUs
         self.idle = MachineSet()  # machines without allocations, usable or not
         self._changed: dict[str, Machine] = {}  # machines changed since the demand was last computed
-        self._holders: dict[str, MachineSet] = {}  # image -> machines that have it cached, as estimated
+        self._machines_by_image: dict[str, MachineSet] = {}  # image -> machines that have it cached, as estimated
 
     def usable_changed(self, machine: Machine) -> None:
         """Update the indices after a change of `machine.usable`."""
@@ -52,7 +52,7 @@
         for machines in (self.usable, self.free, self.idle):
             machines.discard(machine.name)
         for image in machine.images:
-            self._remove_holder(machine, image)
+            self._remove_machine_with_image(machine, image)
         machine.images.clear()
 
     def take_changed_machines(self) -> list[Machine]:
@@ -66,21 +66,21 @@
 
     def machines_with_image(self, image: str) -> MachineSet:
         """Machines that have the image cached."""
-        return self._holders.get(image, _NO_MACHINES)
+        return self._machines_by_image.get(image, _NO_MACHINES)
 
     def record_cached_image(self, machine: Machine, spec: JobSpec) -> None:
         """Record that a task uses its image on the machine, so that the image is cached there and may have evicted
         others."""
-        self._holders.setdefault(spec.image, MachineSet()).add(machine)
+        self._machines_by_image.setdefault(spec.image, MachineSet()).add(machine)
         for image in machine.record_cached_image(spec.image, spec.image_gb):
-            self._remove_holder(machine, image)
-
-    def _remove_holder(self, machine: Machine, image: str) -> None:
-        holders = self._holders.get(image)
-        if holders is not None:
-            holders.discard(machine.name)
-            if not holders:
-                del self._holders[image]
+            self._remove_machine_with_image(machine, image)
+
+    def _remove_machine_with_image(self, machine: Machine, image: str) -> None:
+        machines = self._machines_by_image.get(image)
+        if machines is not None:
+            machines.discard(machine.name)
+            if not machines:
+                del self._machines_by_image[image]
 
     # --- free capacity ---
 
