--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -127,7 +127,8 @@
 RETRY_AFTER_S: Final = 1  # s; the Retry-After header of 503, the least that users wait in any case
 ADMIT_QUEUE: Final = 256  # submissions; waiting for one batch; further ones get 503 at once
 POLL_QUEUE: Final = 1024  # polls; waiting for one shared read; further ones get 503 at once
-FINAL_READS_AT_ONCE: Final = 32  # reads; of final records, in flight for polls; a poll that needs one more gets 503
+# reads; of final records, in flight for polls; a poll that needs one more gets 503
+FINAL_READS_IN_FLIGHT_MAX: Final = 32
 ADMIT_TRIES: Final = 3  # tries; to commit a batch that the store throttles or that contains an existing job
 ADMIT_DEADLINE_S: Final = 3.0  # s; to answer a submission or cancellation, since users wait 5 s
 POLL_DEADLINE_S: Final = 1.4  # s; to answer a poll, since users wait 2 s
--- a/sorrelsill/jobs/job_status.py
+++ b/sorrelsill/jobs/job_status.py
@@ -92,7 +92,7 @@
     async def _read_final(self, job_id: str) -> VersionedValue | None:
         """Reads the final record directly, once per poll. The number in flight is limited so that a burst of polls for
         jobs that were never submitted can't use up the store's request rate, which submissions need."""
-        if self._final_reads_in_flight >= constants.FINAL_READS_AT_ONCE:
+        if self._final_reads_in_flight >= constants.FINAL_READS_IN_FLIGHT_MAX:
             raise BusyError("too many polls are waiting")
         self._final_reads_in_flight += 1
         try:
--- a/tests/scenarios/test_overload.py
+++ b/tests/scenarios/test_overload.py
@@ -77,7 +77,7 @@
             simulation.net.release()
             await trio.sleep(5)
         assert refused_at_once["run-a"] >= 2 * constants.POLL_QUEUE
-        assert refused_at_once["run-never"] >= 3 * constants.POLL_QUEUE - constants.FINAL_READS_AT_ONCE
+        assert refused_at_once["run-never"] >= 3 * constants.POLL_QUEUE - constants.FINAL_READS_IN_FLIGHT_MAX
         await simulation.wait_for_convergence()
 
     run_scenario(scenario)
