--- a/sorrelsill/store/watch_cache.py
+++ b/sorrelsill/store/watch_cache.py
@@ -94,19 +94,20 @@
         return [job_id for job_id in self._chunk_keys if JOB_PREFIX + job_id not in self.keys]
 
     def registry_keys(self, machine: str) -> dict[str, tuple[dict[str, Any], int]]:
-        """The registry keys that may hold a machine's entry, with value and revision."""
+        """The keys of the part of the registry that a machine belongs to, in order, with value and revision. Each of
+        them may hold the machine's entry."""
         key = base = registry_key(machine)
-        parts: dict[str, tuple[dict[str, Any], int]] = {}
+        keys: dict[str, tuple[dict[str, Any], int]] = {}
         while key in self.keys:
             value, rev = self.keys[key]
-            parts[key] = (value if isinstance(value, dict) else {}), rev
-            key = f"{base}.{len(parts)}"
-        return parts
+            keys[key] = (value if isinstance(value, dict) else {}), rev
+            key = f"{base}.{len(keys)}"
+        return keys
 
     def registered_machines(self) -> list[tuple[str, Any]]:
         """The machines that may have been given work, and their entries as stored."""
-        parts = [v for k, (v, _) in self.keys.items() if k.startswith(REGISTRY_PREFIX) and isinstance(v, dict)]
-        return [(name, value) for part in parts for name, value in part.items()]
+        values = [v for k, (v, _) in self.keys.items() if k.startswith(REGISTRY_PREFIX) and isinstance(v, dict)]
+        return [(name, entry) for value in values for name, entry in value.items()]
 
     def leader(self) -> VersionedValue | None:
         """The value of the leader key and its revision, or None if there is no leader."""
