--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -22,7 +22,7 @@
 from sorrelsill.events import log_event
 from sorrelsill.fleet import FleetManager, FleetSettings, parse_catalog
 from sorrelsill.http import Client, Reply, Request
-from sorrelsill.jobs import RecordWriter, ended_as, json_size
+from sorrelsill.jobs import RecordWriter, ended_in_phase, json_size
 from sorrelsill.membership import MembershipSettings
 from sorrelsill.model import Catalog, JobPhase
 from sorrelsill.settings import OperatorOverrides, Settings
@@ -181,7 +181,7 @@
     def _on_final(self, job_id: str, value: Any) -> None:
         if self.cluster is not None:
             self.cluster.end_job(job_id)  # the watch may return the removal of its record later than its final record
-        if ended_as(value, JobPhase.CANCELLED):
+        if ended_in_phase(value, JobPhase.CANCELLED):
             self.cancellations.add(job_id, trio.current_time())
 
     def _on_peer_cancellations(self, job_ids: list[str]) -> None:
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/followed_jobs.py
@@ -15,7 +15,7 @@
     Cancellations,
     InvalidJobError,
     accepted_at,
-    ended_as,
+    ended_in_phase,
     has_inline_tasks,
     parse_record,
     running_count,
@@ -82,7 +82,7 @@
 
     def _add_ended(self, cluster: ClusterState, job_id: str, value: Any) -> bool:
         """Adds an ended job from its last live record. Returns False if the record is damaged."""
-        if ended_as(self._watch_cache.final(job_id), JobPhase.DONE):
+        if ended_in_phase(self._watch_cache.final(job_id), JobPhase.DONE):
             return True  # all of its tasks have finished
         try:
             spec, done, _ = parse_record(value, self._watch_cache.chunks(job_id))
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -10,7 +10,7 @@
 from sorrelsill.controller.encoding import encode
 from sorrelsill.controller.parts import ControllerParts, jobs_are_fresh
 from sorrelsill.http import Reply, Request
-from sorrelsill.jobs import ended_as
+from sorrelsill.jobs import ended_in_phase
 from sorrelsill.model import JobPhase
 from sorrelsill.workers import (
     ClusterState,
@@ -104,7 +104,7 @@
         for attempt in heartbeat.tasks:
             job_id = attempt.task_id.rpartition("/")[0]
             final = self._watch_cache.final(job_id)
-            cancelled = self._cancellations.is_cancelled(job_id) or ended_as(final, JobPhase.CANCELLED)
+            cancelled = self._cancellations.is_cancelled(job_id) or ended_in_phase(final, JobPhase.CANCELLED)
             if attempt.phase != TaskPhase.EXITED and (cancelled or has_gap and self._watch_cache.job(job_id) is None):
                 commands.append(StopCommand(attempt.task_id, attempt.attempt_number, 0.0))
         return commands
--- a/sorrelsill/jobs/__init__.py
+++ b/sorrelsill/jobs/__init__.py
@@ -8,7 +8,7 @@
 from sorrelsill.jobs.records import (
     accepted_at,
     chunk_value,
-    ended_as,
+    ended_in_phase,
     final_record,
     has_inline_tasks,
     infeasibility_reason,
@@ -33,7 +33,7 @@
     "TeamJobsAnswer",
     "accepted_at",
     "chunk_value",
-    "ended_as",
+    "ended_in_phase",
     "final_record",
     "has_inline_tasks",
     "infeasibility_reason",
--- a/sorrelsill/jobs/cancellations.py
+++ b/sorrelsill/jobs/cancellations.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerKnowledge:
+class PeerCancellations:
     """The cancellations that a peer reports; times are ages in seconds."""
 
     job_ids: list[str]
@@ -53,7 +53,7 @@
         }
 
     @classmethod
-    def from_wire(cls, raw: Any) -> PeerKnowledge | None:
+    def from_wire(cls, raw: Any) -> PeerCancellations | None:
         """Returns None if it is missing or malformed; it then guarantees nothing."""
         if not isinstance(raw, dict) or not _is_age(raw.get("back")):
             return None
@@ -156,7 +156,7 @@
         named = [job_id for job_id, at in self._learnt_at.items() if at >= since]
         if len(named) > constants.CANCELLATIONS_LISTED_MAX:
             return {}
-        return PeerKnowledge(
+        return PeerCancellations(
             job_ids=named,
             since_age_s=now - since,
             followed_age_s=now - self._followed_since if self._followed_since <= now else None,
@@ -166,18 +166,18 @@
     def merge_peer_answer(self, peer: int, answer: Any, sent_at: float, now: float) -> list[str]:
         """Applies a peer's answer to the request sent at `sent_at`. Returns the jobs whose cancellation was not known
         here. A malformed answer changes nothing."""
-        knowledge = PeerKnowledge.from_wire(answer)
-        if knowledge is None:
+        reported = PeerCancellations.from_wire(answer)
+        if reported is None:
             return []
         # The peer computed the ages between `sent_at` and now: each is converted with the bound that guarantees less.
         drift = 1 - constants.CLOCK_DRIFT * 2
-        since = now - knowledge.since_age_s * drift
-        new = [job_id for job_id in knowledge.job_ids if self.add(job_id, now)]
+        since = now - reported.since_age_s * drift
+        new = [job_id for job_id in reported.job_ids if self.add(job_id, now)]
         own = self._complete_until_without_peers(now)
         before = max(self._peer_known_until[peer], own)
         if since <= before:
             self._peer_known_until[peer] = max(before, sent_at)
-        followed_age_s, fresh_age_s = knowledge.followed_age_s, knowledge.fresh_age_s
+        followed_age_s, fresh_age_s = reported.followed_age_s, reported.fresh_age_s
         if followed_age_s is None or fresh_age_s is None or since > own or now - followed_age_s * drift > own:
             return new
         fresh_at = sent_at - fresh_age_s * (1 + constants.CLOCK_DRIFT * 2)
--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -136,7 +136,7 @@
     return isinstance(record, dict) and "p" in record
 
 
-def ended_as(record: Any, phase: JobPhase) -> bool:
+def ended_in_phase(record: Any, phase: JobPhase) -> bool:
     """Whether this is the final record of a job that ended in this phase. False if it is missing or damaged."""
     return isinstance(record, dict) and record.get("p") == phase.value
 
--- a/sorrelsill/jobs/test_records.py
+++ b/sorrelsill/jobs/test_records.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sorrelsill.jobs.records import accepted_at, ended_as, has_inline_tasks, new_record, running_count
+from sorrelsill.jobs.records import accepted_at, ended_in_phase, has_inline_tasks, new_record, running_count
 from sorrelsill.model import JobPhase
 from tests.simulation import array_job
 
@@ -14,12 +14,12 @@
 
 @pytest.mark.parametrize("record", [*NON_MAPS, {}, {"p": None}, {"p": ["cancelled"]}, {"p": "Cancelled"}, {"n": 1}])
 def test_damaged_final_record_has_no_phase(record: Any) -> None:
-    assert not any(ended_as(record, phase) for phase in JobPhase)
+    assert not any(ended_in_phase(record, phase) for phase in JobPhase)
 
 
 def test_final_record_matches_only_its_own_phase() -> None:
     for phase in JobPhase:
-        assert [other for other in JobPhase if ended_as({"p": phase.value}, other)] == [phase]
+        assert [other for other in JobPhase if ended_in_phase({"p": phase.value}, other)] == [phase]
 
 
 def test_new_record_holds_acceptance_time_and_no_progress() -> None:
