--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -47,17 +47,17 @@
         self,
         cloud: Cloud,
         cluster: ClusterState,
-        valid: Callable[[], bool],
+        leadership_valid: Callable[[], bool],
         unschedulable: Callable[[], list[UnschedulableDemand]],
         settings: FleetSettings,
         on_catalog: Callable[[dict[str, Any], Catalog], None] = _ignore_catalog,
         on_drain: Callable[[], None] = _ignore_drain,
     ) -> None:
-        """`valid` tells whether this controller still leads. `on_catalog` is called with each catalog that was read,
-        `on_drain` after services were stopped so that they move to other machines."""
+        """`leadership_valid` tells whether this controller still leads. `on_catalog` is called with each catalog that
+        was read, `on_drain` after services were stopped so that they move to other machines."""
         self._cloud = cloud
         self._cluster = cluster
-        self._valid = valid
+        self._leadership_valid = leadership_valid
         self._on_catalog = on_catalog
         self._catalog_read_at = float("-inf")
         self.state = FleetState(cluster, settings, unschedulable)
@@ -65,8 +65,8 @@
         self._list_reader = MachineListReader(cloud)
         self._utilisation_log = UtilisationLog(self.state)
         self._service_mover = ServiceMover(self.state, demand, on_drain)
-        self.scale_in = ScaleIn(self.state, demand, cloud, valid)
-        self.scale_out = ScaleOut(self.state, demand, cloud, valid)
+        self.scale_in = ScaleIn(self.state, demand, cloud, leadership_valid)
+        self.scale_out = ScaleOut(self.state, demand, cloud, leadership_valid)
 
     @property
     def booting(self) -> dict[str, BootingInstance]:
@@ -86,11 +86,11 @@
         self.scale_in.choose_if_due(now)
         if self._list_reader.due(now):
             await self._read_list()
-        if not self._valid():
+        if not self._leadership_valid():
             return
         if self.state.pending_returns:
             await self.scale_in.send()
-        if not self._valid():
+        if not self._leadership_valid():
             return
         if not self.scale_out.open_requests:
             self._service_mover.rebalance(trio.current_time())
@@ -110,7 +110,7 @@
 
     async def _read_list(self) -> None:
         machine_list = await self._list_reader.read_page(trio.current_time())
-        if machine_list is not None and self._valid():
+        if machine_list is not None and self._leadership_valid():
             self.apply_machine_list(machine_list, trio.current_time())
 
     def apply_machine_list(self, machine_list: MachineList, now: float) -> None:
--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -30,11 +30,13 @@
 class ScaleIn:
     """Chooses machines to return and sends the return requests."""
 
-    def __init__(self, state: FleetState, demand: FleetDemand, cloud: Cloud, valid: Callable[[], bool]) -> None:
+    def __init__(
+        self, state: FleetState, demand: FleetDemand, cloud: Cloud, leadership_valid: Callable[[], bool]
+    ) -> None:
         self._state = state
         self._demand = demand
         self._cloud = cloud
-        self._valid = valid  # whether this controller still leads
+        self._leadership_valid = leadership_valid  # whether this controller still leads
         self._last_chosen_at = float("-inf")
 
     def choose_if_due(self, now: float) -> None:
@@ -100,7 +102,7 @@
         if not names:
             return
         try:
-            await self._cloud.return_machines(ReturnRequest(names), self._valid)
+            await self._cloud.return_machines(ReturnRequest(names), self._leadership_valid)
         except CloudError as error:
             log_event(log, logging.INFO, "return_failed", machines=len(names), reason=error)
             return
--- a/sorrelsill/fleet/scale_out.py
+++ b/sorrelsill/fleet/scale_out.py
@@ -51,11 +51,13 @@
 class ScaleOut:
     """Plans which instances to rent and sends one rental request at a time."""
 
-    def __init__(self, state: FleetState, demand: FleetDemand, cloud: Cloud, valid: Callable[[], bool]) -> None:
+    def __init__(
+        self, state: FleetState, demand: FleetDemand, cloud: Cloud, leadership_valid: Callable[[], bool]
+    ) -> None:
         self._state = state
         self._demand = demand
         self._cloud = cloud
-        self._valid = valid  # whether this controller still leads
+        self._leadership_valid = leadership_valid  # whether this controller still leads
         self.open_requests: list[_OpenRequest] = []
         self._request_counter = 0
         self._last_planned_at = float("-inf")
@@ -109,7 +111,9 @@
     async def _send(self, request: _OpenRequest) -> None:
         request.tries += 1
         try:
-            rented = await self._cloud.rent(RentalRequest(request.name, *request.offer, request.count), self._valid)
+            rented = await self._cloud.rent(
+                RentalRequest(request.name, *request.offer, request.count), self._leadership_valid
+            )
         except CloudError as error:
             self._on_failure(request, error, trio.current_time())
             return
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -34,14 +34,14 @@
         store: KeyValueStore,
         watch_cache: WatchCache,
         cluster: ClusterState,
-        valid: Callable[[], bool],
+        leadership_valid: Callable[[], bool],
         on_fenced: Callable[[], None] = lambda: None,
     ) -> None:
-        """`valid` tells whether this leader may still write. `on_fenced` is called when a commit fails because another
-        leader's term has begun."""
+        """`leadership_valid` tells whether this leader may still write. `on_fenced` is called when a commit fails
+        because another leader's term has begun."""
         self._store = store
         self._cluster = cluster
-        self._valid = valid
+        self._leadership_valid = leadership_valid
         self._on_fenced = on_fenced
         self._quarantine = WriteQuarantine()
         self._jobs = JobRecordWrites(store, watch_cache, cluster, self._quarantine)
@@ -55,7 +55,7 @@
 
     async def step(self) -> bool:
         """Writes one transaction. Returns True if there was something to write and it was committed."""
-        if not self._valid():
+        if not self._leadership_valid():
             return False
         self._quarantine.expire(trio.current_time())
         batch = self._next_batch()
