--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/parts.py
@@ -12,7 +12,7 @@
 
 from sorrelsill import constants
 from sorrelsill.controller.followed_jobs import FollowedJobs
-from sorrelsill.fleet import Cloud
+from sorrelsill.fleet import CloudClient
 from sorrelsill.http import Client
 from sorrelsill.jobs import Admission, Cancellations
 from sorrelsill.leadership import ControllerLabels, ElectionCallbacks, LeaderElector, Watchdog
@@ -68,7 +68,7 @@
     elector: LeaderElector
     degraded_mode: DegradedMode
     scheduler: Scheduler
-    cloud: Cloud
+    cloud: CloudClient
     command_sender: CommandSender
     membership: Membership | None
 
@@ -108,7 +108,7 @@
         elector=elector,
         degraded_mode=_make_degraded_mode(environment, callbacks, store, elector, cancellations),
         scheduler=_make_scheduler(environment),
-        cloud=Cloud(make_client(settings.services.cloud), platform.cloud),
+        cloud=CloudClient(make_client(settings.services.cloud), platform.cloud),
         command_sender=_make_command_sender(environment, callbacks, watch_cache, elector),
         membership=_make_membership(environment, callbacks, store, watch_cache),
     )
--- a/sorrelsill/fleet/__init__.py
+++ b/sorrelsill/fleet/__init__.py
@@ -3,7 +3,7 @@
 from sorrelsill.fleet.boot_times import BootTimes
 from sorrelsill.fleet.capacity_plan import plan_capacity
 from sorrelsill.fleet.catalog import parse_catalog
-from sorrelsill.fleet.cloud import Cloud
+from sorrelsill.fleet.cloud import CloudClient
 from sorrelsill.fleet.errors import CatalogError, CloudError, FleetError
 from sorrelsill.fleet.fleet_state import FleetSettings
 from sorrelsill.fleet.instances import (
@@ -22,7 +22,7 @@
     "BootingInstance",
     "CapacityDemand",
     "CatalogError",
-    "Cloud",
+    "CloudClient",
     "CloudError",
     "FleetError",
     "FleetManager",
--- a/sorrelsill/fleet/cloud.py
+++ b/sorrelsill/fleet/cloud.py
@@ -17,12 +17,12 @@
 _decode = msgspec.msgpack.Decoder().decode
 
 
-class Cloud:
+class CloudClient:
     """Sends requests to the cloud within its rate limit."""
 
     def __init__(self, client: Client, limits: CloudLimits) -> None:
         self._client = client
-        self.bucket = TokenBucket(limits.rps * constants.CLOUD_SHARE, max(1.0, limits.rps))
+        self.rate_limiter = TokenBucket(limits.rps * constants.CLOUD_SHARE, max(1.0, limits.rps))
 
     async def call(
         self,
@@ -36,7 +36,7 @@
         `may_send` is checked right before the request is sent. The cloud does not check fencing tokens, so this check
         alone keeps a former leader from renting or returning machines. Raises CloudError if the request was refused or
         not answered."""
-        await self.bucket.wait()
+        await self.rate_limiter.wait()
         try:
             status, raw = await self._client.request(
                 method, target, _encode(body) if body is not None else b"", constants.CLOUD_TIMEOUT_S, may_send
@@ -47,7 +47,7 @@
         except (NoAnswerError, msgspec.DecodeError) as error:
             raise CloudError(str(error), sent=True) from None
         if status == 429:
-            self.bucket.drain()
+            self.rate_limiter.drain()
         if status != 200 or not isinstance(answer, dict):
             reason = answer.get("error") if isinstance(answer, dict) else None
             raise CloudError(f"{status} {reason}", status, sent=status not in (400, 429, 503))
--- a/sorrelsill/fleet/machine_list.py
+++ b/sorrelsill/fleet/machine_list.py
@@ -12,7 +12,7 @@
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.fleet.cloud import Cloud
+from sorrelsill.fleet.cloud import CloudClient
 from sorrelsill.fleet.errors import CloudError
 
 log = logging.getLogger(__name__)
@@ -43,7 +43,7 @@
 class MachineListReader:
     """Reads one page at a time. After a failed page, reading starts again from the first page."""
 
-    def __init__(self, cloud: Cloud) -> None:
+    def __init__(self, cloud: CloudClient) -> None:
         self._cloud = cloud
         self._partial_list: MachineList | None = None  # pages of the pass under way; None between passes
         self._last_name = ""  # last machine of the preceding page
@@ -77,5 +77,7 @@
         if answer.get("hasNext") and machines:
             return None
         complete_list, self._partial_list = self._partial_list, None
-        self.interval_s = max(constants.LIST_EVERY_S, self._pages / (constants.LIST_SHARE * self._cloud.bucket.rate))
+        self.interval_s = max(
+            constants.LIST_EVERY_S, self._pages / (constants.LIST_SHARE * self._cloud.rate_limiter.rate)
+        )
         return complete_list
--- a/sorrelsill/fleet/scale_out.py
+++ b/sorrelsill/fleet/scale_out.py
@@ -13,7 +13,7 @@
 from sorrelsill import constants
 from sorrelsill.events import log_event
 from sorrelsill.fleet.capacity_plan import plan_capacity
-from sorrelsill.fleet.cloud import Cloud
+from sorrelsill.fleet.cloud import CloudClient
 from sorrelsill.fleet.demand import FleetDemand
 from sorrelsill.fleet.errors import CloudError
 from sorrelsill.fleet.fleet_state import FleetState
@@ -52,7 +52,7 @@
     """Plans which instances to rent and sends one rental request at a time."""
 
     def __init__(
-        self, state: FleetState, demand: FleetDemand, cloud: Cloud, leadership_valid: Callable[[], bool]
+        self, state: FleetState, demand: FleetDemand, cloud: CloudClient, leadership_valid: Callable[[], bool]
     ) -> None:
         self._state = state
         self._demand = demand
--- a/sorrelsill/fleet/test_machine_list.py
+++ b/sorrelsill/fleet/test_machine_list.py
@@ -6,13 +6,15 @@
 import trio.testing
 
 from sorrelsill import constants
-from sorrelsill.fleet import Cloud
+from sorrelsill.fleet import CloudClient
 from sorrelsill.fleet.machine_list import MachineListReader
 from sorrelsill.settings import CloudLimits
 from tests.simulation import FakeCloud, FakeNet
 
 
-def run_with_fleet(machines: int, scenario: Callable[[MachineListReader, Cloud, FakeCloud], Awaitable[None]]) -> None:
+def run_with_fleet(
+    machines: int, scenario: Callable[[MachineListReader, CloudClient, FakeCloud], Awaitable[None]]
+) -> None:
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             net = FakeNet(nursery)
@@ -20,7 +22,7 @@
             for _ in range(machines):
                 fake_cloud.add("c8", "a", False)
             net.handlers["cloud"] = fake_cloud.handle
-            cloud = Cloud(net.client("n0")("cloud"), CloudLimits(1.5, 12.0))
+            cloud = CloudClient(net.client("n0")("cloud"), CloudLimits(1.5, 12.0))
             await scenario(MachineListReader(cloud), cloud, fake_cloud)
             nursery.cancel_scope.cancel()
 
@@ -28,7 +30,7 @@
 
 
 def test_reading_a_long_list_completes_and_leaves_half_of_the_rate() -> None:
-    async def scenario(reader: MachineListReader, cloud: Cloud, fake_cloud: FakeCloud) -> None:
+    async def scenario(reader: MachineListReader, cloud: CloudClient, fake_cloud: FakeCloud) -> None:
         other_calls, machine_lists = 0, []
         while trio.current_time() < 120.0:
             if reader.due(trio.current_time()):
@@ -44,7 +46,7 @@
 
 
 def test_single_page_list_is_read_at_the_minimum_interval() -> None:
-    async def scenario(reader: MachineListReader, cloud: Cloud, fake_cloud: FakeCloud) -> None:
+    async def scenario(reader: MachineListReader, cloud: CloudClient, fake_cloud: FakeCloud) -> None:
         lists_read = 0
         while trio.current_time() < 40.0:
             if reader.due(trio.current_time()) and await reader.read_page(trio.current_time()) is not None:
@@ -56,7 +58,7 @@
 
 
 def test_failed_reading_restarts_and_returns_no_partial_list() -> None:
-    async def scenario(reader: MachineListReader, cloud: Cloud, fake_cloud: FakeCloud) -> None:
+    async def scenario(reader: MachineListReader, cloud: CloudClient, fake_cloud: FakeCloud) -> None:
         assert await reader.read_page(0.0) is None and reader.due(0.0)
         fake_cloud.outage = True
         assert await reader.read_page(1.0) is None and not reader.due(1.0)
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -22,7 +22,7 @@
 from hdrh.histogram import HdrHistogram
 
 from sorrelsill import constants
-from sorrelsill.fleet import Cloud, FleetManager, FleetSettings
+from sorrelsill.fleet import CloudClient, FleetManager, FleetSettings
 from sorrelsill.fleet.machine_list import ListedMachine
 from sorrelsill.http import Client, Reply, Request, Server
 from sorrelsill.jobs import RecordWriter
@@ -83,7 +83,7 @@
         self._changed: set[str] = set()  # machines on which a task has ended since their last heartbeat
         self._schedule = deque(self.leader.names)
         self.components = {name: _Component() for name in ("reports", "losses", "rounds", "records", "fleet", "list")}
-        cloud = Cloud(Client("10.0.0.1:1"), CloudLimits(5.0, 12.0))
+        cloud = CloudClient(Client("10.0.0.1:1"), CloudLimits(5.0, 12.0))
         self._fleet = FleetManager(
             cloud,
             self.leader.cluster,
