--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -43,9 +43,9 @@
         """Choose machines to return, at most once per planning interval."""
         if now - self._last_chosen_at >= constants.PLAN_EVERY_S:
             self._last_chosen_at = now
-            self.choose(now)
+            self.choose_machines(now)
 
-    def choose(self, now: float) -> None:
+    def choose_machines(self, now: float) -> None:
         """Add machines to return to `pending_returns`, each with its reason."""
         state = self._state
         headroom = RetainedHeadroom(self._demand, state.unschedulable())
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -193,7 +193,7 @@
         self.max_waiting = max(self.max_waiting, len(leader.scheduler.unschedulable))
         if leader.now % constants.PLAN_EVERY_S < STEP_S:
             with self.components["fleet"]:
-                self._fleet.scale_in.choose(leader.now)
+                self._fleet.scale_in.choose_machines(leader.now)
                 self._fleet.scale_out.plan(leader.now)
             self._fleet.scale_out.open_requests.clear()
         if leader.now % constants.LIST_EVERY_S < STEP_S:
