--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -59,7 +59,7 @@
     def _choose_booting(self, name: str, instance: BootingInstance, now: float) -> None:
         state = self._state
         listed_running_since = state.listed_running_since.get(name)
-        if boot_failed(instance, state.boot_times, state.cluster.catalog, now, state.cluster.started):
+        if boot_failed(instance, state.boot_times, state.cluster.catalog, now, state.cluster.term_began_at):
             state.pending_returns.setdefault(name, "never came up")
         elif listed_running_since is not None and now - listed_running_since > 2 * constants.UNRESPONSIVE_RETURN_S:
             state.pending_returns.setdefault(name, "up but silent")
@@ -80,7 +80,7 @@
             self._start_return(machine, "idle")
 
     def _idle_for_s(self, machine: Machine, now: float) -> float:
-        return now - max(machine.idle_since, self._state.cluster.started)
+        return now - max(machine.idle_since, self._state.cluster.term_began_at)
 
     def _idle_limit_s(self, machine: Machine) -> float:
         """Seconds that a machine may stay idle before it is returned. Its first minute is charged in any case."""
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -52,7 +52,7 @@
         gang_peer_s: float = 0.0,
     ) -> None:
         self.term = term
-        self.started = now
+        self.term_began_at = now
         self.catalog = catalog
         self.loss_s = loss_s
         # Time in seconds within which a gang's tasks notice that one of them is gone, and within which all of them
@@ -257,7 +257,7 @@
         if not self.failover.confirm(name):
             return
         unconfirmed = len(self.failover.unconfirmed)
-        after_s = now - self.started
+        after_s = now - self.term_began_at
         log_event(
             log, logging.DEBUG, "machine_confirmed", machine=name, proof=proof, after_s=after_s, unconfirmed=unconfirmed
         )
