--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -60,7 +60,7 @@
         self.store = parts.store
         self.watch_cache = parts.watch_cache
         self.cancellations = parts.cancellations
-        self.followed_jobs = parts.followed_jobs
+        self.job_loader = parts.job_loader
         self.admission = parts.admission
         self.watchdog = parts.watchdog
         self.elector = parts.elector
@@ -116,7 +116,7 @@
         )
         cluster.others_may_renew_until = min(now, self.elector.promised_until)
         cluster.failover.expect_machines(self.watch_cache.registered_machines())
-        self.followed_jobs.load(cluster)
+        self.job_loader.load(cluster)
         self.leader_term = LeaderTerm(cluster, self._make_fleet(cluster), self._make_record_writer(cluster))
         self.scheduler.reset()
         self._log_failover(cluster)
@@ -201,7 +201,7 @@
         cluster = self.cluster
         if cluster is None or not key.startswith(JOB_PREFIX):
             return
-        if self.followed_jobs.record_changed(cluster, key[len(JOB_PREFIX) :], value, rev):
+        if self.job_loader.record_changed(cluster, key[len(JOB_PREFIX) :], value, rev):
             self._wake_scheduler.set()
 
     def _receives_no_heartbeats(self) -> bool:
--- a/sorrelsill/controller/followed_jobs.py
+++ b/sorrelsill/controller/job_loader.py
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 
-class FollowedJobs:
+class JobLoader:
     """Loads jobs from the watch cache into the leader's cluster state."""
 
     def __init__(
--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/parts.py
@@ -11,7 +11,7 @@
 import trio
 
 from sorrelsill import constants
-from sorrelsill.controller.followed_jobs import FollowedJobs
+from sorrelsill.controller.job_loader import JobLoader
 from sorrelsill.fleet import CloudClient
 from sorrelsill.http import Client
 from sorrelsill.jobs import Admission, Cancellations
@@ -62,7 +62,7 @@
     store: KeyValueStore
     watch_cache: WatchCache
     cancellations: Cancellations
-    followed_jobs: FollowedJobs
+    job_loader: JobLoader
     admission: Admission
     watchdog: Watchdog
     elector: LeaderElector
@@ -102,7 +102,7 @@
         store=store,
         watch_cache=watch_cache,
         cancellations=cancellations,
-        followed_jobs=FollowedJobs(watch_cache, cancellations, environment.wall_clock, ended_window_s),
+        job_loader=JobLoader(watch_cache, cancellations, environment.wall_clock, ended_window_s),
         admission=Admission(store, watch_cache, platform.teams, environment.wall_clock),
         watchdog=watchdog,
         elector=elector,
--- a/sorrelsill/controller/test_followed_jobs.py
+++ b/sorrelsill/controller/test_job_loader.py
@@ -6,7 +6,7 @@
 import trio
 import trio.testing
 
-from sorrelsill.controller.followed_jobs import FollowedJobs
+from sorrelsill.controller.job_loader import JobLoader
 from sorrelsill.jobs import Cancellations, new_record
 from sorrelsill.model import Catalog, MachineType
 from sorrelsill.settings import StateLimits
@@ -41,7 +41,7 @@
             await trio.sleep(1)
             cluster = ClusterState(fake.rev + 1, trio.current_time(), Catalog({"std": MACHINE_TYPE}), 14.5, 3.4)
             cluster.failover.expect_machines([UNCONFIRMED_MACHINE])
-            FollowedJobs(watch_cache, cancellations, trio.current_time, ENDED_WINDOW_S).load(cluster)
+            JobLoader(watch_cache, cancellations, trio.current_time, ENDED_WINDOW_S).load(cluster)
             clusters.append(cluster)
             nursery.cancel_scope.cancel()
 
