--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/components.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ControllerParts:
+class ControllerComponents:
     """The components that live as long as the process, not only for one term."""
 
     settings: Settings
@@ -78,7 +78,7 @@
     return trio.current_time() - watch_cache.fresh_at < constants.WATCH_CACHE_STALE_S
 
 
-def build_parts(environment: Environment, callbacks: ControllerCallbacks) -> ControllerParts:
+def build_components(environment: Environment, callbacks: ControllerCallbacks) -> ControllerComponents:
     """Creates all components and connects them. None of them runs yet."""
     settings, operator = environment.settings, environment.operator
     platform, make_client = settings.platform, environment.make_client
@@ -96,7 +96,7 @@
     )
     watchdog = Watchdog(timings.stall_s, timings.self_release_s)
     elector = _make_elector(environment, callbacks, store, watch_cache, timings, watchdog)
-    return ControllerParts(
+    return ControllerComponents(
         settings=settings,
         timings=timings,
         store=store,
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -12,11 +12,11 @@
 import trio
 
 from sorrelsill import constants
+from sorrelsill.controller.components import ControllerCallbacks, Environment, build_components
 from sorrelsill.controller.encoding import encode
 from sorrelsill.controller.heartbeat_routes import HeartbeatRoutes
 from sorrelsill.controller.leader_term import LeaderTerm
 from sorrelsill.controller.operator_state import controller_state, team_states
-from sorrelsill.controller.parts import ControllerCallbacks, Environment, build_parts
 from sorrelsill.controller.user_routes import UserRoutes
 from sorrelsill.controller_state import ControllerState
 from sorrelsill.events import log_event
@@ -54,23 +54,23 @@
         self._draining = False  # a planned shutdown has begun
         self.tick_s = operator.tick_s or constants.SCHEDULING_INTERVAL_S
         environment = Environment(settings, operator, rng, make_client, wall_clock, membership)
-        self._parts = parts = build_parts(environment, self._callbacks())
+        self._components = components = build_components(environment, self._callbacks())
         self.settings = settings
-        self.timings = parts.timings
-        self.store = parts.store
-        self.watch_cache = parts.watch_cache
-        self.cancellations = parts.cancellations
-        self.job_loader = parts.job_loader
-        self.admission = parts.admission
-        self.watchdog = parts.watchdog
-        self.elector = parts.elector
-        self.degraded_mode = parts.degraded_mode
-        self.scheduler = parts.scheduler
-        self.command_sender = parts.command_sender
-        self.membership = parts.membership
+        self.timings = components.timings
+        self.store = components.store
+        self.watch_cache = components.watch_cache
+        self.cancellations = components.cancellations
+        self.job_loader = components.job_loader
+        self.admission = components.admission
+        self.watchdog = components.watchdog
+        self.elector = components.elector
+        self.degraded_mode = components.degraded_mode
+        self.scheduler = components.scheduler
+        self.command_sender = components.command_sender
+        self.membership = components.membership
         self._user_routes = UserRoutes(self.admission, self.watch_cache, self._count_event)
         self._heartbeat_routes = HeartbeatRoutes(
-            parts, lambda: self.cluster, self._count_event, self._wake_scheduler_if_needed
+            components, lambda: self.cluster, self._count_event, self._wake_scheduler_if_needed
         )
         self.watch_cache.listeners.append(self._on_key_changed)
 
@@ -152,7 +152,7 @@
     def _make_fleet(self, cluster: ClusterState) -> FleetManager:
         platform = self.settings.platform
         return FleetManager(
-            self._parts.cloud,
+            self._components.cloud,
             cluster,
             self.elector.valid,
             lambda: list(self.scheduler.unschedulable.values()),
@@ -275,7 +275,7 @@
 
     def state(self) -> ControllerState:
         """The state of this controller, for operators."""
-        return controller_state(self._parts, self.leader_term, self.counts)
+        return controller_state(self._components, self.leader_term, self.counts)
 
     # --- loops ---
 
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -7,8 +7,8 @@
 
 import trio
 
+from sorrelsill.controller.components import ControllerComponents, jobs_are_fresh
 from sorrelsill.controller.encoding import encode
-from sorrelsill.controller.parts import ControllerParts, jobs_are_fresh
 from sorrelsill.http import Reply, Request
 from sorrelsill.jobs import ended_in_phase
 from sorrelsill.model import JobPhase
@@ -32,18 +32,18 @@
 
     def __init__(
         self,
-        parts: ControllerParts,
+        components: ControllerComponents,
         get_cluster: Callable[[], ClusterState | None],
         count_event: Callable[[str], None],
         on_heartbeat: Callable[[], None],
     ) -> None:
         """`get_cluster`: returns the cluster state of the current term, or None if this controller does not lead;
         `on_heartbeat`: called after each heartbeat that was applied to it."""
-        self._watch_cache = parts.watch_cache
-        self._elector = parts.elector
-        self._degraded_mode = parts.degraded_mode
-        self._cancellations = parts.cancellations
-        self._peer_labels = {member.label for member in parts.settings.members}
+        self._watch_cache = components.watch_cache
+        self._elector = components.elector
+        self._degraded_mode = components.degraded_mode
+        self._cancellations = components.cancellations
+        self._peer_labels = {member.label for member in components.settings.members}
         self._get_cluster = get_cluster
         self._count_event = count_event
         self._on_heartbeat = on_heartbeat
--- a/sorrelsill/controller/operator_state.py
+++ b/sorrelsill/controller/operator_state.py
@@ -4,36 +4,36 @@
 
 from collections.abc import Iterable
 
+from sorrelsill.controller.components import ControllerComponents
 from sorrelsill.controller.leader_term import LeaderTerm
-from sorrelsill.controller.parts import ControllerParts
 from sorrelsill.controller_state import ControllerState, TeamState
 from sorrelsill.settings import Team
 from sorrelsill.workers import ClusterState
 
 
 def controller_state(
-    parts: ControllerParts, leader_term: LeaderTerm | None, event_counts: dict[str, int]
+    components: ControllerComponents, leader_term: LeaderTerm | None, event_counts: dict[str, int]
 ) -> ControllerState:
     """The state of a controller as it sees it: its role, and the counts that only a leader has (None for followers)."""
     cluster = leader_term.cluster if leader_term is not None else None
-    label, elector, membership = parts.settings.label, parts.elector, parts.membership
+    label, elector, membership = components.settings.label, components.elector, components.membership
     return ControllerState(
         label=label,
         leader=label if elector.valid() else elector.leader_label(),
         leading=elector.valid(),
         term=elector.term,
-        standstill=parts.degraded_mode.active(),
-        store_failing_s=round(parts.store.failing_for(), 2),
+        standstill=components.degraded_mode.active(),
+        store_failing_s=round(components.store.failing_for(), 2),
         jobs=len(cluster.jobs) if cluster else None,
         hosts=len(cluster.machines) if cluster else None,
         unheard=len(cluster.failover.unconfirmed) if cluster else None,
-        unplaced=sum(demand.count for demand in parts.scheduler.unschedulable.values()) if cluster else None,
+        unplaced=sum(demand.count for demand in components.scheduler.unschedulable.values()) if cluster else None,
         groups=len(cluster.gangs) if cluster else None,
         groups_waiting=sum(1 for gang in cluster.gangs.values() if not gang.running()) if cluster else None,
-        refused=parts.store.refused,
+        refused=components.store.refused,
         set_aside=leader_term.record_writer.quarantined if leader_term is not None else 0,
         starts_refused=cluster.counters.starts_refused if cluster else None,
-        teams=team_states(cluster, parts.settings.platform.teams) if cluster else None,
+        teams=team_states(cluster, components.settings.platform.teams) if cluster else None,
         counts=event_counts,
         peers=membership.state() if membership is not None else None,
         handovers_s=[round(handover.duration_s, 3) for handover in membership.handovers()] if membership else None,
