--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -23,7 +23,7 @@
     done: str  # finished tasks as encoded by `TaskSet`; empty if they are kept in progress chunks
     done_count: int
     running: int  # running tasks
-    accepted: float  # time of day; only orders jobs and their deadlines, correctness does not depend on it
+    accepted: float  # wall-clock time; only orders jobs and their deadlines, correctness does not depend on it
 
     def to_stored(self) -> dict[str, Any]:
         """Encodes it with the field names of the stored form."""
@@ -52,7 +52,7 @@
 
 
 def new_record(spec: JobSpec, accepted: float) -> dict[str, Any]:
-    """The first record of a job that was accepted at this time of day."""
+    """The first record of a job that was accepted at this wall-clock time."""
     return LiveRecord(spec.raw, "", 0, 0, round(accepted, 3)).to_stored()
 
 
@@ -110,8 +110,8 @@
 
 
 def accepted_at(record: dict[str, Any]) -> float:
-    """The time of day at which a live record's job was accepted; 0.0 if the record holds none. Raises ValueError or
-    TypeError if it is damaged."""
+    """The wall-clock time at which a live record's job was accepted; 0.0 if the record holds none. Raises ValueError
+    or TypeError if it is damaged."""
     return float(record.get("t") or 0.0)
 
 
