--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -51,6 +51,7 @@
         overdue_s: float = float("inf"),
         gang_peer_s: float = 0.0,
     ) -> None:
+        """`loss_s`, `validity_s`, `overdue_s`: durations in seconds, explained in `LeaseMonitor`."""
         self.term = term
         self.term_began_at = now
         self.catalog = catalog
@@ -80,7 +81,7 @@
 
     @property
     def others_may_renew_until(self) -> float:
-        """The time until which any node may have renewed leases."""
+        """The time until which any controller may have renewed the workers' leases."""
         return self.leases.others_may_renew_until
 
     @others_may_renew_until.setter
@@ -181,7 +182,9 @@
             return
         attempt.spec = None
         if self.failover.unconfirmed:
-            self.failover.invalidate_unobserved()  # it may come from a stale message while the real one is unobserved
+            # The attempt may come from a stale message. Then its task may run on an unconfirmed machine, and counts as
+            # unobserved again.
+            self.failover.invalidate_unobserved()
         self._allocations.release(machine, spec)
         ended = self.failover.ended.get(spec.job_id)
         if ended is not None and not attempt.verified:
@@ -213,7 +216,7 @@
     # --- machines ---
 
     def set_catalog(self, catalog: Catalog) -> None:
-        """Replace the catalog of machine types, and update the capacities of all machines by it."""
+        """Replace the catalog of machine types, and update the capacities of all machines from it."""
         self.catalog = catalog
         self._machine_table.set_catalog(catalog)
         self.failover.invalidate_unobserved()
@@ -235,25 +238,28 @@
         if machine is not None:
             self.release_all(machine, now, reason)
             self.index.delete(machine)
-        self._forget(name)
+        self._discard_pending(name)
         self.tombstones.record_forever(name, now)
         self.confirm(name, reason, now)
         self.pending_writes.deregistration_due(name)
         self.wake_scheduler = True
 
     def forget_machine(self, machine: Machine, now: float) -> None:
-        """Forget a machine that is lost and no longer listed. If it is alive, a later incarnation proves it."""
+        """Forget a machine that is lost and no longer listed. A later incarnation proves that it is alive; delayed
+        messages up to the last one known are rejected."""
         self._machine_table.remove(machine)
-        self._forget(machine.name)
+        self._discard_pending(machine.name)
         self.tombstones.record(machine.name, machine.incarnation, machine.sequence_number, now)
 
-    def _forget(self, name: str) -> None:
+    def _discard_pending(self, name: str) -> None:
+        """Discard what is still to be done for a machine that is gone, and its unknown tasks."""
         self._machine_table.forget_pending(name)
         self.attempts.machines_with_unknown_tasks.pop(name, None)
         self.pending_writes.registration_not_due(name)
 
     def confirm(self, name: str, proof: str, now: float) -> None:
-        """Record that all tasks an earlier leader may have left on the machine are known or gone, by this `proof`."""
+        """Record that all tasks which an earlier leader may have left on the machine are known or gone. `proof` says
+        how this was found out, for the log."""
         if not self.failover.confirm(name):
             return
         unconfirmed = len(self.failover.unconfirmed)
--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -54,7 +54,7 @@
         self.unconfirmed_addresses: dict[str, str] = {}
         self._unconfirmed_by_kind: dict[MachineKind, int] = {}
         self.ended: dict[str, EndedJob] = {}  # ended jobs whose tasks may still run on unconfirmed machines
-        self._all_ended_known = False  # no ended job other than these can have left tasks there
+        self._all_ended_known = False  # no ended job outside `ended` can have left tasks there
         self._unobserved: _Unobserved | None = None  # None: to be computed when it is next needed
 
     def invalidate_unobserved(self) -> None:
@@ -70,8 +70,8 @@
             # An entry from the previous version has no zone and no spot flag, so neither rules out any task.
             kind = MachineKind(entry.machine_type, entry.zone, entry.spot)
             if name in self.unconfirmed:
-                # The machine is in two parts of the registry. If it were counted twice but confirmed once, jobs from
-                # earlier terms that it may hold would be held back for the whole term.
+                # The machine is in two keys of the registry. If it were counted twice but confirmed once, jobs from
+                # earlier terms that it may hold would get no new starts for the whole term.
                 self.confirm(name)
             self.unconfirmed[name] = kind
             self._unconfirmed_by_kind[kind] = self._unconfirmed_by_kind.get(kind, 0) + 1
@@ -97,7 +97,7 @@
 
     def confirm(self, name: str) -> bool:
         """Confirm a machine: it has acknowledged our fencing token, or it holds no tasks any more. Returns False if it
-        was not unconfirmed."""
+        is not among the unconfirmed machines."""
         kind = self.unconfirmed.pop(name, None)
         if kind is None:
             return False
@@ -109,7 +109,7 @@
 
     def is_reconciled(self, job: Job) -> bool:
         """Whether all tasks of a job that an earlier leader may have started are accounted for. An unconfirmed machine
-        can hold only tasks of jobs that allow its type, its zone and, if it is one, spot machines."""
+        can hold only tasks of jobs that allow its type and its zone, and spot machines if it is one."""
         return not job.from_earlier_term or not self._may_run_on_unconfirmed(job.spec)
 
     def _may_run_on_unconfirmed(self, spec: JobSpec) -> bool:
@@ -121,15 +121,16 @@
     ) -> Resources:
         """Resources that a team's tasks may be using without being bound; they count toward the team's limit.
 
-        Unconfirmed machines: every task of the team's live and recently ended jobs counts that is neither done nor
-        bound to a confirmed machine, if an unconfirmed machine may hold it; in total at most the capacity of these
-        machines. Their whole capacity counts for every team only while not all recently ended jobs are known: fifty
-        silent machines would exhaust the limits of small teams for the duration of a lease.
+        Unconfirmed machines: a task of one of the team's live or recently ended jobs counts if it is neither done nor
+        bound to a confirmed machine and an unconfirmed machine may hold it. All of them together count as at most the
+        capacity of the unconfirmed machines. Only while some recently ended jobs are not known does that whole capacity
+        count for every team. If it always did, fifty silent machines would exhaust the limits of small teams for the
+        duration of a lease.
 
-        Confirmed machines: all tasks are bound with their own sizes, including those of recently ended jobs. Were these
-        counted by the free capacity of their machine, other tasks could take that capacity. Only for tasks of unknown
-        jobs, whose size is not known, the free capacity of their machine counts, and the machine gets no new tasks
-        until they are gone."""
+        Confirmed machines: all tasks are bound with their own sizes, including those of recently ended jobs. If these
+        were counted as the free capacity of their machine instead, other tasks could take that capacity. Tasks of
+        unknown jobs have no known size: for them the free capacity of their machine counts, and the machine gets no new
+        tasks until they are gone."""
         if self._unobserved is None:
             self._unobserved = self._count_unobserved(jobs, catalog)
         unobserved = self._unobserved.for_team(team)
--- a/sorrelsill/workers/gangs.py
+++ b/sorrelsill/workers/gangs.py
@@ -2,9 +2,9 @@
 
 All tasks of one start of a gang share an attempt number, and no number is used for a second start. If a task is
 missing, the others are stopped, and the gang is restarted once every task of the attempt is proved gone. The protocol
-would allow a replacement task with the same number to complete a gang that has not started to run. But a task's
-attempt could then be on two machines, and the proofs of the cluster state require that it is on one. The measured cost
-of a restart is in docs/results.md."""
+would allow a replacement task with the same number to complete a gang that has not started to run. But the same attempt
+of a task could then be on two machines, while the proofs that an attempt is gone (`cluster_records.py`) require that it
+is on one only. The measured cost of a restart is in docs/results.md."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
     """Stop the remaining tasks of gangs that are incomplete or that an earlier leader has begun to stop."""
     for job in cluster.gangs.values():
         if job.bound and job.done.count < job.spec.task_count:
-            _enforce(cluster, job)
+            _enforce_completeness(cluster, job)
 
 
-def _enforce(cluster: ClusterRecords, job: Job) -> None:
+def _enforce_completeness(cluster: ClusterRecords, job: Job) -> None:
     tasks = list(job.bound.values())
     if all(a.stop_requested for a in tasks):
         return
     if any(a.phase == TaskPhase.CHECKPOINTING for a in tasks):
-        # An earlier leader began an orderly stop and did not reach all tasks. If the others are stopped in time, all
-        # tasks checkpoint together; the gang has made no progress since the first was stopped.
+        # An earlier leader began a stop with a checkpoint and did not reach all tasks. If the others are stopped in
+        # time, all tasks checkpoint together; the gang has made no progress since the first was stopped.
         log_event(log, logging.INFO, "stop_of_gang_continued", job=job.spec.job_id)
         stop_gang(cluster, job, "stopped by an earlier leader", False)
         return
     if not cluster.failover.is_reconciled(job):
-        return  # the missing task may be on a machine that was not heard from yet
+        return  # the missing task may be on an unconfirmed machine
     complete = len(tasks) == job.spec.task_count and len({a.attempt_number for a in tasks}) == 1
     if complete and not any(a.stop_requested for a in tasks):
         return
-    # Stopping the tasks immediately is faster than waiting until they notice, and loses no additional work: a gang that
-    # lost a task restarts from its last checkpoint anyway.
+    # Stopping the tasks immediately is faster than waiting until they notice that one is missing, and loses no
+    # additional work: a gang that lost a task restarts from its last checkpoint anyway.
     for attempt in tasks:
         cluster.stop_attempt(attempt, "its group is not whole", True)
 
@@ -75,13 +75,13 @@
     """Stop a gang, with a checkpoint to keep its progress if all its tasks can be reached, else immediately."""
     checkpointing = any(a.phase == TaskPhase.CHECKPOINTING for a in job.bound.values())
     can_keep_progress = can_checkpoint(job) or (checkpointing and job.spec.checkpoint_interval_s > 0)
-    orderly = not immediately and can_keep_progress
+    with_checkpoint = not immediately and can_keep_progress
     for attempt in list(job.bound.values()):
-        cluster.stop_attempt(attempt, reason, not orderly, cluster.gang_peer_s if orderly else 0.0)
+        cluster.stop_attempt(attempt, reason, not with_checkpoint, cluster.gang_peer_s if with_checkpoint else 0.0)
 
 
 def gang_must_stop(job: Job, remaining_s: float) -> bool:
-    """Whether a gang must be stopped now, as one of its machines is reclaimed in `remaining_s` seconds.
+    """Whether a gang must be stopped now, because one of its machines is reclaimed in `remaining_s` seconds.
 
     A gang that does not run yet is stopped immediately, and one that can checkpoint as late as is safe. If one of its
     machines is unreachable, it is stopped at the last moment, as an earlier stop would only lose progress."""
