--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -2,8 +2,8 @@
 
 The term is the revision of that key; workers use it as the fencing token. The leader renews its lease
 every sixth of the lease duration, and acts only while its last successful renewal was *sent* less than two thirds of
-the lease duration ago. The key is deleted a whole lease duration after the last renewal arrived at the earliest, so
-another controller can acquire it only after this one has stopped acting.
+the lease duration ago. The store deletes the key no earlier than a whole lease duration after the last renewal arrived
+there, so another controller can acquire it only after this one has stopped acting.
 
 Following Strøm's guide (the design paper that this election follows), the leader resigns if a renewal takes longer than
 the renewal interval. Unlike in the guide, a renewal that was certainly not executed (503, 429, connection refused) does
@@ -91,8 +91,11 @@
         self.term: int | None = None
         self._lease: int | None = None
         self.last_renewal_sent_at = _NEVER  # successful renewals only
-        self.promised_until = _NEVER  # promise to peers: no acquiring the key and no acting as leader before this
-        self.no_campaign_before = _NEVER  # covers promises made before a restart
+        # This controller has promised its peers neither to acquire the key nor to act as leader before this time.
+        self.promised_until = _NEVER
+        # It does not try to acquire the key before this time: because of a promise that its previous process may have
+        # given, of missing heartbeats from workers, or of a planned shutdown.
+        self.no_campaign_before = _NEVER
         self.acquiring = False  # an attempt to acquire the key is in progress; no promise may be given meanwhile
         self._revoked_leases: set[int] = set()  # leases of earlier processes of this controller; each is revoked once
         self._leader_key_changed = trio.Event()
@@ -256,10 +259,10 @@
     async def _defer_to_other_candidates(self) -> None:
         """Let other candidates try first if this controller directly precedes the former leader in the workers' order.
 
-        Workers whose controller does not answer try the next one in order; each one that does not answer costs them up
-        to 5 s of their lease. While the former leader is down, a failure of a leader that directly precedes it makes
-        workers try two unreachable controllers in a row, which takes most of their lease. With any other leader it is
-        only one."""
+        Workers whose controller does not answer try the next one in order; each controller that does not answer costs
+        them up to 5 s of their lease. If this controller led and failed while the former leader is still down, workers
+        would try two unreachable controllers in a row, which takes most of their lease. After the failure of any other
+        leader they would try only one."""
         former = self._latest_leader
         if former is None or former != self._next_label:
             return
@@ -267,7 +270,7 @@
             await trio.sleep(constants.ACQUIRE_DEFER_S)
 
     async def _revoke_previous_lease(self) -> bool:
-        """Revoke the lease of the leader key if an earlier process of this controller holds it; True if one does.
+        """Revoke the lease of the leader key if an earlier process of this controller holds it. Returns True if so.
 
         After a quick restart the key may still be held by the previous process, which has certainly ended, or may
         have been written by a delayed request of that process. Nobody renews that lease; revoking it avoids waiting for
@@ -314,7 +317,7 @@
     async def _wait_for_watch_cache(self, term: int, sent_at: float) -> bool:
         """Wait until the watch cache has reached the revision of the new term.
 
-        False if the validity of the lease, which was requested at `sent_at`, expires first.
+        Returns False if the validity of the lease, which was requested at `sent_at`, expires first.
 
         The wait is needed because the watch cache may have been loaded page by page while the former leader was still
         writing."""
--- a/sorrelsill/membership/detector.py
+++ b/sorrelsill/membership/detector.py
@@ -5,7 +5,7 @@
                  ^----------|-----------|      a later heartbeat of the same or of a later process
                alive -> left                   it announced its shutdown; a later process makes it alive again
 
-A controller is suspected when it is silent for longer than its past heartbeat intervals explain. Its failure is
+A controller is suspected when it is silent for longer than its past heartbeat intervals suggest. Its failure is
 confirmed only if, in addition, all of these hold:
 
 - it has been suspected for `confirm_s`,
@@ -65,7 +65,7 @@
     def record_heartbeat(
         self, message: PeerHeartbeat, now: float, unpaused_now: float, relay: str | None = None
     ) -> bool:
-        """Process a heartbeat. False if it is a duplicate or older than the last one known."""
+        """Process a heartbeat. Returns False if it is a duplicate or older than the last one known."""
         peer = self.view.peers[message.sender]
         known = (peer.incarnation.process, peer.sequence)
         if (message.incarnation.process, message.sequence) <= known or message.incarnation < peer.incarnation:
@@ -93,7 +93,7 @@
         """Record an answer from a version that sends no heartbeats: it is alive, and only its lease is checked."""
         peer = self.view.peers[label]
         evidence = self._evidence[label]
-        # Guards against counting its silence from its last heartbeat after a downgrade to that version.
+        # Otherwise, after a downgrade to that version, its silence would be counted from its last heartbeat.
         evidence.intervals.restart()
         evidence.relayed_by = None
         if peer.status is not Status.ALIVE:
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -4,11 +4,12 @@
 worker leases would expire and all tasks would be killed. Controllers therefore promise each other not to acquire the
 leader key and not to act as leader for a few seconds. A controller gives a promise only if it cannot reach the store
 itself. A controller that holds promises from *all* members may answer heartbeats with the fencing token that the worker
-already has and without commands, which renews the lease and does nothing else. Meanwhile no task is started or declared
-lost, and the next leader counts the lease of each silent worker from the end of the promises that it knows of.
+already has, which renews the worker's lease, and with stops of cancelled tasks as the only commands. Meanwhile no task
+is started or declared lost, and the next leader counts the lease of each silent worker from the end of the promises
+that it knows of.
 
-Leases are renewed only as far as all cancellations are certain to be known (`jobs/cancellations.py`), so controllers
-exchange the cancellations they know with each promise.
+Leases are renewed only while all cancellations up to a recent time are certain to be known (`jobs/cancellations.py`),
+so controllers exchange the cancellations they know with each promise.
 
 A process may have given a promise before it crashed, so after a restart it waits for the duration of one promise before
 it acquires the key."""
@@ -71,7 +72,8 @@
         )
 
     def any_peer_store_failing(self) -> bool:
-        """Whether a reachable peer cannot reach the store either, so the fault is not local to this controller."""
+        """Whether a peer has recently answered that it cannot reach the store either, so that the fault is not local to
+        this controller."""
         now = trio.current_time()
         return any(now - at < 3 * constants.PROMISE_EVERY_S for at in self._reported_failing_at.values())
 
@@ -112,7 +114,8 @@
         return found
 
     async def _send_request(self, client: Client, promise: bool, timeout_s: float) -> PromiseAnswer | None:
-        """Ask a peer for a promise, or only for the cancellations it knows. None without a valid answer."""
+        """Ask a peer for a promise, or only for the cancellations it knows. Returns None if
+        there is no valid answer."""
         request = PromiseRequest(promise, self._cancellations.peer_request(trio.current_time()))
         try:
             status, body = await client.request("POST", "/promise", request.to_body(), timeout_s)
@@ -146,5 +149,5 @@
         if answer.failing:
             self._reported_failing_at[peer] = trio.current_time()
         if answer.promised:
-            # Counted from the sending of the request and reduced by a margin, so it expires here before it does there.
+            # Counted from the sending of the request and reduced by a margin: it ends here before it ends at the peer.
             self._promise_valid_until[peer] = sent_at + constants.PROMISE_S - constants.PROMISE_MARGIN_S
