--- a/sorrelsill/jobs/machine_registry.py
+++ b/sorrelsill/jobs/machine_registry.py
@@ -1,9 +1,11 @@
 """The registry of machines that may hold work, with many machines per key: computes which key to write next. No I/O.
 
-A part of the registry whose first key is full continues in further keys (`WatchCache.registry_keys`). The previous
-version reads every map under the prefix as entries, so its leader waits for machines in further keys too. But it
-removes entries from the first key only; an entry left in a further key makes the next leader wait for that machine in
-vain, until a leader of this version removes it from all keys.
+The registry consists of a fixed number of parts, and the hash of a machine's name decides its part. A part whose first
+key is full continues in further keys (`WatchCache.registry_keys`). The previous version reads every map under the
+prefix as entries, so its leader waits for machines in further keys too. But it removes entries from the first key only;
+an entry left in a further key makes the next leader wait for that machine in vain, until a leader of this version
+removes it from all keys.
+
 A machine may be in two keys at any time: it is registered if any key holds it, and is removed from all of them."""
 
 from __future__ import annotations
@@ -29,8 +31,10 @@
     base: str, stored: dict[str, Entries], add: Entries, removed: set[str], limit: int
 ) -> RegistryWrite | None:
     """The next write towards a state where each entry of `add` is in some key and each machine of `removed` in none.
-    `stored` maps the keys of one part of the registry to their values; `limit` is the maximum size of a value in bytes.
-    None if nothing is left to do or nothing fits. A value longer than `limit`, written when longer values were allowed,
+    `base` is the first key of one part of the registry, and `stored` maps the part's keys to their values; `limit` is
+    the maximum size of a value in bytes. Returns None if nothing is left to do or nothing fits.
+
+    A value longer than `limit`, written when longer values were allowed,
     is shrunk in steps that fit: first its entries are copied to other keys, then those found elsewhere are dropped."""
     for key, value in stored.items():
         kept = {name: entry for name, entry in value.items() if name not in removed}
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -48,9 +48,12 @@
     # --- eligible victims ---
 
     def _is_eligible_victim(self, job: Job, attempt: Attempt) -> bool:
-        """Return whether the job may preempt the attempt. Either the attempt has lower priority, and the job may
-        preempt all such work or the attempt runs on borrowed capacity; or the job is covered by its team's guaranteed
-        share and the attempt's job, of another team, is not covered by its own."""
+        """Return whether the job may preempt the attempt, which requires one of these:
+
+        - the attempt has lower priority, and the job may preempt any work of lower priority or the attempt runs on
+          borrowed capacity;
+        - the job is covered by its team's guaranteed share, and the attempt belongs to a job of another team that is
+          not covered by that team's guaranteed share."""
         victim = attempt.spec
         if victim is None or attempt.exited:
             return False
@@ -89,9 +92,9 @@
         machines: Sequence[Machine],
         reservation_s: float = constants.PREEMPTION_WAIT_S,
     ) -> int:
-        """Evict the cheapest victims that make room for waiting tasks of the job; return the number of tasks. Nothing
-        is evicted for tasks that await preempted room already. The room is reserved for `reservation_s` seconds beyond
-        the longest grace period of the victims."""
+        """Evict the cheapest victims that make room for waiting tasks of the job; return for how many tasks room is
+        made. Nothing is evicted for tasks that await preempted room already. The room is reserved for `reservation_s`
+        seconds beyond the longest grace period of the victims."""
         cluster, now, spec = cycle.cluster, cycle.now, job.spec
         if not self._may_preempt_lower_priority(job) and not (
             self._borrowing_teams.any_team_except(spec.team) and self._objective_at_risk(cluster, job, now)
@@ -107,15 +110,16 @@
         candidates = [found for m in sampled if (found := self._select_victims(cluster, job, m, now)) is not None]
         if not candidates and len(machines) > len(sampled):
             self._reservations.record_failed_search(search_class, now)
-        # Machines without gang victims go first: evicting one task stops its whole gang, and a service submitted under
-        # high load preempted one gang after the other.
+        # Machines without gang victims go first, since evicting one task stops its whole gang: otherwise, a service
+        # submitted under high load preempted one gang after the other.
         candidates.sort(
             key=lambda candidate: (any(a.job_id in cluster.gangs for a in candidate.attempts), candidate.cost)
         )
         return self._evict_cheapest(cluster, job, candidates, wanted, reservation_s, now)
 
     def _search_class(self, job: Job) -> Hashable:
-        """Return the search class of a job: jobs of one class find victims on the same machines."""
+        """Return the search class of a job. Jobs of one class find victims on the same machines, so a failed search for
+        one of them pauses the search for all."""
         spec = job.spec
         guaranteed = spec.job_id in self._guaranteed_jobs
         return spec.priority, spec.team, guaranteed, spec.cpus, spec.memory_gb, spec.gpus, spec.spot_allowed
@@ -167,7 +171,7 @@
 
     @staticmethod
     def _evict(cluster: ClusterState, spec: JobSpec, attempts: list[Attempt], reservation_s: float) -> float:
-        """Evict the attempts for the job; return for how many seconds to await their room."""
+        """Evict the attempts for the job; return the seconds until their room should be free."""
         wait_s = reservation_s
         for attempt in attempts:
             log_event(
--- a/sorrelsill/store/watch_cache.py
+++ b/sorrelsill/store/watch_cache.py
@@ -1,4 +1,4 @@
-"""Watch cache: an in-memory copy of the keys, kept up to date on every controller by a watch on the key-value store. A
+"""Watch cache: a copy of the live keys of the key-value store in the memory of each controller, updated by a watch. A
 read barrier proves that the copy is up to date."""
 
 from __future__ import annotations
@@ -50,8 +50,9 @@
         self.keys: dict[str, VersionedValue] = {}
         self._final_records: OrderedDict[str, Any] = OrderedDict()
         self.ended_jobs = RecentlyEndedJobs(keep_ended_s)
-        self.complete_since = float("inf")  # since then no end of a job was missed
-        self.followed_since = float("inf")  # since then every change was followed, including final records
+        self.complete_since = float("inf")  # no end of a job was missed since this time
+        # The watch has returned every change since this time, including those of final records.
+        self.followed_since = float("inf")
         # By job, so that a failover does not iterate over all keys for each job.
         self._chunk_keys: dict[str, set[str]] = {}
         self.rev = 0  # every change up to this revision of the store is in the cache
@@ -128,9 +129,9 @@
 
     def apply_change(self, key: str, value: Any, rev: int, present: bool) -> None:
         """Applies one change. Responses may arrive out of order, so a change that is older than the cached value has no
-        effect. Nor has a change at or below the revision of the cache, since the key may have been removed since then:
-        otherwise, a late response to the write of a job's record would bring the job back after its cancellation has
-        been followed."""
+        effect. A change at or below the revision of the cache has none either, since the key may have been removed
+        later: a late response to the write of a job's record would otherwise bring the job back after the watch has
+        returned its cancellation."""
         if key.startswith(FINAL_PREFIX):
             if present:
                 self.remember_final(key[len(FINAL_PREFIX) :], value)
@@ -200,7 +201,7 @@
         log_event(log, logging.DEBUG, "view_loaded", revision=self.rev, keys=len(self.keys), took_s=took_s)
 
     def _remove_missing(self, key: str, rev: int) -> None:
-        """Removes a key that is no longer in the store and whose removal was not followed."""
+        """Removes a key that is no longer in the store and whose removal the watch has not returned."""
         self._index_removal(key, self.keys.pop(key).value)
         for listener in self.listeners:
             listener(key, None, rev)
@@ -227,8 +228,8 @@
     # --- watching the store ---
 
     async def _watch_once(self, hold_s: float, timeout_s: float) -> None:
-        """Applies the changes since the revision of the cache. If the store no longer has them, the next round loads
-        all keys again."""
+        """Applies the changes since the revision of the cache. If the store no longer has them, all keys are
+        loaded again in the next iteration of `run`."""
         sent_at = trio.current_time()
         result = await self._store.watch(ALL_KEYS, self.rev, hold_s, timeout_s)
         if result is None:
