--- a/sorrelsill/jobs/machine_registry.py
+++ b/sorrelsill/jobs/machine_registry.py
@@ -34,8 +34,8 @@
     `base` is the first key of one part of the registry, and `stored` maps the part's keys to their values; `limit` is
     the maximum size of a value in bytes. Returns None if nothing is left to do or nothing fits.
 
-    A value longer than `limit`, written when longer values were allowed,
-    is shrunk in steps that fit: first its entries are copied to other keys, then those found elsewhere are dropped."""
+    A value longer than `limit`, written when longer values were allowed, is shrunk in steps that fit: first its entries
+    are copied to other keys, then those found elsewhere are dropped."""
     for key, value in stored.items():
         kept = {name: entry for name, entry in value.items() if name not in removed}
         if json_size(kept) > limit:
--- a/sorrelsill/store/watch_cache.py
+++ b/sorrelsill/store/watch_cache.py
@@ -98,12 +98,12 @@
         """The keys of the part of the registry that a machine belongs to, in order, with value and revision. Each of
         them may hold the machine's entry."""
         key = base = registry_key(machine)
-        keys: dict[str, tuple[dict[str, Any], int]] = {}
+        by_key: dict[str, tuple[dict[str, Any], int]] = {}
         while key in self.keys:
             value, rev = self.keys[key]
-            keys[key] = (value if isinstance(value, dict) else {}), rev
-            key = f"{base}.{len(keys)}"
-        return keys
+            by_key[key] = (value if isinstance(value, dict) else {}), rev
+            key = f"{base}.{len(by_key)}"
+        return by_key
 
     def registered_machines(self) -> list[tuple[str, Any]]:
         """The machines that may have been given work, and their entries as stored."""
