--- a/sorrelsill/controller/parts.py
+++ b/sorrelsill/controller/components.py
@@ -11,8 +11,8 @@
 import trio
 
 from sorrelsill import constants
-from sorrelsill.controller.followed_jobs import FollowedJobs
-from sorrelsill.fleet import Cloud
+from sorrelsill.controller.job_loader import JobLoader
+from sorrelsill.fleet import CloudClient
 from sorrelsill.http import Client
 from sorrelsill.jobs import Admission, Cancellations
 from sorrelsill.leadership import ControllerLabels, ElectionCallbacks, LeaderElector, Watchdog
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ControllerParts:
+class ControllerComponents:
     """The components that live as long as the process, not only for one term."""
 
     settings: Settings
@@ -62,13 +62,13 @@
     store: KeyValueStore
     watch_cache: WatchCache
     cancellations: Cancellations
-    followed_jobs: FollowedJobs
+    job_loader: JobLoader
     admission: Admission
     watchdog: Watchdog
     elector: LeaderElector
     degraded_mode: DegradedMode
     scheduler: Scheduler
-    cloud: Cloud
+    cloud: CloudClient
     command_sender: CommandSender
     membership: Membership | None
 
@@ -78,7 +78,7 @@
     return trio.current_time() - watch_cache.fresh_at < constants.WATCH_CACHE_STALE_S
 
 
-def build_parts(environment: Environment, callbacks: ControllerCallbacks) -> ControllerParts:
+def build_components(environment: Environment, callbacks: ControllerCallbacks) -> ControllerComponents:
     """Creates all components and connects them. None of them runs yet."""
     settings, operator = environment.settings, environment.operator
     platform, make_client = settings.platform, environment.make_client
@@ -96,19 +96,19 @@
     )
     watchdog = Watchdog(timings.stall_s, timings.self_release_s)
     elector = _make_elector(environment, callbacks, store, watch_cache, timings, watchdog)
-    return ControllerParts(
+    return ControllerComponents(
         settings=settings,
         timings=timings,
         store=store,
         watch_cache=watch_cache,
         cancellations=cancellations,
-        followed_jobs=FollowedJobs(watch_cache, cancellations, environment.wall_clock, ended_window_s),
+        job_loader=JobLoader(watch_cache, cancellations, environment.wall_clock, ended_window_s),
         admission=Admission(store, watch_cache, platform.teams, environment.wall_clock),
         watchdog=watchdog,
         elector=elector,
         degraded_mode=_make_degraded_mode(environment, callbacks, store, elector, cancellations),
         scheduler=_make_scheduler(environment),
-        cloud=Cloud(make_client(settings.services.cloud), platform.cloud),
+        cloud=CloudClient(make_client(settings.services.cloud), platform.cloud),
         command_sender=_make_command_sender(environment, callbacks, watch_cache, elector),
         membership=_make_membership(environment, callbacks, store, watch_cache),
     )
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -12,17 +12,17 @@
 import trio
 
 from sorrelsill import constants
+from sorrelsill.controller.components import ControllerCallbacks, Environment, build_components
 from sorrelsill.controller.encoding import encode
 from sorrelsill.controller.heartbeat_routes import HeartbeatRoutes
 from sorrelsill.controller.leader_term import LeaderTerm
 from sorrelsill.controller.operator_state import controller_state, team_states
-from sorrelsill.controller.parts import ControllerCallbacks, Environment, build_parts
 from sorrelsill.controller.user_routes import UserRoutes
 from sorrelsill.controller_state import ControllerState
 from sorrelsill.events import log_event
 from sorrelsill.fleet import FleetManager, FleetSettings, parse_catalog
 from sorrelsill.http import Client, Reply, Request
-from sorrelsill.jobs import RecordWriter, ended_as, json_size
+from sorrelsill.jobs import RecordWriter, ended_in_phase, json_size
 from sorrelsill.membership import MembershipSettings
 from sorrelsill.model import Catalog, JobPhase
 from sorrelsill.settings import OperatorOverrides, Settings
@@ -54,23 +54,23 @@
         self._draining = False  # a planned shutdown has begun
         self.tick_s = operator.tick_s or constants.SCHEDULING_INTERVAL_S
         environment = Environment(settings, operator, rng, make_client, wall_clock, membership)
-        self._parts = parts = build_parts(environment, self._callbacks())
+        self._components = components = build_components(environment, self._callbacks())
         self.settings = settings
-        self.timings = parts.timings
-        self.store = parts.store
-        self.watch_cache = parts.watch_cache
-        self.cancellations = parts.cancellations
-        self.followed_jobs = parts.followed_jobs
-        self.admission = parts.admission
-        self.watchdog = parts.watchdog
-        self.elector = parts.elector
-        self.degraded_mode = parts.degraded_mode
-        self.scheduler = parts.scheduler
-        self.command_sender = parts.command_sender
-        self.membership = parts.membership
+        self.timings = components.timings
+        self.store = components.store
+        self.watch_cache = components.watch_cache
+        self.cancellations = components.cancellations
+        self.job_loader = components.job_loader
+        self.admission = components.admission
+        self.watchdog = components.watchdog
+        self.elector = components.elector
+        self.degraded_mode = components.degraded_mode
+        self.scheduler = components.scheduler
+        self.command_sender = components.command_sender
+        self.membership = components.membership
         self._user_routes = UserRoutes(self.admission, self.watch_cache, self._count_event)
         self._heartbeat_routes = HeartbeatRoutes(
-            parts, lambda: self.cluster, self._count_event, self._wake_scheduler_if_needed
+            components, lambda: self.cluster, self._count_event, self._wake_scheduler_if_needed
         )
         self.watch_cache.listeners.append(self._on_key_changed)
 
@@ -116,7 +116,7 @@
         )
         cluster.others_may_renew_until = min(now, self.elector.promised_until)
         cluster.failover.expect_machines(self.watch_cache.registered_machines())
-        self.followed_jobs.load(cluster)
+        self.job_loader.load(cluster)
         self.leader_term = LeaderTerm(cluster, self._make_fleet(cluster), self._make_record_writer(cluster))
         self.scheduler.reset()
         self._log_failover(cluster)
@@ -152,7 +152,7 @@
     def _make_fleet(self, cluster: ClusterState) -> FleetManager:
         platform = self.settings.platform
         return FleetManager(
-            self._parts.cloud,
+            self._components.cloud,
             cluster,
             self.elector.valid,
             lambda: list(self.scheduler.unschedulable.values()),
@@ -181,7 +181,7 @@
     def _on_final(self, job_id: str, value: Any) -> None:
         if self.cluster is not None:
             self.cluster.end_job(job_id)  # the watch may return the removal of its record later than its final record
-        if ended_as(value, JobPhase.CANCELLED):
+        if ended_in_phase(value, JobPhase.CANCELLED):
             self.cancellations.add(job_id, trio.current_time())
 
     def _on_peer_cancellations(self, job_ids: list[str]) -> None:
@@ -201,7 +201,7 @@
         cluster = self.cluster
         if cluster is None or not key.startswith(JOB_PREFIX):
             return
-        if self.followed_jobs.record_changed(cluster, key[len(JOB_PREFIX) :], value, rev):
+        if self.job_loader.record_changed(cluster, key[len(JOB_PREFIX) :], value, rev):
             self._wake_scheduler.set()
 
     def _receives_no_heartbeats(self) -> bool:
@@ -275,7 +275,7 @@
 
     def state(self) -> ControllerState:
         """The state of this controller, for operators."""
-        return controller_state(self._parts, self.leader_term, self.counts)
+        return controller_state(self._components, self.leader_term, self.counts)
 
     # --- loops ---
 
--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -10,7 +10,7 @@
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.fleet.cloud import Cloud
+from sorrelsill.fleet.cloud import CloudClient
 from sorrelsill.fleet.demand import FleetDemand
 from sorrelsill.fleet.errors import CloudError
 from sorrelsill.fleet.fleet_state import FleetState
@@ -30,20 +30,22 @@
 class ScaleIn:
     """Chooses machines to return and sends the return requests."""
 
-    def __init__(self, state: FleetState, demand: FleetDemand, cloud: Cloud, valid: Callable[[], bool]) -> None:
+    def __init__(
+        self, state: FleetState, demand: FleetDemand, cloud: CloudClient, leadership_valid: Callable[[], bool]
+    ) -> None:
         self._state = state
         self._demand = demand
         self._cloud = cloud
-        self._valid = valid  # whether this controller still leads
+        self._leadership_valid = leadership_valid  # whether this controller still leads
         self._last_chosen_at = float("-inf")
 
     def choose_if_due(self, now: float) -> None:
         """Choose machines to return, at most once per planning interval."""
         if now - self._last_chosen_at >= constants.PLAN_EVERY_S:
             self._last_chosen_at = now
-            self.choose(now)
+            self.choose_machines(now)
 
-    def choose(self, now: float) -> None:
+    def choose_machines(self, now: float) -> None:
         """Add machines to return to `pending_returns`, each with its reason."""
         state = self._state
         headroom = RetainedHeadroom(self._demand, state.unschedulable())
@@ -57,7 +59,7 @@
     def _choose_booting(self, name: str, instance: BootingInstance, now: float) -> None:
         state = self._state
         listed_running_since = state.listed_running_since.get(name)
-        if boot_failed(instance, state.boot_times, state.cluster.catalog, now, state.cluster.started):
+        if boot_failed(instance, state.boot_times, state.cluster.catalog, now, state.cluster.term_began_at):
             state.pending_returns.setdefault(name, "never came up")
         elif listed_running_since is not None and now - listed_running_since > 2 * constants.UNRESPONSIVE_RETURN_S:
             state.pending_returns.setdefault(name, "up but silent")
@@ -78,7 +80,7 @@
             self._start_return(machine, "idle")
 
     def _idle_for_s(self, machine: Machine, now: float) -> float:
-        return now - max(machine.idle_since, self._state.cluster.started)
+        return now - max(machine.idle_since, self._state.cluster.term_began_at)
 
     def _idle_limit_s(self, machine: Machine) -> float:
         """Seconds that a machine may stay idle before it is returned. Its first minute is charged in any case."""
@@ -100,7 +102,7 @@
         if not names:
             return
         try:
-            await self._cloud.return_machines(ReturnRequest(names), self._valid)
+            await self._cloud.return_machines(ReturnRequest(names), self._leadership_valid)
         except CloudError as error:
             log_event(log, logging.INFO, "return_failed", machines=len(names), reason=error)
             return
