--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -27,16 +27,16 @@
 # ratio; of the lease: how long the leader may act after sending the last successful renewal, as in Strøm's guide
 VALIDITY_OF_LEASE: Final = 2 / 3
 STALL_LIMIT_S: Final = 10.0  # s; a loop of the leader that does not report to the watchdog for this long is stalled
-# s; the leader resigns once a loop has been stalled for this long. Strøm's guide has 30 s, which is longer than the
+# s; the leader steps down once a loop has been stalled for this long. Strøm's guide has 30 s, which is longer than the
 # workers' leases here.
 SELF_RELEASE_S: Final = 10.0
-# heartbeat intervals; a leader that has received heartbeats before resigns when none arrives from any worker for this
-# long plus NO_HEARTBEAT_EXTRA_S
+# heartbeat intervals; a leader that has received heartbeats before steps down when none arrives from any worker for
+# this long plus NO_HEARTBEAT_EXTRA_S
 NO_HEARTBEAT_INTERVALS: Final = 2.0
 NO_HEARTBEAT_EXTRA_S: Final = 1.0  # s; added to NO_HEARTBEAT_INTERVALS
-# machines; the leader resigns for missing heartbeats only if at least this many should be sending them
+# machines; the leader steps down for missing heartbeats only if at least this many should be sending them
 NO_HEARTBEAT_MACHINES: Final = 2
-# s; a leader that resigned for missing heartbeats leaves the key to others for this long
+# s; a leader that stepped down for missing heartbeats leaves the key to others for this long
 NO_HEARTBEAT_STANDBY_S: Final = 20.0
 # s; the controller that precedes the former leader in the workers' order tries to acquire the key this much later; also
 # its timeout for asking peers whether they could acquire it instead
--- a/sorrelsill/jobs/registry_writes.py
+++ b/sorrelsill/jobs/registry_writes.py
@@ -75,7 +75,7 @@
     def _add_part(self, batch: WriteBatch, base: str, part: _DuePart) -> None:
         stored = self._watch_cache.registry_keys(part.any_machine)
         # Continues in further keys only when the store refuses a longer value: a leader of the previous version that
-        # finds a machine in two keys never counts it as heard from.
+        # finds a machine in two keys never confirms it.
         write = next_registry_write(
             base,
             {key: value for key, (value, _) in stored.items()},
--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -5,11 +5,11 @@
 the lease duration ago. The store deletes the key no earlier than a whole lease duration after the last renewal arrived
 there, so another controller can acquire it only after this one has stopped acting.
 
-Following Strøm's guide (the design paper that this election follows), the leader resigns if a renewal takes longer than
-the renewal interval. Unlike in the guide, a renewal that was certainly not executed (503, 429, connection refused) does
-not count as slow and is retried. If the validity expires during these retries, the leader only stops acting: if a later
-renewal finds that the lease still exists (leases do not expire during an outage of the store), this controller has held
-the key throughout, and it continues with the same term."""
+Following Strøm's guide (the design paper that this election follows), the leader steps down if a renewal takes longer
+than the renewal interval. Unlike in the guide, a renewal that was certainly not executed (503, 429, connection refused)
+does not count as slow and is retried. If the validity expires during these retries, the leader only stops acting: if a
+later renewal finds that the lease still exists (leases do not expire during an outage of the store), this controller
+has held the key throughout, and it continues with the same term."""
 
 from __future__ import annotations
 
@@ -181,7 +181,7 @@
             log_event(log, log_level, "lease_not_revoked", lease=lease, reason=str(error))
 
     async def _maintain_leadership(self) -> None:
-        """Resign, or renew the lease once. Returns when the next renewal is due or the term is over."""
+        """Step down, or renew the lease once. Returns when the next renewal is due or the term is over."""
         assert self._lease is not None and self.term is not None
         stalled = self._watchdog.stalled_loops()
         if stalled:
--- a/sorrelsill/leadership/watchdog.py
+++ b/sorrelsill/leadership/watchdog.py
@@ -1,4 +1,4 @@
-"""Watchdog of the leader's loops: a leader must resign if one of its loops has stalled or exited."""
+"""Watchdog of the leader's loops: a leader must step down if one of its loops has stalled or exited."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     def stalled_loops(self) -> list[str]:
         """The loops that exited, or sent no heartbeat for the stall limit plus the self-release time.
 
-        The leader resigns if there is any."""
+        The leader steps down if there is any."""
         now = trio.current_time()
         since_last_check_s = now - self._checked_at
         self._checked_at = now
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -253,7 +253,7 @@
 
     def _discard_pending(self, name: str) -> None:
         """Discard what is still to be done for a machine that is gone, and its unknown tasks."""
-        self._machine_table.forget_pending(name)
+        self._machine_table.discard_pending(name)
         self.attempts.machines_with_unknown_tasks.pop(name, None)
         self.pending_writes.registration_not_due(name)
 
--- a/sorrelsill/workers/ended_jobs.py
+++ b/sorrelsill/workers/ended_jobs.py
@@ -1,4 +1,4 @@
-"""Ended jobs whose tasks may still run on machines from which a new leader has had no heartbeat yet. No I/O."""
+"""Ended jobs whose tasks may still run on machines that are unconfirmed in the term of a new leader. No I/O."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 class EndedJob:
     """An ended job, and which of its tasks may still run unobserved.
 
-    Every task is counted once: tasks on machines that were heard from are bound there like any other, with the
-    resources of the job's spec."""
+    Every task is counted once: tasks that a machine has reported in this term are bound there like any other,
+    with the resources of the job's spec."""
 
     __slots__ = ("_accounted", "spec")
 
     def __init__(self, spec: JobSpec, accounted: TaskSet) -> None:
         self.spec = spec
-        self._accounted = accounted  # tasks that are done, gone, or on a machine that was heard from
+        self._accounted = accounted  # tasks that are done, gone, or bound to a machine
 
     @property
     def unobserved_count(self) -> int:
-        """The number of tasks that may run on machines that were not heard from."""
+        """The number of tasks that may run on unconfirmed machines."""
         return self.spec.task_count - self._accounted.count
 
     def mark_observed(self, index: int) -> None:
-        """Record that the task is on a machine that was heard from, and so on no other."""
+        """Record that a machine has reported the task, so that it is on no other machine."""
         if 0 <= index < self.spec.task_count:
             self._accounted.add(index)
 
--- a/sorrelsill/workers/machine_table.py
+++ b/sorrelsill/workers/machine_table.py
@@ -35,13 +35,13 @@
         del self.machines[machine.name]
         self.index.delete(machine)
 
-    def forget_pending(self, name: str) -> None:
+    def discard_pending(self, name: str) -> None:
         """Remove the machine from the lists of pending commands and reclaim notices."""
         self.with_pending_commands.pop(name, None)
         self.with_reclaim_notice.pop(name, None)
 
     def set_catalog(self, catalog: Catalog) -> None:
-        """Replace the catalog of machine types, and update the capacities of all machines by it."""
+        """Replace the catalog of machine types, and update the capacities of all machines from it."""
         self._catalog = catalog
         for machine in self.machines.values():
             self._apply_capacity(machine)
