--- a/sorrelsill/fleet/__init__.py
+++ b/sorrelsill/fleet/__init__.py
@@ -3,7 +3,7 @@
 from sorrelsill.fleet.boot_times import BootTimes
 from sorrelsill.fleet.capacity_plan import plan_capacity
 from sorrelsill.fleet.catalog import parse_catalog
-from sorrelsill.fleet.cloud import CloudClient
+from sorrelsill.fleet.cloud_client import CloudClient
 from sorrelsill.fleet.errors import CatalogError, CloudError, FleetError
 from sorrelsill.fleet.fleet_state import FleetSettings
 from sorrelsill.fleet.instances import (
--- a/sorrelsill/fleet/machine_list.py
+++ b/sorrelsill/fleet/machine_list.py
@@ -12,7 +12,7 @@
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.fleet.cloud import CloudClient
+from sorrelsill.fleet.cloud_client import CloudClient
 from sorrelsill.fleet.errors import CloudError
 
 log = logging.getLogger(__name__)
--- a/sorrelsill/fleet/manager.py
+++ b/sorrelsill/fleet/manager.py
@@ -11,7 +11,7 @@
 from sorrelsill import constants
 from sorrelsill.events import log_event
 from sorrelsill.fleet.catalog import parse_catalog
-from sorrelsill.fleet.cloud import CloudClient
+from sorrelsill.fleet.cloud_client import CloudClient
 from sorrelsill.fleet.demand import FleetDemand
 from sorrelsill.fleet.errors import FleetError
 from sorrelsill.fleet.fleet_state import FleetSettings, FleetState
--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -10,7 +10,7 @@
 
 from sorrelsill import constants
 from sorrelsill.events import log_event
-from sorrelsill.fleet.cloud import CloudClient
+from sorrelsill.fleet.cloud_client import CloudClient
 from sorrelsill.fleet.demand import FleetDemand
 from sorrelsill.fleet.errors import CloudError
 from sorrelsill.fleet.fleet_state import FleetState
--- a/sorrelsill/fleet/scale_out.py
+++ b/sorrelsill/fleet/scale_out.py
@@ -13,7 +13,7 @@
 from sorrelsill import constants
 from sorrelsill.events import log_event
 from sorrelsill.fleet.capacity_plan import plan_capacity
-from sorrelsill.fleet.cloud import CloudClient
+from sorrelsill.fleet.cloud_client import CloudClient
 from sorrelsill.fleet.demand import FleetDemand
 from sorrelsill.fleet.errors import CloudError
 from sorrelsill.fleet.fleet_state import FleetState
