--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -122,7 +122,7 @@
         """Resources that a team's tasks may be using without being bound; they count toward the team's limit.
 
         Unconfirmed machines: a task of one of the team's live or recently ended jobs counts if it is neither done nor
-        bound to a confirmed machine and an unconfirmed machine may hold it. All of them together count as at most the
+        bound to any machine and an unconfirmed machine may hold it. All of them together count as at most the
         capacity of the unconfirmed machines. Only while some recently ended jobs are not known does that whole capacity
         count for every team. If it always did, fifty silent machines would exhaust the limits of small teams for the
         duration of a lease.
