--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -12,16 +12,19 @@
 SCALE_IN_BATCH_MAX: Final = 100  # machine names; the cloud's limit per return request
 MACHINE_LIST_PAGE_SIZE: Final = 500  # machines; the cloud's limit per page
 KV_PAGE_SIZE: Final = 1000  # keys; the key-value store's limit per page
-COMPARES_PER_OP: Final = 4  # conditions; allowed for each put or delete of a transaction
+# conditions; allowed in a transaction for each put or delete that the store's limit `txn_ops` allows
+COMPARES_PER_OP: Final = 4
 MIN_TXN_OPS: Final = 2  # writes; a job's end needs this many in one transaction
-TXN_BYTES: Final = 56 * 1024  # bytes; below the 64 KiB limit of a transaction, which counts its JSON form
+# bytes; a transaction is filled up to this size, below the store's limit of 64 KiB, which counts the JSON form
+TXN_BYTES: Final = 56 * 1024
 
 # --- leadership -------------------------------------------------------------------------------------
 # ratio; of the workers' lease. A failover (the leader's lease, acquiring the key, and up to 5 s until a worker has
 # found the new leader) must complete within the workers' lease.
 LEASE_OF_WORKER_LEASE: Final = 0.36
 LEASE_MIN_S: Final = 2.0  # s; with a shorter lease, ordinary slow responses would cost the leadership
-LEASE_MAX_S: Final = 30.0  # s; the lease of Strøm's guide, long enough wherever the workers' lease permits it
+# s; upper bound of the leader's lease, reached if the workers' lease is long; the lease of Strøm's guide
+LEASE_MAX_S: Final = 30.0
 RENEWAL_INTERVAL_OF_LEASE: Final = 1 / 6  # ratio; of the lease: interval and timeout of renewals, as in Strøm's guide
 RENEWAL_INTERVAL_MAX_S: Final = 5.0  # s; upper bound of the renewal interval and timeout, as in Strøm's guide
 # ratio; of the lease: how long the leader may act after sending the last successful renewal, as in Strøm's guide
@@ -42,12 +45,13 @@
 # its timeout for asking peers whether they could acquire it instead
 ACQUIRE_DEFER_S: Final = 0.2
 # s; upper bound of the followers' random delay before they try to acquire a free key. Far below the 0.05 s of the
-# previous version, so that during an upgrade the key goes to a controller that does not restart again.
+# previous version, so that during an upgrade the key goes to an upgraded controller, which does not restart again.
 ACQUIRE_JITTER_S: Final = 0.004
 
 # --- workers ----------------------------------------------------------------------------------------
 LOSS_MARGIN_S: Final = 0.5  # s; added to lease and clock drift before the work of a silent machine is declared lost
-# s; tasks on a spot machine are told to checkpoint this long before it is reclaimed, plus the time of the checkpoint
+# s; a task that still runs this long before its spot machine is reclaimed is stopped, a task that writes checkpoints
+# earlier by the time that a checkpoint takes
 RECLAIM_STOP_AHEAD_S: Final = 2.5
 START_BACKOFF_S: Final = 2.0  # s; first pause before a failed task is tried again; doubles with each failed try
 START_BACKOFF_MAX_S: Final = 60.0  # s; upper bound of the pause before a failed task is tried again
@@ -55,16 +59,18 @@
 QUARANTINE_JOBS: Final = 2
 # machines; a job that has failed on this many without any success is suspected to be at fault itself
 SUSPECT_MACHINES: Final = 2
-# machines; a job's failures count against at most this many: if there are more, the job itself may be at fault
+# machines; the failures of one job count against at most this many. Those on further machines count against none, since
+# the job itself may be at fault.
 BLAMED_MACHINES_MAX: Final = 3
-SUSPECT_JOB_TASKS: Final = 1  # tasks; of a suspected job, tried at a time
+SUSPECT_JOB_TASKS: Final = 1  # tasks; of a job that is suspected to be at fault, bound at a time
 REPLICA_PROOF_S: Final = 20.0  # s; a replica that has run for this long proves that its service can run
 MACHINE_AVOID_S: Final = 120.0  # s; a job avoids a machine that refused or failed one of its tasks
 LEASE_CHECK_INTERVAL_S: Final = 0.25  # s; interval between checks for machines that are silent past their lease
-# tasks; at most declared lost per check, which takes some 10 ms; the next check continues from there
+# tasks; a check stops once it has declared this many lost, so that it takes some 10 ms; the next check continues with
+# the other machines
 LOST_TASKS_PER_CHECK: Final = 600
-# s; a duplicate of a direct start may arrive this late: only then is its exited task cleared, since a duplicate after
-# that would run it again
+# s; a duplicate of a direct start command may reach the worker this late. The worker is told to clear the exited task
+# only after this time, since a duplicate that arrives after the task is cleared would run it again.
 DUPLICATE_START_S: Final = 120.0
 # s; minimum time for which a removed machine is remembered, to reject stale copies of its heartbeats: messages may be
 # minutes late
@@ -77,16 +83,16 @@
 # s; for the response to the first probe of a machine after a failover: most respond within milliseconds, and those that
 # hang are probed again with COMMAND_TIMEOUT_S
 FIRST_PROBE_TIMEOUT_S: Final = 0.5
-# s; first pause after a failed call to a machine, which then gets responses to its heartbeats only; doubles with each
-# failure in a row
+# s; first pause after a failed call to a machine, during which commands reach it only in responses to its heartbeats;
+# doubles with each failure in a row
 COMMAND_BACKOFF_S: Final = 2.0
 # s; upper bound of the pause after a failed call; long, so that a machine that stays unreachable costs few calls
 COMMAND_BACKOFF_MAX_S: Final = 16.0
-# calls; in flight to workers. Fewer could all be taken by dozens of machines that hang at once; with more, hundreds of
-# responses at once would delay users' requests.
+# calls; limit of those in flight to workers. Dozens of machines that hang at once could use up a lower limit; with a
+# higher one, hundreds of responses at once would delay users' requests.
 COMMANDS_IN_FLIGHT_MAX: Final = 96
 PROBES_IN_FLIGHT_MIN: Final = 24  # probes; lower bound of the limit of probes in flight
-# probes; per socket of the quota, which grows with the fleet: limit of probes in flight
+# probes; limit of probes in flight per socket of the quota; the quota grows with the fleet
 PROBES_PER_SOCKET: Final = 0.0125
 REPEATED_PROBES_SHARE: Final = 0.5  # ratio; of the limit of probes in flight, for machines that did not answer before
 OVERDUE_OF_HEARTBEAT: Final = 1.25  # ratio; of the heartbeat interval: longest regular time between two heartbeats
@@ -108,12 +114,14 @@
 CHUNK_TASKS: Final = 16_384  # tasks; per progress chunk; larger jobs keep their finished tasks in such separate keys
 # tasks; per small progress chunk, used where the store does not accept values as long as a full chunk: at most 0.7 KB
 SMALL_CHUNK_TASKS: Final = 4_096
-VALUE_SHARE: Final = 0.9  # ratio; of the size limit of a value, used, since it is not known how the store encodes JSON
+# ratio; of the store's size limit of a value, up to which values are written. The rest is a margin, since it is not
+# known how the store encodes JSON before it checks the size.
+VALUE_SHARE: Final = 0.9
 REGISTRY_PARTS: Final = 32  # keys; over which the machine registry is spread; a full one continues in further keys
 QUARANTINED_WRITE_S: Final = 60.0  # s; a write that the store refuses even on its own is quarantined for this long
 WRITER_TICK_S: Final = 0.2  # s; finished tasks and state changes are batched for this long per write
 PROGRESS_EVERY_S: Final = 6.0  # s; minimum interval between two progress records of a running job
-# writes; left by progress records for the urgent ones that follow: the ends of two jobs and two submissions
+# writes; progress records leave this many in the write budget for urgent ones: the ends of two jobs and two submissions
 PROGRESS_RESERVE: Final = 6
 # ratio; of the burst of the write budget: upper bound of PROGRESS_RESERVE, which at a low rate would take the whole
 # burst
@@ -124,7 +132,8 @@
 
 # --- users ------------------------------------------------------------------------------------------
 CLI_TIMEOUT_S: Final = 6.0  # s; slightly longer than the 5 s for which users wait
-RETRY_AFTER_S: Final = 1  # s; the Retry-After header of 503, the least that users wait in any case
+# s; value of the Retry-After header of 503; users wait at least this long before a retry, whatever the header says
+RETRY_AFTER_S: Final = 1
 ADMIT_QUEUE: Final = 256  # submissions; waiting for one batch; further ones get 503 at once
 POLL_QUEUE: Final = 1024  # polls; waiting for one shared read; further ones get 503 at once
 # reads; of final records, in flight for polls; a poll that needs one more gets 503
@@ -135,7 +144,7 @@
 # s; a controller that alone cannot reach the store for this long reports that it is not ready
 READY_STORE_S: Final = 3.0
 TEAM_JOBS_PAGE_SIZE: Final = 200  # jobs; per page of a team's list, well below the size limit of a response
-REASONS_KEPT: Final = 8  # notes; the newest ones kept per job on why its tasks stopped or wait
+NOTES_KEPT: Final = 8  # notes; the newest ones kept per job on why its tasks stopped or wait
 
 # --- http -------------------------------------------------------------------------------------------
 IDLE_TIMEOUT_S: Final = 90.0  # s; an incoming connection that is idle for this long is closed
@@ -154,12 +163,14 @@
 # samples; without a feasible machine, after which all candidates are listed and filtered
 SAMPLES_BEFORE_LISTING: Final = 3
 CANDIDATE_SAMPLE: Final = 24  # machines; sampled per task, of which the best fit is used
-FETCH_WEIGHT: Final = 4.0  # score; for an image that must be fetched; a machine with all CPUs free scores 1
-# score; for a machine on the wrong market, spot or on-demand, for work that may use both
+# score; added for an image that must be fetched. The machine with the lowest score is used; one with all CPUs free
+# scores 1.
+FETCH_WEIGHT: Final = 4.0
+# score; added for a machine on the market (spot or on-demand) that is not preferred, for work that may use both
 SPOT_MISMATCH_WEIGHT: Final = 0.5
-# score; for each replica of the same latency-sensitive service on the machine; a machine with all CPUs free scores 1
+# score; added for each replica of the same latency-sensitive service on the machine; one with all CPUs free scores 1
 SPREAD_WEIGHT: Final = 1.0
-# score; for the share of the job's tasks that are in the machine's zone; a machine with all CPUs free scores 1
+# score; times the share of the job's tasks that are in the machine's zone; a machine with all CPUs free scores 1
 ZONE_BALANCE_WEIGHT: Final = 1.0
 PREEMPT_SAMPLE: Final = 48  # machines; sampled in the search for the cheapest preemption victims
 # s; after a failed search for preemption victims, jobs of the same class do not search again for this long
@@ -177,7 +188,7 @@
 GANG_SAMPLE_FACTOR: Final = 4
 # gangs; for each job class whose tasks should start within seconds, headroom for this many is kept free in one zone
 GANG_HEADROOM: Final = 1.0
-GANG_HOLD_S: Final = 30.0  # s; machines are held for a gang for this long, in which most of their tasks end
+GANG_HOLD_S: Final = 30.0  # s; machines are held for a gang for this long; most tasks running on them end within it
 GANG_HOLD_MACHINES: Final = 16  # machines; held for one gang at most
 GANG_HOLD_SHARE: Final = 0.1  # ratio; of the machines, held for all gangs together
 PREEMPTION_WAIT_S: Final = 5.0  # s; how long a job waits for room freed by preemption before it preempts more
@@ -189,7 +200,7 @@
 CLOUD_SHARE: Final = 0.8  # ratio; of the cloud's rate limit, planned to be used by the leader
 CLOUD_TIMEOUT_S: Final = 5.0  # s; for a response of the cloud
 LIST_EVERY_S: Final = 4.0  # s; minimum interval between two readings of the machine list
-LIST_SHARE: Final = 0.5  # ratio; of our request rate to the cloud, at most used by the pages of the machine list
+LIST_SHARE: Final = 0.5  # ratio; of our request rate to the cloud: upper bound for reading pages of the machine list
 CATALOG_EVERY_S: Final = 60.0  # s; interval between readings of the catalog once it is known
 # s; first pause before an instance offer that was refused is requested again; doubles with each refusal in a row
 NO_CAPACITY_S: Final = 8.0
@@ -201,17 +212,18 @@
 IDLE_RETURN_LATENCY_S: Final = 600.0
 # ratio; of the CPUs in use, kept free where latency is optimised for, since bursts arrive within minutes
 LATENCY_HEADROOM: Final = 0.3
-# ratio; of the published boot time of its type, after which an instance is late: most take 0.6 to 1.5 of it
+# ratio; of the published boot time of its type, after which an instance is late: most boots take 0.6 to 1.5 of the
+# published time
 BOOT_LATE: Final = 1.6
-# ratio; of the median observed boot time, after which an instance is late if that is more than BOOT_LATE of the
-# published one
+# ratio; of the median observed boot time. With MIN_BOOT_TIMES observations, an instance is late after the larger of
+# BOOT_LATE * published boot time and BOOT_LATE_OF_OBSERVED * median observed boot time, plus BOOT_EXTRA_S.
 BOOT_LATE_OF_OBSERVED: Final = 1.2
 # ratio; of the published boot time, after which a boot counts as failed while there are few observations
 BOOT_FAILED: Final = 4.0
-# ratio; of the published boot time, after which a boot counts as failed once there are enough observations
+# ratio; of the published boot time, used instead of BOOT_FAILED once there are MIN_BOOT_TIMES observations
 BOOT_FAILED_OBSERVED: Final = 2.2
-# ratio; of the longest observed boot time, after which a boot counts as failed if that is more than
-# BOOT_FAILED_OBSERVED of the published one
+# ratio; of the longest observed boot time. With MIN_BOOT_TIMES observations, a boot counts as failed after the larger
+# of BOOT_FAILED_OBSERVED * published boot time and BOOT_FAILED_OF_OBSERVED * longest observed one, plus BOOT_EXTRA_S.
 BOOT_FAILED_OF_OBSERVED: Final = 1.3
 # s; added to the limit for a late and for a failed boot: short boot times say little about the time until the first
 # heartbeat
@@ -222,25 +234,30 @@
 # would be late as well
 LATE_REPLACED_SHARE: Final = 0.5
 LATE_REPLACED_MIN: Final = 2  # machines; minimum number of late instances that are replaced
-# s; a machine whose tasks are lost and that sends no heartbeat for this much longer is returned
+# s; a machine that sends no heartbeat for this long after its tasks were declared lost is returned; an instance that
+# the cloud lists as running, but that has never sent a heartbeat, after twice this time
 UNRESPONSIVE_RETURN_S: Final = 30.0
 SCALE_OUT_TRIES: Final = 4  # tries; of one rental request before its capacity is planned again
 DEADLINE_SHARE: Final = 0.9  # ratio; of the time to a deadline, planned for, since estimates are often wrong
 ESTIMATE_SLACK: Final = 1.3  # ratio; factor on estimated run times, which are often wrong by half
-# s; slack on top of boot, fetch and run time. With less, an on-demand machine is rented for work that may use spot
-# machines, which cost less than half.
+# s; slack on top of boot, fetch and run time. While more time than this sum is left until the deadline of work that
+# may use spot machines, which cost less than half, no on-demand machine is rented for it.
 ON_DEMAND_DELAY_S: Final = 8.0
 # s; interval between two capacity plans, which take long if much work is unschedulable; short compared with a boot
 PLAN_EVERY_S: Final = 1.0
 FLEET_TICK_S: Final = 0.25  # s; interval of the fleet loop, which rents, lists and returns machines
 UTILISATION_LOG_S: Final = 10.0  # s; interval between debug log lines on the fleet's utilisation
 REBALANCE_INTERVAL_S: Final = 5.0  # s; interval between rebalancings, which move services to fuller machines
-# ratio; of the usable machines, drained at once by a rebalancing, at least one; none while more than this are booting
+# ratio; of the usable machines, drained at once by a rebalancing: the share is rounded down, but one machine is drained
+# in any case. None is drained while more machines than the rounded share are booting.
 REBALANCE_DRAIN_SHARE: Final = 0.01
-# machines; per machine to drain, checked in detail for whether they can be drained, the least utilised first
+# machines; per machine to drain, checked in detail for whether they can be drained, those with the fewest used CPUs for
+# their price first
 REBALANCE_CANDIDATES: Final = 8
 MIN_RUN_BEFORE_MOVE_S: Final = 60.0  # s; a replica must have run for this long before it is moved to save cost
-MIN_CHARGE_S: Final = 60.0  # s; minimum charge for a machine: returning it sooner saves nothing
+# s; minimum charge for a machine: returning it sooner saves nothing. Also taken as the boot time of a machine type that
+# is not in the catalog.
+MIN_CHARGE_S: Final = 60.0
 
 # --- membership -------------------------------------------------------------------------------------
 PAUSE_DETECTION_S: Final = 0.25  # s; a tick that is later than this shows that the process itself was not running
@@ -260,11 +277,12 @@
 PROMISE_EVERY_S: Final = 0.6  # s; interval between renewals of a promise
 PROMISE_AFTER_S: Final = 1.0  # s; a controller that has been without the store for this long asks for promises
 PROMISE_MARGIN_S: Final = 0.2  # s; subtracted from a promise by the controller that got it, for drift and late timers
-# s; the margin in `cancel_s - lease_s - margin`, the age up to which cancellations may be unknown when a worker's lease
-# is renewed: covers the drift over both, the latency of a response, and the interval at which a worker checks its lease
+# s; the margin in `cancel_s - lease_s - margin`: a worker's lease may be renewed while cancellations younger than this
+# age may be unknown. Covers the drift over `cancel_s` and `lease_s`, the latency of a response, and the interval at
+# which a worker checks its lease.
 RENEW_MARGIN_S: Final = 2.0
 CANCEL_SLACK_S: Final = 0.5  # s; added to `cancel_s` before a cancelled task counts as ended, for drift and rounding
-# ratio; of `cancel_s`: how long a cancellation is remembered; its tasks have ended after 1.0
+# ratio; of `cancel_s`: how long a cancellation is remembered; its tasks have ended after one `cancel_s`
 CANCELLED_KEPT: Final = 2.0
 # jobs; cancellations listed in one answer to a peer, some 30 of the 64 KB of a body; if there are more, none is listed
 CANCELLATIONS_LISTED_MAX: Final = 2000
--- a/sorrelsill/controller_state.py
+++ b/sorrelsill/controller_state.py
@@ -32,7 +32,10 @@
 
 
 class ControllerState(msgspec.Struct, frozen=True):
-    """A controller's view of the leadership, and figures that only the leader has (None on followers)."""
+    """A controller's view of the leadership, and figures that only the leader has.
+
+    On followers `term`, `jobs`, `hosts`, `unheard`, `unplaced`, `groups`, `groups_waiting`, `starts_refused` and
+    `teams` are None, and `set_aside` is 0. `peers` and `handovers_s` are None if failure detection is off."""
 
     label: str
     leader: str | None
@@ -46,10 +49,10 @@
     unplaced: int | None
     groups: int | None
     groups_waiting: int | None
-    refused: int  # requests refused by the key-value store
+    refused: int  # transactions that the key-value store refused as malformed or too large
     set_aside: int
     starts_refused: int | None
     teams: dict[str, TeamState] | None
     counts: dict[str, int]  # by event
-    peers: dict[str, PeerState] | None  # None if failure detection is off
-    handovers_s: list[float] | None
+    peers: dict[str, PeerState] | None
+    handovers_s: list[float] | None  # durations of the latest handovers to this controller
--- a/sorrelsill/serve.py
+++ b/sorrelsill/serve.py
@@ -1,5 +1,5 @@
-"""The process of a controller: settings, logging, sockets. Its imports are few, since controllers have
-little CPU time to start."""
+"""The process of a controller: settings, logging, sockets. Its imports are few, since controllers have little CPU
+time to start."""
 
 from __future__ import annotations
 
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -74,7 +74,7 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits of the key-value store that will take effect at some time, without notice; 0 for those that stay."""
+    """Limits of the key-value store that will replace the present ones at an unknown time; 0 for those that stay."""
 
     write_rps: float = 0.0
     value_kb: float = 0.0
@@ -144,12 +144,12 @@
 
     @property
     def optimise_latency(self) -> bool:
-        """Whether to optimise for latency instead of cost: an objective limits the seconds from submission for work
-        that ends. Then it is too late to boot a machine, so idle machines are kept. Deadlines leave time to boot: if
-        any class has a deadline, a limit in seconds (`finished`) is only an outer bound and does not count. If it did,
-        no idle machine would ever be returned. This also applies if the limit is for another class than the deadline,
-        since such a class gets headroom of its own. Objectives on cost are not known to controllers, so cost is
-        optimised for in all other cases."""
+        """Whether to optimise for latency instead of cost: an objective (`guarantee` or `finished`) limits the seconds
+        from the submission of a job to its end. When such work arrives, it is too late to boot a machine, so idle
+        machines are kept. Deadlines leave time to boot: if any class has a deadline, `finished` is only an outer bound
+        and does not count, as otherwise no idle machine would ever be returned. It does not count either if it is for
+        another class than the deadline, since that class gets headroom of its own. Objectives on cost are not known to
+        controllers, so cost is optimised for in all other cases."""
         objectives = self.platform.objectives
         kinds = {objective.kind for objective in objectives}
         return "guarantee" in kinds or "finished" in kinds and "deadline" not in kinds
@@ -181,8 +181,11 @@
             stall_s=operator.stall_limit_s or constants.STALL_LIMIT_S,
             self_release_s=operator.self_release_s or constants.SELF_RELEASE_S,
             overdue_s=workers.heartbeat_interval_s * constants.OVERDUE_OF_HEARTBEAT + constants.OVERDUE_EXTRA_S,
-            # If `cancel_s` exceeds the lease by less than WATCH_CACHE_STALE_S, expiring leases alone can't ensure that
-            # cancelled tasks end in time. A leader with a fresh watch cache must still be able to renew leases.
+            # A cancellation that stays unknown here stops the renewal of worker leases after this time.
+            # They then expire within `cancel_s` of the cancellation, which ends its tasks. The max is needed since a
+            # leader with a fresh watch cache, which may be WATCH_CACHE_STALE_S old, must be able to renew leases. Where
+            # the max takes effect, as `cancel_s` is hardly longer than the lease, expiring leases alone can't ensure
+            # that cancelled tasks end in time.
             renew_s=max(
                 constants.WATCH_CACHE_STALE_S,
                 workers.cancel_s - workers.lease_s * (1 + 2 * constants.CLOCK_DRIFT) - constants.RENEW_MARGIN_S,
--- a/sorrelsill/timers.py
+++ b/sorrelsill/timers.py
@@ -2,8 +2,8 @@
 callers pass the current time.
 
 Each key has one timer. An event that postpones a key's due time leaves its timer as it is; when the timer expires, the
-owner computes the next due time and sets the timer again. So such an event costs nothing, and the cost of a check
-depends only on the number of expired timers."""
+owner computes the next due time and sets the timer again. So postponing costs nothing, and the cost of a check depends
+only on the number of expired timers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self._due_at: dict[_Key, float] = {}
         self._heap: list[tuple[float, int, _Key]] = []
-        self._sequence = 0  # timers set so far; of equal times the one set first expires first
+        self._sequence = 0  # timers set so far; of timers with equal times, the one set first expires first
 
     def set_if_earlier(self, key: _Key, at: float) -> None:
         """Sets the timer of the key to expire at `at`, unless it expires earlier anyway."""
@@ -37,7 +37,7 @@
         """Removes the timer that expired first, before `now`, and returns its key; None if no timer has expired."""
         while self._heap and self._heap[0][0] < now:
             at, _, key = heapq.heappop(self._heap)
-            if self._due_at.get(key) == at:  # otherwise an earlier timer of the key has replaced it
+            if self._due_at.get(key) == at:  # otherwise an earlier timer of the key replaced this one
                 del self._due_at[key]
                 return key
         return None
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -118,4 +118,4 @@
         """Add a note for its users on why tasks stopped or wait; only the newest notes are kept."""
         if not self.notes or self.notes[-1] != text:
             self.notes.append(text)
-            del self.notes[: -constants.REASONS_KEPT]
+            del self.notes[: -constants.NOTES_KEPT]
