--- a/sorrelsill/fleet/capacity_plan.py
+++ b/sorrelsill/fleet/capacity_plan.py
@@ -1,4 +1,5 @@
-"""The capacity plan: which instances to rent for the demand, by first-fit bin packing and then the cheapest offer.
+"""The capacity plan: which instances to rent for the demand. Tasks are packed first-fit onto the instances that are
+booting or planned; for those that do not fit, instances of the cheapest offer are added.
 
 When optimising for latency instead of cost, on-demand instances are preferred, since a task lost with a spot machine
 makes its whole job late. No I/O; callers pass the current time."""
--- a/sorrelsill/fleet/demand.py
+++ b/sorrelsill/fleet/demand.py
@@ -80,8 +80,8 @@
         )
 
     def _latency_headroom_demands(self) -> list[CapacityDemand]:
-        """Whole machines ahead of the work, when optimising for latency: in a burst of array jobs, a boot takes longer
-        than the tasks run. The plan packs this demand onto booting instances first."""
+        """Whole machines to keep free when optimising for latency, rented before there is work for them: in a burst of
+        array jobs, a boot takes longer than the tasks run. The plan packs this demand onto booting instances first."""
         machine_types = self._cluster.catalog.machine_types.values()
         if not machine_types:
             return []
@@ -155,22 +155,24 @@
         ]
 
     def _can_wait_for_spot(self, item: UnschedulableDemand, now: float) -> bool:
-        """Whether a task could still meet its deadline on an instance that is rented later."""
+        """Whether to wait for spot capacity: a task could still meet its deadline on an instance that is rented later.
+        False without a deadline."""
         spec = item.job.spec
         if spec.deadline_s is None:
             return False
         return can_wait_for_scale_out(spec, self._cluster.catalog, item.job.submitted + spec.deadline_s - now)
 
     def _missing_concurrent_tasks(self, item: UnschedulableDemand, now: float) -> int:
-        """How many more tasks must run concurrently to meet the deadline. More capacity would only add cost."""
+        """How many more tasks must run concurrently so that the job meets its deadline. Capacity for more would only
+        add cost."""
         job, spec = item.job, item.job.spec
         assert spec.deadline_s is not None
         boot_s, fetch_s = lead_time_s(spec, self._cluster.catalog)
         time_left_s = (job.submitted + spec.deadline_s - now) * constants.DEADLINE_SHARE - boot_s - fetch_s
         # Rounds of tasks that can run one after another before the deadline.
-        waves = max(1, int(time_left_s / max(1.0, spec.expected_run_s)))
+        rounds = max(1, int(time_left_s / max(1.0, spec.expected_run_s)))
         tasks = spec.task_count - job.done.count
-        return max(0, -(-tasks // waves) - len(job.bound))
+        return max(0, -(-tasks // rounds) - len(job.bound))
 
 
 def _headroom_demand(spec: JobSpec, count: int, zone: str) -> CapacityDemand:
--- a/sorrelsill/fleet/instances.py
+++ b/sorrelsill/fleet/instances.py
@@ -68,8 +68,8 @@
     booting: list[BootingInstance], boot_times: BootTimes, catalog: Catalog, now: float
 ) -> list[BootingInstance]:
     """The booting instances that the capacity plan may count on. Some of the late ones, those rented first, are left
-    out so that they get replaced. Not all of them, since when all are late, their replacements would be late as well
-    and cost as much."""
+    out so that the plan rents replacements. Not all late ones are, since when all are late, the replacements would be
+    late as well and cost as much."""
     late_after_s = {name: boot_times.late_after_s(name, catalog) for name in {each.machine_type for each in booting}}
     late = [each for each in booting if now - each.rented_at > late_after_s[each.machine_type]]
     late.sort(key=lambda each: each.rented_at)
--- a/sorrelsill/fleet/machine_list.py
+++ b/sorrelsill/fleet/machine_list.py
@@ -1,7 +1,8 @@
 """Reads the cloud's machine list page by page, between other calls to the cloud.
 
 The list of a large fleet takes many pages. Reading them without a pause would delay rentals and returns, since all
-calls share the cloud's rate limit. Reading a long list as often as a short one would use up the whole rate."""
+calls share the cloud's rate limit. The more pages the list has, the less often it is read: reading a long list as often
+as a short one would use up the whole rate."""
 
 from __future__ import annotations
 
--- a/sorrelsill/fleet/rebalancing.py
+++ b/sorrelsill/fleet/rebalancing.py
@@ -127,7 +127,8 @@
         tasks_by_zone[target] = tasks_by_zone.get(target, 0) + 1
 
     def _find_target(self, machine: Machine, spec: JobSpec, job: Job) -> _FreeResources | None:
-        """A machine that can take the task and holds its image, or None."""
+        """A machine that can take the task and holds its image, or None. A task of a job that must stay in one zone is
+        never moved."""
         if spec.one_zone:
             return None
         tasks_by_zone = self.zones.setdefault(spec.job_id, dict(job.zones))
--- a/sorrelsill/fleet/retained_headroom.py
+++ b/sorrelsill/fleet/retained_headroom.py
@@ -17,8 +17,8 @@
     def __init__(self, demand: FleetDemand, unschedulable: list[UnschedulableDemand]) -> None:
         self._demand = demand
         self._service_spec = demand.service_headroom_spec()
-        # A waiting gang needs several machines at once. Without this check, each machine rented for it would be
-        # returned as idle before the next one is up.
+        # A waiting gang needs several machines at once. Without this check, each machine rented for the gang would
+        # be returned as idle before the next one is up.
         self._waiting_gangs = [
             (item.job.spec, item.zone) for item in unschedulable if item.job.spec.is_gang and not item.quota_limited
         ]
@@ -29,7 +29,7 @@
 
     def permits_return(self, machine: Machine) -> bool:
         """Whether an idle machine may be returned. If so, its capacity is subtracted, so that later calls see what is
-        left."""
+        left. If only the headroom for a service forbids it, its capacity for gangs is subtracted all the same."""
         if any(
             zone in (None, machine.zone) and machine.meets_constraints_of(spec) for spec, zone in self._waiting_gangs
         ):
--- a/sorrelsill/fleet/scale_in.py
+++ b/sorrelsill/fleet/scale_in.py
@@ -83,7 +83,8 @@
         return now - max(machine.idle_since, self._state.cluster.term_began_at)
 
     def _idle_limit_s(self, machine: Machine) -> float:
-        """Seconds that a machine may stay idle before it is returned. Its first minute is charged in any case."""
+        """Seconds that a machine may stay idle before it is returned. For a type that is not in the catalog, the
+        minimum charge, which is paid in any case, stands in for the boot time."""
         if self._state.settings.optimise_latency:
             return constants.IDLE_RETURN_LATENCY_S
         machine_type = self._state.cluster.catalog.machine_types.get(machine.machine_type)
@@ -96,7 +97,7 @@
     async def send(self) -> None:
         """Send a return request for pending returns.
 
-        Nothing is bound to these machines: the check for bound tasks and marking them as returning happen without an
+        No task can be bound to these machines: they are checked for bound tasks and marked as returning without an
         await in between."""
         names = self._names_to_return()
         if not names:
@@ -117,7 +118,7 @@
         for name in list(state.pending_returns):
             machine = state.cluster.machines.get(name)
             if machine is not None and (machine.bound_count or machine.unknown_tasks):
-                # It resumed its heartbeats and runs tasks, so it is kept.
+                # The machine has resumed its heartbeats and runs tasks, so it is kept.
                 machine.returning = False
                 del state.pending_returns[name]
                 continue
@@ -138,8 +139,8 @@
 def _is_returnable(machine: Machine) -> bool:
     """Whether the machine runs no known or unknown task, and no task result on it is still to be recorded.
 
-    A spot machine that the cloud reclaims anyway is not returned, nor one that has not acknowledged this term's fencing
-    token."""
+    False for a spot machine that the cloud is going to reclaim anyway, and for a machine that has not acknowledged this
+    term's fencing token."""
     if (
         machine.bound_count
         or machine.unknown_tasks
--- a/sorrelsill/fleet/scale_out.py
+++ b/sorrelsill/fleet/scale_out.py
@@ -23,7 +23,7 @@
 
 _BAD_REQUEST = 400
 _NO_CAPACITY_TEXT = "no capacity"  # in the cloud's error text
-_UNKNOWN_OUTCOME_TRIES = 3 * constants.SCALE_OUT_TRIES  # tries; more, since the request may have been carried out
+_UNKNOWN_OUTCOME_TRIES = 3 * constants.SCALE_OUT_TRIES  # tries; limit while the request may have been carried out
 _RETRY_MAX_S = 5.0  # s; maximum pause between two tries of a request
 
 
@@ -124,7 +124,7 @@
             self._back_off(request.offer, now)
             self.open_requests.remove(request)
         elif (request.tries >= constants.SCALE_OUT_TRIES and not error.sent) or request.tries >= _UNKNOWN_OUTCOME_TRIES:
-            # If it was carried out after all, the machines appear through their heartbeats and in the machine list.
+            # If the request was carried out after all, heartbeats and the machine list show its machines.
             self.open_requests.remove(request)
         else:
             request.next_try_at = now + min(_RETRY_MAX_S, constants.RETRY_PAUSE_S * 2**request.tries)
