--- a/sorrelsill/leadership/leader_elector.py
+++ b/sorrelsill/leadership/leader_elector.py
@@ -93,8 +93,8 @@
         self.last_renewal_sent_at = _NEVER  # successful renewals only
         # This controller has promised its peers neither to acquire the key nor to act as leader before this time.
         self.promised_until = _NEVER
-        # It does not try to acquire the key before this time: because of a promise that its previous process may have
-        # given, of missing heartbeats from workers, or of a planned shutdown.
+        # This controller does not try to acquire the key before this time. Set at its start, as its previous process
+        # may have given a promise, after a term that ended without heartbeats from workers, and for a planned shutdown.
         self.no_campaign_before = _NEVER
         self.acquiring = False  # an attempt to acquire the key is in progress; no promise may be given meanwhile
         self._revoked_leases: set[int] = set()  # leases of earlier processes of this controller; each is revoked once
@@ -191,7 +191,7 @@
         if self.valid() and self._callbacks.receives_no_heartbeats():
             # Guards against a leader that reaches the store but not the workers: all worker leases would expire.
             # Only while the lease is valid: after a pause of this process the missing heartbeats prove nothing, and
-            # the next renewal shows whether it still leads.
+            # the next renewal shows whether this controller still leads.
             log_event(log, logging.ERROR, "no_worker_heard", term=self.term)
             self.no_campaign_before = trio.current_time() + constants.NO_HEARTBEAT_STANDBY_S
             await self._step_down_and_revoke(self._lease, "no worker is heard")
@@ -273,8 +273,8 @@
         """Revoke the lease of the leader key if an earlier process of this controller holds it. Returns True if so.
 
         After a quick restart the key may still be held by the previous process, which has certainly ended, or may
-        have been written by a delayed request of that process. Nobody renews that lease; revoking it avoids waiting for
-        its expiry."""
+        have been written by a delayed request of that process. Nobody renews the lease of that process; revoking it
+        avoids waiting for its expiry."""
         known = self._watch_cache.leader()
         key = LeaderKey.from_stored(known[0] if known is not None else None)
         if key.label != self._label or key.lease is None or key.lease in self._revoked_leases:
--- a/sorrelsill/membership/detector.py
+++ b/sorrelsill/membership/detector.py
@@ -41,7 +41,7 @@
 class Presence:
     """What the watch cache shows about a controller's presence lease."""
 
-    held: bool  # its presence key exists
+    held: bool  # the controller's presence key exists
     fresh: bool  # the watch cache is recent, so a missing key means that the lease has ended
 
 
@@ -93,7 +93,8 @@
         """Record an answer from a version that sends no heartbeats: it is alive, and only its lease is checked."""
         peer = self.view.peers[label]
         evidence = self._evidence[label]
-        # Otherwise, after a downgrade to that version, its silence would be counted from its last heartbeat.
+        # Guards against suspecting a peer that was downgraded to that version: its silence would otherwise be counted
+        # from the last heartbeat of the newer version.
         evidence.intervals.restart()
         evidence.relayed_by = None
         if peer.status is not Status.ALIVE:
--- a/sorrelsill/membership/handover.py
+++ b/sorrelsill/membership/handover.py
@@ -54,7 +54,8 @@
         self._pending: _PendingHandover | None = None
 
     def term_began(self, term: int, former: Peer | None, now: float) -> None:
-        """Record that this controller leads. `former` is the view of the previous leader, if it was another one."""
+        """Record that this controller leads. `former` is what is known about the previous leader; None if there was
+        none or it was this controller. Without a heartbeat from the previous leader, no handover is measured."""
         has_heartbeat = former is not None and former.last_heartbeat_at > float("-inf")
         self._pending = _PendingHandover(term, former, now) if former is not None and has_heartbeat else None
 
--- a/sorrelsill/membership/presence.py
+++ b/sorrelsill/membership/presence.py
@@ -67,9 +67,9 @@
             await self._write_key()
 
     def _key_overwritten(self) -> bool:
-        """Whether the key was replaced by a delayed write of an earlier process.
+        """Whether the key is missing or was replaced by a delayed write of an earlier process.
 
-        It would be deleted with the lease of that process."""
+        A key written by an earlier process would be deleted when the lease of that process ends."""
         known = self._watch_cache.keys.get(self._key)
         return self._watch_cache.rev >= self.process and (known is None or known[1] != self.process)
 
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -178,7 +178,8 @@
     def _process_heartbeat(self, message: PeerHeartbeat, through: str | None = None) -> bool:
         """Process a heartbeat that came directly or, by an indirect probe, `through` another controller.
 
-        If its sender suspects this controller, the next heartbeat refutes that. False if the heartbeat is not new."""
+        If the sender suspects this controller, the next heartbeat that this controller sends refutes the suspicion.
+        Returns False if the processed heartbeat is not new."""
         suspected = message.suspects.get(self._label)
         if suspected is not None and suspected >= Incarnation(self._presence.process, self._refutations):
             self._refutations += 1
@@ -193,7 +194,7 @@
         return is_new
 
     async def _exchange_heartbeats(self, label: str) -> PeerHeartbeat | None:
-        """Send a heartbeat and process the one in the answer. Returns that one, or None without a valid answer."""
+        """Send a heartbeat and process the heartbeat in the answer. Returns the latter; None without a valid answer."""
         try:
             status, body = await self._clients[label].request(
                 "POST", _HEARTBEAT_PATH, encode(self._own_heartbeat()), self._settings.probe_timeout_s
--- a/sorrelsill/membership/settings.py
+++ b/sorrelsill/membership/settings.py
@@ -21,8 +21,8 @@
 
 _MIN_TIMING_S = 0.05  # s; a shorter timing would only cost more messages
 _MAX_TIMING_S = 600.0  # s; the longest lease that the key-value store grants
-_MIN_HEARTBEATS_BEFORE_SUSPICION = 2.0  # heartbeats; they may be late or lost without a suspicion
-_MIN_HEARTBEATS_PER_PRESENCE_LEASE = 3.0  # heartbeats; the presence lease must cover so many intervals
+_MIN_HEARTBEATS_BEFORE_SUSPICION = 2.0  # heartbeats; suspect_min_s covers so many, as they may be late or lost
+_MIN_HEARTBEATS_PER_PRESENCE_LEASE = 3.0  # heartbeats; presence_lease_s must cover so many intervals
 
 
 def validate(settings: MembershipSettings, path: str) -> MembershipSettings:
--- a/sorrelsill/membership/view.py
+++ b/sorrelsill/membership/view.py
@@ -30,8 +30,8 @@
     status: Status = Status.UNKNOWN
     since: float = float("-inf")  # start of this status
     incarnation: Incarnation = Incarnation()
-    sequence: int = -1  # of the last heartbeat from this process
-    last_heartbeat_at: float = float("-inf")  # time of its arrival
+    sequence: int = -1  # of the last heartbeat from the process that `incarnation` names
+    last_heartbeat_at: float = float("-inf")  # when the last heartbeat arrived
     suspected_at: float | None = None  # start of the suspicion, if it is suspected or confirmed
     evidence: str = "nothing was heard of it yet"
 
--- a/sorrelsill/peers/degraded_mode.py
+++ b/sorrelsill/peers/degraded_mode.py
@@ -11,8 +11,8 @@
 Leases are renewed only while all cancellations up to a recent time are certain to be known (`jobs/cancellations.py`),
 so controllers exchange the cancellations they know with each promise.
 
-A process may have given a promise before it crashed, so after a restart it waits for the duration of one promise before
-it acquires the key."""
+A process may have given a promise before it crashed, so the process that replaces it waits for the duration of one
+promise before it acquires the key."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
         )
 
     def any_peer_store_failing(self) -> bool:
-        """Whether a peer has recently answered that it cannot reach the store either, so that the fault is not local to
+        """Whether a peer has recently answered that it cannot reach the store either. If so, the fault is not local to
         this controller."""
         now = trio.current_time()
         return any(now - at < 3 * constants.PROMISE_EVERY_S for at in self._reported_failing_at.values())
@@ -97,7 +97,8 @@
         return PromiseAnswer(promised, failing, known).to_body()
 
     async def has_other_candidates(self, former: str) -> bool:
-        """Whether a controller of this version other than the `former` leader answers now."""
+        """Whether a controller of this version other than the `former` leader answers now. The previous version does
+        not count; its answers lack the field `known`."""
         found = False
 
         async def ask(client: Client) -> None:
@@ -114,8 +115,7 @@
         return found
 
     async def _send_request(self, client: Client, promise: bool, timeout_s: float) -> PromiseAnswer | None:
-        """Ask a peer for a promise, or only for the cancellations it knows. Returns None if
-        there is no valid answer."""
+        """Ask a peer for a promise, or only for the cancellations it knows. Returns None without a valid answer."""
         request = PromiseRequest(promise, self._cancellations.peer_request(trio.current_time()))
         try:
             status, body = await client.request("POST", "/promise", request.to_body(), timeout_s)
@@ -149,5 +149,6 @@
         if answer.failing:
             self._reported_failing_at[peer] = trio.current_time()
         if answer.promised:
-            # Counted from the sending of the request and reduced by a margin: it ends here before it ends at the peer.
+            # Counted from when the request was sent, less a margin: this controller must stop relying on the promise
+            # before the promise ends at the peer.
             self._promise_valid_until[peer] = sent_at + constants.PROMISE_S - constants.PROMISE_MARGIN_S
--- a/sorrelsill/peers/messages.py
+++ b/sorrelsill/peers/messages.py
@@ -1,6 +1,7 @@
 """The JSON messages of `/promise` between controllers. Each field is decoded separately.
 
-The previous version sends neither `back` nor `known`. A missing or invalid field is never taken as evidence."""
+The previous version sends neither `back` nor `known`. A missing field counts neither as a promise nor as a failure to
+reach the store nor as knowledge of cancellations."""
 
 from __future__ import annotations
 
