--- a/sorrelsill/model/job_spec.py
+++ b/sorrelsill/model/job_spec.py
@@ -61,8 +61,9 @@
         return self.kind is JobKind.GANG
 
     def zone_allows_another_task(self, zone: str, placed: dict[str, int]) -> bool:
-        """Whether one more task may be placed in the zone; `placed` is the number of tasks per zone. Evaluates
-        `one_zone` and `spread_zones` for single tasks, which no other function does."""
+        """Whether one more task may be placed in the zone; `placed` is the number of tasks per zone. Scheduling and
+        preemption check `one_zone` and `spread_zones` of single tasks only here; gangs and rebalancing have checks of
+        their own."""
         if self.one_zone and any(count > 0 and other != zone for other, count in placed.items()):
             return False
         return not self.spread_zones or placed.get(zone, 0) < self.zone_limit
--- a/sorrelsill/model/registry_entry.py
+++ b/sorrelsill/model/registry_entry.py
@@ -8,8 +8,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryEntry:
-    """The registry entry of a machine that may run tasks. Fields that are missing in a damaged entry, or in one of
-    the previous version, have their defaults, which then mean that the value is unknown."""
+    """The registry entry of a machine that may run tasks. Fields that are missing in a damaged entry, or in an
+    entry of the previous version, have their defaults; such a default means that the value is unknown."""
 
     machine_type: str = ""
     addr: str = ""
@@ -17,7 +17,7 @@
     spot: bool = False
 
     def to_stored(self) -> dict[str, Any]:
-        """Encodes it with the field names of the stored form."""
+        """Encodes the entry with the field names of the stored form."""
         return {"f": self.machine_type, "a": self.addr, "z": self.zone, "s": self.spot}
 
     @classmethod
