--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -151,7 +151,9 @@
             simulation.kill(label)
         await trio.sleep(0.2)
         simulation.start_all()
-        await simulation.until(lambda: all(node.watch_cache.loaded for node in simulation.controllers.values()), 3)
+        await simulation.until(
+            lambda: all(controller.watch_cache.loaded for controller in simulation.controllers.values()), 3
+        )
         assert simulation.leader() is None and len(simulation.running("run-c")) == 2
         simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
@@ -227,12 +229,12 @@
         simulation.store.begin_outage()
         await trio.sleep(8)
         # The store serves it again, but its watch requests still hang.
-        node = simulation.controllers[old_leader]
+        controller = simulation.controllers[old_leader]
         simulation.net.hold_request = lambda src, dst, request: src == old_leader and request.path == "/follow"
         simulation.store.refused.clear()
         simulation.store.end_outage()
-        await simulation.until(node.elector.valid, 10)
-        assert node.elector.term == term
+        await simulation.until(controller.elector.valid, 10)
+        assert controller.elector.term == term
         await trio.sleep(2 * CANCEL_S)
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 60)
--- a/tests/scenarios/test_controller_restarts.py
+++ b/tests/scenarios/test_controller_restarts.py
@@ -19,9 +19,9 @@
 
     while len(steps) < 6:
         assert trio.current_time() - began < 90, steps
-        up = [node for label, node in simulation.controllers.items() if label not in simulation.net.down]
+        up = [controller for label, controller in simulation.controllers.items() if label not in simulation.net.down]
         record("process up", bool(up))
-        record("view loaded", any(node.watch_cache.loaded for node in up))
+        record("view loaded", any(controller.watch_cache.loaded for controller in up))
         label = simulation.leader()
         record("leading", label is not None)
         cluster = simulation.controllers[label].cluster if label is not None else None
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -236,12 +236,12 @@
         await simulation.submit(checkpointing_gang("run-g", snapshotCostS=4.0, expectedRunS=60.0))
         machines = await until_all_running(simulation, "run-g")
         leader = await simulation.until_leader()
-        node = simulation.controllers[leader]
-        assert node.cluster is not None
+        controller = simulation.controllers[leader]
+        assert controller.cluster is not None
         unreached_machine = machines[-1]
         simulation.net.hold_request = lambda src, dst, request: dst == unreached_machine and src == leader
-        attempt = next(iter(node.cluster.gangs["run-g"].bound.values()))
-        node.cluster.stop(attempt, "for the story")
+        attempt = next(iter(controller.cluster.gangs["run-g"].bound.values()))
+        controller.cluster.stop(attempt, "for the story")
         await trio.sleep(1.2)
         simulation.kill(leader)
         simulation.net.hold_request = lambda src, dst, request: False
--- a/tests/scenarios/test_handover.py
+++ b/tests/scenarios/test_handover.py
@@ -122,11 +122,11 @@
         for label in LABELS:
             await simulation.stop(label)
             simulation.start(label)
-            await simulation.until(lambda node=simulation.controllers[label]: node.ready(), 15)  # type: ignore[misc]
+            await simulation.until(lambda controller=simulation.controllers[label]: controller.ready(), 15)  # type: ignore[misc]
             await simulation.until_leader()
             await trio.sleep(5)
         assert len(simulation.starts) == starts, "no task was restarted"
-        assert not any(node.counts.get("membership_confirmed") for node in simulation.controllers.values())
+        assert not any(controller.counts.get("membership_confirmed") for controller in simulation.controllers.values())
         await simulation.wait_for_convergence()
 
     run_scenario(scenario, membership=SETTINGS)
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -42,7 +42,7 @@
         await simulation.until_phase("run-n", "done")
         simulation.net.heal()  # all held messages arrive now: lease renewals, records and commands of the old term
         await trio.sleep(20)
-        leading = [n for n, node in simulation.controllers.items() if node.elector.valid()]
+        leading = [n for n, controller in simulation.controllers.items() if controller.elector.valid()]
         assert len(leading) == 1
         assert len(simulation.running("run-s")) == 4
 
@@ -58,8 +58,8 @@
         await simulation.submit(job("run-a", shards=20, expectedRunS=8.0))
         await simulation.until(lambda: len(simulation.running("run-a")) > 3)
         old_leader = await simulation.until_leader()
-        node = simulation.controllers[old_leader]
-        node.watch_cache.listeners.remove(node.elector.on_key_changed)  # the old leader does not notice
+        controller = simulation.controllers[old_leader]
+        controller.watch_cache.listeners.remove(controller.elector.on_key_changed)  # the old leader does not notice
         lease = next(iter(simulation.store.leases))
         simulation.store._end_lease(lease)
         await simulation.until(
@@ -136,9 +136,9 @@
         await simulation.until_phase("run-0", "done")
         await simulation.until_leader()
         until = trio.current_time() + 4
-        for node in simulation.controllers.values():
-            node.elector.promised_until = until
-            node.degraded_mode.on_renewal_promise(until)
+        for controller in simulation.controllers.values():
+            controller.elector.promised_until = until
+            controller.degraded_mode.on_renewal_promise(until)
         await simulation.submit(job("run-1"))
         await simulation.until_phase("run-1", "done")
         assert all(at >= until for at, task_id, _ in simulation.starts if task_id.startswith("run-1/"))
@@ -169,16 +169,16 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         label = await simulation.until_leader()
-        node = simulation.controllers[label]
-        term = node.elector.term
+        controller = simulation.controllers[label]
+        term = controller.elector.term
         await trio.sleep(5)
         # The state after a pause of the process: no heartbeat was processed and no lease renewal sent meanwhile.
-        cluster = node.cluster
+        cluster = controller.cluster
         assert cluster is not None
         now = trio.current_time()
-        cluster.last_heartbeat_at, node.elector.last_renewal_sent_at = now - 3.5, now - 3.5
+        cluster.last_heartbeat_at, controller.elector.last_renewal_sent_at = now - 3.5, now - 3.5
         await trio.sleep(3)
-        assert node.elector.term == term and node.elector.valid()
+        assert controller.elector.term == term and controller.elector.valid()
 
     run_scenario(scenario)
 
@@ -214,14 +214,14 @@
 def test_leader_with_stalled_loop_steps_down() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await simulation.until_leader()
-        node = simulation.controllers[old_leader]
-        node.scheduler.run_cycle = None  # type: ignore[assignment, method-assign]
+        controller = simulation.controllers[old_leader]
+        controller.scheduler.run_cycle = None  # type: ignore[assignment, method-assign]
 
         async def stalled_loop() -> None:
             await trio.sleep_forever()
 
-        node._record = stalled_loop  # type: ignore[method-assign]
-        node.watchdog.record_exit("record")
+        controller._record = stalled_loop  # type: ignore[method-assign]
+        controller.watchdog.record_exit("record")
         await simulation.until(lambda: simulation.leader() not in (None, old_leader), 10)
         await trio.sleep(20)
         assert simulation.leader() != old_leader
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -267,21 +267,21 @@
 def test_malformed_foreign_and_stale_messages_change_nothing() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
-        node = simulation.controllers["n0"]
-        membership = node.membership
+        controller = simulation.controllers["n0"]
+        membership = controller.membership
         assert membership is not None
         for path in ("/membership/heartbeat", "/membership/probe"):
             for body in BAD_BODIES:
-                reply = await node.handle_peer(Request("POST", path, "", body))
+                reply = await controller.handle_peer(Request("POST", path, "", body))
                 assert reply.status == 400, (path, body)
         assert event_counts(simulation, "n0")["membership_refused"] == 2 * len(BAD_BODIES)
-        assert (await node.handle_peer(Request("GET", "/membership/heartbeat", "", b""))).status == 405
-        assert (await node.handle_peer(Request("POST", "/membership/other", "", b""))).status == 404
+        assert (await controller.handle_peer(Request("GET", "/membership/heartbeat", "", b""))).status == 405
+        assert (await controller.handle_peer(Request("POST", "/membership/other", "", b""))).status == 404
         known = membership.view.peers["n1"]
         older_heartbeat = PeerHeartbeat(
             "n0,n1,n2", "n1", Incarnation(known.incarnation.process - 1, 5), known.sequence + 99
         )
-        reply = await node.handle_peer(Request("POST", "/membership/heartbeat", "", encode(older_heartbeat)))
+        reply = await controller.handle_peer(Request("POST", "/membership/heartbeat", "", encode(older_heartbeat)))
         assert reply.status == 200 and membership.view.peers["n1"].incarnation == known.incarnation
 
     run_scenario(scenario, membership=SETTINGS)
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -122,16 +122,16 @@
         recorded: set[int] = set()
         for _ in range(4):
             label = await simulation.until_leader()
-            node = simulation.controllers[label]
-            assert node.cluster is not None
-            big_job = node.cluster.jobs["run-big"]
+            controller = simulation.controllers[label]
+            assert controller.cluster is not None
+            big_job = controller.cluster.jobs["run-big"]
             loaded = {i for i in range(shards) if i in big_job.done}
             assert recorded <= loaded, "no finished task is lost"
             newly_finished = [i for i in range(shards) if i not in loaded and rng.random() < 0.03]
             for index in newly_finished:
                 big_job.done.add(index)
                 big_job.unrecorded_small_chunks.add(index // constants.SMALL_CHUNK_TASKS)
-            node.cluster.pending_writes.records.add("run-big")
+            controller.cluster.pending_writes.records.add("run-big")
             await trio.sleep(rng.choice((0.3, 0.5, 8.0)))
             chunks = [
                 (k, v) for k, (v, _, _) in simulation.store.kv.items() if k.startswith(("s/d/run-big", "s/e/run-big"))
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -171,8 +171,8 @@
         await simulation.submit(job("run-red", shards=9, expectedRunS=30.0))
         await simulation.until(lambda: len(simulation.running("run-red")) == 8)
         await trio.sleep(2)
-        node = simulation.controllers[await simulation.until_leader()]
-        assert msgspec.to_builtins(node.state())["teams"]["red"] == {
+        controller = simulation.controllers[await simulation.until_leader()]
+        assert msgspec.to_builtins(controller.state())["teams"]["red"] == {
             "bound_cpus": 16.0,
             "bound_gpus": 0.0,
             "unaccounted_cpus": 0.0,
@@ -182,7 +182,7 @@
             "highest_bound_cpus": 16.0,
             "highest_bound_gpus": 0.0,
         }
-        assert (node.state().starts_refused or 0) > 0
+        assert (controller.state().starts_refused or 0) > 0
         metrics = await simulation.ask_raw(await simulation.until_leader(), "/metrics")
         assert b'sorrelsill_team{amount="bound_cpus",team="red"} 16.0' in metrics
 
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -197,8 +197,8 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         shards = 9000
         await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
-        node = simulation.controllers[await simulation.until_leader()]
-        assert node.cluster is not None
+        controller = simulation.controllers[await simulation.until_leader()]
+        assert controller.cluster is not None
         simulation.store.rev += 1
         simulation.store.kv["s/d/run-big/0"] = ("0-99", simulation.store.rev, None)
         simulation.store.log.append((simulation.store.rev, "s/d/run-big/0", "0-99", True))
@@ -211,11 +211,11 @@
             simulation.kill(label)
             await trio.sleep(0.3)
             simulation.start(label)
-            node = simulation.controllers[await simulation.until_leader()]
-            assert node.cluster is not None
-            done = node.cluster.jobs["run-big"].done
+            controller = simulation.controllers[await simulation.until_leader()]
+            assert controller.cluster is not None
+            done = controller.cluster.jobs["run-big"].done
             assert done.count == 200 and 0 in done and 299 in done
-            node.cluster.pending_writes.records.add("run-big")
+            controller.cluster.pending_writes.records.add("run-big")
             await trio.sleep(9)
         assert simulation.store.kv["s/j/run-big"][0]["d"] == "", "the record is short again"
 
