--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -154,7 +154,7 @@
 
 
 def test_registry_of_all_machines_fits_smallest_value_limit() -> None:
-    """The registry's parts also hold former machines until these are known to run no tasks."""
+    """The registry's parts also hold removed machines until these are known to run no tasks."""
 
     parts: dict[str, dict[str, object]] = {}
     for number in range(2 * MACHINES):
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 DOCUMENTS = sorted([*ROOT.glob("*.md"), *(ROOT / "docs").rglob("*.md")])
-# Documents that lead readers to the code, where every named file has to be there. Histories may name former files.
+# Documents that lead readers to the code, where every named file has to be there. Histories may name removed files.
 GUIDES = [ROOT / name for name in ("README.md", "CONTRIBUTING.md", "docs/architecture.md")]
 
 _INLINE_CODE = re.compile(r"`[^`\n]*`")
