--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -27,9 +27,9 @@
     return [label for label in LABELS if label != leader]
 
 
-def drop_watch_answers(simulation: SimulatedCluster) -> None:
-    """From now on watch answers are lost, so commits reach no other controller's watch cache."""
-    simulation.net.drop_answers = lambda src, dst, request: dst == "store" and request.path == "/follow"
+def drop_watch_responses(simulation: SimulatedCluster) -> None:
+    """From now on watch responses are lost, so commits reach no other controller's watch cache."""
+    simulation.net.drop_response = lambda src, dst, request: dst == "store" and request.path == "/follow"
 
 
 def workers_reach_only(simulation: SimulatedCluster, label: str) -> None:
@@ -47,7 +47,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         await trio.sleep(0.5)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         await trio.sleep(1)
@@ -56,7 +56,7 @@
         assert simulation.running("run-c") == []
         assert len(simulation.running("run-s")) == 2, "services that were not cancelled run through the whole outage"
         simulation.store.end_outage()
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await simulation.until_leader()
         await trio.sleep(5)
         assert len(simulation.running("run-s")) == 2 and (await simulation.poll("run-c"))[1]["phase"] == "cancelled"
@@ -68,8 +68,8 @@
 def test_cancelled_task_stops_when_outage_follows_at_once(pause_s: float) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
-        drop_watch_answers(simulation)
+        simulation.store.unavailable_to.add(old_leader)
+        drop_watch_responses(simulation)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         await trio.sleep(pause_s)
         simulation.store.begin_outage()
@@ -90,9 +90,9 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
         await trio.sleep(CANCEL_S + 5)  # all watch caches have followed longer than a cancelled task may run
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         other, third = other_controllers(old_leader)
-        drop_watch_answers(simulation)
+        drop_watch_responses(simulation)
         await cancel_at(simulation, other, "run-c")
         simulation.store.begin_outage()
         simulation.kill(other)
@@ -107,10 +107,10 @@
         assert len(simulation.running("run-s")) == 2, "leases are renewed as long as it is safe"
         await trio.sleep_until(confirmed_at + 2 * CANCEL_S)
         assert simulation.running("run-c") == []
-        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.drop_response = lambda src, dst, request: False
         simulation.net.refused.clear()
         simulation.store.end_outage()
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 60)
 
     run_scenario(scenario)
@@ -122,18 +122,18 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
-        drop_watch_answers(simulation)
+        simulation.store.unavailable_to.add(old_leader)
+        drop_watch_responses(simulation)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
-        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.drop_response = lambda src, dst, request: False
         simulation.kill_all()
         await trio.sleep(4)
         simulation.start_all()
         await trio.sleep(2 * CANCEL_S)
         assert simulation.running("run-c") == []
         simulation.store.end_outage()
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 40)
 
     run_scenario(scenario)
@@ -177,17 +177,17 @@
         assert await simulation.until_leader() == leader
         # The previous version keeps renewing leases, so the workers may reach only the refused leader.
         workers_reach_only(simulation, leader)
-        simulation.store.refused.add(leader)
-        drop_watch_answers(simulation)
+        simulation.store.unavailable_to.add(leader)
+        drop_watch_responses(simulation)
         await trio.sleep(0.3)
         await cancel_at(simulation, first if old_version_confirms else second, "run-c")
         simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
         assert simulation.running("run-c") == []
         simulation.net.refused.clear()
-        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.drop_response = lambda src, dst, request: False
         simulation.store.end_outage()
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 60)
 
     run_scenario(scenario)
@@ -196,17 +196,17 @@
 def test_cancellation_with_lost_commit_answer_is_confirmed_by_later_read() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         first, second = other_controllers(old_leader)
         lost: list[str] = []
 
-        def drop_commit_answer(src: str, dst: str, request: Request) -> bool:
+        def drop_commit_response(src: str, dst: str, request: Request) -> bool:
             matches = src == first and dst == "store" and request.path == "/multi" and b"cancelled" in request.body
             if matches:
                 lost.append(src)
             return matches
 
-        simulation.net.drop_answers = drop_commit_answer
+        simulation.net.drop_response = drop_commit_response
         assert (await simulation.ask(first, "POST", "/v2/runs/run-c/cancel"))[0] == 503
         assert lost
         assert (await simulation.poll("run-c", second))[1]["phase"] == "cancelled"
@@ -224,14 +224,14 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
         term = simulation.controllers[old_leader].elector.term
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
         await trio.sleep(8)
         # The store serves it again, but its watch requests still hang.
         controller = simulation.controllers[old_leader]
         simulation.net.hold_request = lambda src, dst, request: src == old_leader and request.path == "/follow"
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         simulation.store.end_outage()
         await simulation.until(controller.elector.valid, 10)
         assert controller.elector.term == term
@@ -250,7 +250,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         job_ids = [f"run-c{i}" for i in range(5)]
         old_leader = await start_services(simulation, *job_ids)
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         await trio.sleep(0.2)
         for job_id in job_ids:
             await cancel_at(simulation, other_controllers(old_leader)[0], job_id)
@@ -264,7 +264,7 @@
 def test_cancelled_task_stops_on_machine_that_hangs_with_stop_command_in_flight() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
         for _, name in simulation.running("run-c"):
@@ -283,7 +283,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         for label in other_controllers(old_leader):
             answer = simulation.controllers[label].cancellations.answer_peer
             malformed = [{"cancelled": None}, {"cancelled": [7], "back": 1e9}, {"cancelled": [], "back": "x"}, [], None]
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -23,7 +23,7 @@
     return gang_job(name, **{"snapshotEveryS": 8.0, "snapshotCostS": 2.0, "expectedRunS": 40.0, **fields})
 
 
-async def until_all_running(simulation: SimulatedCluster, job_id: str, limit: float = 60.0) -> list[str]:
+async def until_all_running(simulation: SimulatedCluster, job_id: str, timeout_s: float = 60.0) -> list[str]:
     """Waits until the workers run all tasks of the job. Returns the machines of the tasks."""
     shards: int = simulation.specs[job_id]["shards"]
 
@@ -31,7 +31,7 @@
         tasks = [t for w in simulation.workers.values() for (s, _), t in w.tasks.items() if s.startswith(job_id + "/")]
         return sum(1 for t in tasks if t["phase"] == "running") == shards
 
-    await simulation.until(all_running, limit)
+    await simulation.until(all_running, timeout_s)
     return sorted({machine for _, machine in simulation.running(job_id)})
 
 
@@ -263,10 +263,10 @@
         await simulation.until(lambda: len(simulation.gangs.starts) == 2, 60)
         machines = await until_all_running(simulation, "run-g")
         unreachable = machines[0]
-        simulation.net.drop_answers = lambda src, dst, request: src == unreachable and request.path == "/hello"
+        simulation.net.drop_response = lambda src, dst, request: src == unreachable and request.path == "/hello"
         simulation.net.hold_request = lambda src, dst, request: dst == unreachable
         await trio.sleep(25)
-        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.drop_response = lambda src, dst, request: False
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until_phase("run-g", "done", 200)
 
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -92,12 +92,12 @@
             return slow in (src.partition(":")[0], dst.partition(":")[0]) and dst.endswith(":peer")
 
         simulation.net.latency *= latency_factor
-        simulation.net.drop_answers = lambda src, dst, request: (
+        simulation.net.drop_response = lambda src, dst, request: (
             to_or_from_slow(src, dst) and simulation.rng.random() < 0.5
         )
         await trio.sleep(60)
         assert never_confirmed(simulation) and simulation.leader() == leader
-        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.drop_response = lambda src, dst, request: False
         await until_all_alive(simulation)
 
     run_scenario(scenario, membership=SETTINGS)
@@ -162,14 +162,14 @@
         if refused == "all":
             simulation.store.begin_outage()
         else:
-            simulation.store.refused.add("n0")
+            simulation.store.unavailable_to.add("n0")
         await trio.sleep(1.0)
         simulation.kill("n2")
         await trio.sleep(2 * LONGEST_DETECTION_S)
         assert status_of(simulation, "n0", "n2") is Status.SUSPECTED
         assert not event_counts(simulation, "n0").get("membership_confirmed")
         simulation.store.end_outage()
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await simulation.until(lambda: status_of(simulation, "n0", "n2") is Status.CONFIRMED, LONGEST_DETECTION_S)
 
     run_scenario(scenario, membership=SETTINGS)
--- a/tests/scenarios/test_process_pause.py
+++ b/tests/scenarios/test_process_pause.py
@@ -97,10 +97,10 @@
             False,
             1.9,
         )
-        simulation.store.refused.add(leader)
+        simulation.store.unavailable_to.add(leader)
         await simulation.until(lambda: bool(paused_at), 10)
         await simulation.until(lambda: not simulation.frozen(leader), 5)
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await simulation.until_phase("run-a", "done", 200)
 
     run_scenario(scenario)
--- a/tests/scenarios/test_store_failures.py
+++ b/tests/scenarios/test_store_failures.py
@@ -19,7 +19,7 @@
                 dropped.append(src)
             return matches
 
-        simulation.net.drop_answers = drop
+        simulation.net.drop_response = drop
         assert await simulation.submit(job("run-1")) in (200, 201)
         await simulation.until_phase("run-1", "done")
         assert dropped and len([start for start in simulation.starts if start[1].startswith("run-1/")]) == 2
@@ -39,7 +39,7 @@
                 dropped.append(src)
             return matches
 
-        simulation.net.drop_answers = drop
+        simulation.net.drop_response = drop
         assert (await simulation.cancel("run-s"))["phase"] == "cancelled"
         assert dropped
         await simulation.until(lambda: not simulation.running("run-s"), 5)
@@ -158,7 +158,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         old_leader = await simulation.until_leader()
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         await simulation.until(lambda: simulation.leader() not in (None, old_leader), 15)
         await trio.sleep(5)
         assert (await simulation.ask(old_leader, "GET", "/ready"))[0] == 503
@@ -166,7 +166,7 @@
         await simulation.submit(job("run-n"))
         await simulation.until_phase("run-n", "done")
         assert len(simulation.running("run-s")) == 4
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await trio.sleep(3)
         assert (await simulation.ask(old_leader, "GET", "/ready"))[0] == 200
 
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -38,7 +38,7 @@
         self._cuts: set[tuple[str, str]] = set()
         self._held: list[_PendingRequest] = []
         # Whether the response to a request is lost.
-        self.drop_answers: Callable[[str, str, Request], bool] = lambda src, dst, request: False
+        self.drop_response: Callable[[str, str, Request], bool] = lambda src, dst, request: False
         # Whether a request is held back until the next release().
         self.hold_request: Callable[[str, str, Request], bool] = lambda src, dst, request: False
         # Seconds after which a request is delivered without a response to its sender; None for normal delivery.
@@ -82,7 +82,7 @@
             item.reply_channel.close()
             return
         reply = await handler(item.src, item.request)
-        if self.drop_answers(item.src, item.dst, item.request) or self.is_cut(item.dst, item.src):
+        if self.drop_response(item.src, item.dst, item.request) or self.is_cut(item.dst, item.src):
             return
         with contextlib.suppress(trio.BrokenResourceError, trio.WouldBlock):
             item.reply_channel.send_nowait(reply)
--- a/tests/simulation/simulated_cluster.py
+++ b/tests/simulation/simulated_cluster.py
@@ -181,8 +181,8 @@
         ]
         return leading[0] if leading else None
 
-    async def until_leader(self, limit: float = 30.0) -> str:
-        await self.until(lambda: self.leader() is not None, limit)
+    async def until_leader(self, timeout_s: float = 30.0) -> str:
+        await self.until(lambda: self.leader() is not None, timeout_s)
         label = self.leader()
         assert label is not None
         return label
@@ -274,12 +274,12 @@
         was accepted and not cancelled runs or completes. The fleet must have room for all of them."""
         self.net.late_delivery_s = lambda src, dst, request: None
         self.net.copy_request = lambda src, dst, request: None
-        self.net.drop_answers = lambda src, dst, request: False
+        self.net.drop_response = lambda src, dst, request: False
         self.net.hold_request = lambda src, dst, request: False
         self.net.refused.clear()
         self.net.heal()
         self.store.end_outage()
-        self.store.refused.clear()
+        self.store.unavailable_to.clear()
         for worker in self.workers.values():
             worker.hung = False
         for label in LABELS:
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -23,7 +23,7 @@
         self.leases: dict[int, tuple[float, float]] = {}  # id -> TTL, expiry time
         self._next_lease = 1
         self.outage = False
-        self.refused: set[str] = set()  # controllers for which the store is unavailable, so that they alone receive 503
+        self.unavailable_to: set[str] = set()  # controllers for which, alone, the store is unavailable
         self.txn_ops, self.value_kb = txn_ops, value_kb
         self.write_rps = float("inf")
         self._tokens, self._refilled_at = 0.0, 0.0  # token bucket of the write rate
@@ -102,7 +102,7 @@
         query = {k: v[0] for k, v in parse_qs(request.query).items()}
         if path == "/follow":
             return await self._watch(src, query)
-        if self.outage or src in self.refused:
+        if self.outage or src in self.unavailable_to:
             return Reply(503, _encode({"error": "unavailable"}))
         self.expire()
         body = _decode(request.body) if request.body else {}
@@ -171,11 +171,11 @@
     async def _watch(self, src: str, query: dict[str, str]) -> Reply:
         since, prefix = int(query["from"]), query["starts"]
         end = trio.current_time() + int(query.get("holdMs", 0)) / 1000
-        if (self.outage or src in self.refused) and int(query.get("holdMs", 0)) == 0:
+        if (self.outage or src in self.unavailable_to) and int(query.get("holdMs", 0)) == 0:
             return Reply(503)
         while True:
             changed = self._changed
-            unavailable = self.outage or src in self.refused
+            unavailable = self.outage or src in self.unavailable_to
             news = [e for e in self.log if e[0] > since and e[1].startswith(prefix)]
             if not unavailable and (news or trio.current_time() >= end):
                 out = [
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -67,8 +67,8 @@
         """Return the raw body of an operators' page."""
         return (await self.net.send("user", label, Request("GET", path, "", b""), 5.0)).body
 
-    async def _retry(self, method: str, path: str, body: Any, limit: float) -> tuple[int, Any]:
-        end = trio.current_time() + limit
+    async def _retry(self, method: str, path: str, body: Any, timeout_s: float) -> tuple[int, Any]:
+        end = trio.current_time() + timeout_s
         attempt = 0
         while True:
             status, answer = await self.ask(LABELS[attempt % 3], method, path, body)
@@ -77,36 +77,36 @@
             attempt += 1
             await trio.sleep(1.0)
 
-    async def submit(self, spec: dict[str, Any], limit: float = 60.0) -> int:
+    async def submit(self, spec: dict[str, Any], timeout_s: float = 60.0) -> int:
         self.specs[spec["uid"]] = spec
-        return (await self._retry("POST", "/v2/runs", spec, limit))[0]
+        return (await self._retry("POST", "/v2/runs", spec, timeout_s))[0]
 
     async def run_service(self, job_id: str, shards: int, **fields: Any) -> None:
         """Submit a service, and wait until all of its tasks run."""
         await self.submit(service(job_id, shards=shards, **fields))
         await self.until(lambda: len(self.running(job_id)) == shards)
 
-    async def cancel(self, job_id: str, limit: float = 60.0) -> Any:
-        return (await self._retry("POST", f"/v2/runs/{job_id}/cancel", None, limit))[1]
+    async def cancel(self, job_id: str, timeout_s: float = 60.0) -> Any:
+        return (await self._retry("POST", f"/v2/runs/{job_id}/cancel", None, timeout_s))[1]
 
     async def poll(self, job_id: str, label: str | None = None) -> tuple[int, Any]:
         if label is not None:
             return await self.ask(label, "GET", f"/v2/runs/{job_id}")
         return await self._retry("GET", f"/v2/runs/{job_id}", None, 60.0)
 
-    async def until_phase(self, job_id: str, phase: str, limit: float = 120.0) -> None:
-        end = trio.current_time() + limit
+    async def until_phase(self, job_id: str, phase: str, timeout_s: float = 120.0) -> None:
+        end = trio.current_time() + timeout_s
         answer: Any = None
         while trio.current_time() < end:
             _, answer = await self.poll(job_id)
             if answer.get("phase") == phase:
                 return
             await trio.sleep(0.5)
-        raise AssertionError(f"{job_id} is {answer}, not {phase}, after {limit} s")
+        raise AssertionError(f"{job_id} is {answer}, not {phase}, after {timeout_s} s")
 
-    async def until(self, condition: Callable[[], bool], limit: float = 60.0) -> None:
-        """Wait until the condition holds; fail after `limit` seconds."""
-        end = trio.current_time() + limit
+    async def until(self, condition: Callable[[], bool], timeout_s: float = 60.0) -> None:
+        """Wait until the condition holds; fail after `timeout_s` seconds."""
+        end = trio.current_time() + timeout_s
         while not condition():
             assert trio.current_time() < end, "the condition did not hold in time"
             await trio.sleep(0.05)
