--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -259,43 +259,44 @@
 
 def test_registry_chunks_shrink_to_the_lower_limit_without_losing_machines() -> None:
     names = [f"m-{n:06d}" for n in range(975)]
-    chunks_by_base: dict[str, dict[str, dict[str, Any]]] = {}
+    parts: dict[str, dict[str, dict[str, Any]]] = {}
     for number, name in enumerate(names):  # as the previous version wrote them
-        chunks_by_base.setdefault(registry_key(name), {}).setdefault(registry_key(name), {})[name] = registry_entry(
-            number
-        )
-    assert max(json_size(chunk) for chunks in chunks_by_base.values() for chunk in chunks.values()) > SMALL_VALUE_BYTES
+        parts.setdefault(registry_key(name), {}).setdefault(registry_key(name), {})[name] = registry_entry(number)
+    assert (
+        max(json_size(values) for entries_by_key in parts.values() for values in entries_by_key.values())
+        > SMALL_VALUE_BYTES
+    )
     rng = random.Random(1)
-    for base, chunks in chunks_by_base.items():
-        registered = {n for values in chunks.values() for n in values}
+    for base, entries_by_key in parts.items():
+        registered = {n for values in entries_by_key.values() for n in values}
         removed = {n for n in registered if rng.random() < 0.1}
         new_entries = {f"{base}-new-{n}": registry_entry(n) for n in range(4)}
         remaining, steps = dict(new_entries), 0
         while (
             write := next_registry_write(
-                base, chunks, remaining, removed, int(SMALL_VALUE_BYTES * constants.VALUE_SHARE)
+                base, entries_by_key, remaining, removed, int(SMALL_VALUE_BYTES * constants.VALUE_SHARE)
             )
         ) is not None:
             assert json_size(write.value) <= SMALL_VALUE_BYTES
-            chunks[write.key] = write.value
+            entries_by_key[write.key] = write.value
             remaining = {n: e for n, e in remaining.items() if n not in write.added}
-            listed = {n for values in chunks.values() for n in values}
+            listed = {n for values in entries_by_key.values() for n in values}
             assert listed >= registered - removed, "no machine is ever missing from the registry"
             steps += 1
             assert steps < 20
-        assert {n for values in chunks.values() for n in values} == registered - removed | set(new_entries)
-        assert all(json_size(values) <= SMALL_VALUE_BYTES for values in chunks.values())
+        assert {n for values in entries_by_key.values() for n in values} == registered - removed | set(new_entries)
+        assert all(json_size(values) <= SMALL_VALUE_BYTES for values in entries_by_key.values())
 
 
 def test_new_machines_get_work_while_their_registry_chunk_is_full() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
-        chunks: dict[str, dict[str, Any]] = {}
+        entries_by_key: dict[str, dict[str, Any]] = {}
         for number in range(1200):
-            chunk = chunks.setdefault(registry_key(f"m-{number}"), {})
-            if len(chunk) < 27:
-                chunk[f"m-{number}"] = registry_entry(number)
-        for key, entries in chunks.items():
+            value = entries_by_key.setdefault(registry_key(f"m-{number}"), {})
+            if len(value) < 27:
+                value[f"m-{number}"] = registry_entry(number)
+        for key, entries in entries_by_key.items():
             simulation.store.rev += 1
             simulation.store.kv[key] = (entries, simulation.store.rev, None)
             simulation.store.log.append((simulation.store.rev, key, entries, True))
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -272,15 +272,15 @@
 
 def test_previous_version_reads_extra_registry_keys_and_ignores_small_chunks() -> None:
     entries = {f"m-{n:06d}": {"f": "c8", "a": f"10.0.0.{n}:9000", "z": "zone", "s": False} for n in range(60)}
-    registry_chunks: dict[str, dict[str, Any]] = {}
+    entries_by_key: dict[str, dict[str, Any]] = {}
     remaining = dict(entries)
     while remaining:
-        write = next_registry_write("s/m/07", registry_chunks, remaining, set(), 1800)
+        write = next_registry_write("s/m/07", entries_by_key, remaining, set(), 1800)
         assert write is not None
-        registry_chunks[write.key] = write.value
+        entries_by_key[write.key] = write.value
         for name in write.added:
             del remaining[name]
-    assert len(registry_chunks) == 3
+    assert len(entries_by_key) == 3
 
     async def compare_caches() -> None:
         previous_type = production.module("store.view").View
@@ -290,7 +290,7 @@
             (previous, previous.apply, previous.roster),
         ):
             cache.__dict__.update(keys={}, _chunk_keys={}, listeners=[], rev=0, finals={}, ended={}, _removed={})
-            for number, (key, value) in enumerate(registry_chunks.items()):
+            for number, (key, value) in enumerate(entries_by_key.items()):
                 apply(key, value, number + 1, True)
             apply("s/e/run-1/3", "1-5", 9, True)
             apply("s/j/run-1", {"s": job("run-1", shards=20_000)}, 10, True)
--- a/tests/test_wire_forms.py
+++ b/tests/test_wire_forms.py
@@ -18,7 +18,7 @@
 _decode = msgspec.msgpack.decode
 
 FIRST_MACHINE = "10.1.0.0:9000"
-FIRST_REGISTRY_CHUNK = "24"  # the part of the registry that FIRST_MACHINE belongs to
+FIRST_REGISTRY_KEY = "24"  # the registry key, without its prefix, whose value holds FIRST_MACHINE
 FIRST_ATTEMPT = 16777217  # the first attempt of term 1: the term times 2**24, plus a counter
 CATALOG_LOAD_S = 5.0  # s; enough for the first leader to load the catalog
 
@@ -258,7 +258,7 @@
             {"s": SPEC_OF_A_SERVICE, "d": "", "n": 0, "r": 2, "t": service_accepted_at, "w": [NO_ROOM_NOTE]},
         )
         assert_same_bytes(
-            stored(simulation, f"s/m/{FIRST_REGISTRY_CHUNK}"),
+            stored(simulation, f"s/m/{FIRST_REGISTRY_KEY}"),
             {FIRST_MACHINE: {"f": "c8", "a": FIRST_MACHINE, "z": "a", "s": False}},
         )
         await simulation.until_phase("run-a", "done")
