--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -47,7 +47,7 @@
         controller = self.controllers.get(src)
         privileged = request.path == "/commands" or request.method == "POST" and request.path.startswith("/rentals")
         if privileged and isinstance(controller, Controller) and not controller.elector.valid():
-            self.violations.append(f"not entitled: {src} sends {request.path} at {trio.current_time():.1f}")
+            self.violations.append(f"not_leader: {src} sends {request.path} at {trio.current_time():.1f}")
 
     def _on_task_change(self, worker: FakeWorker, task_id: str, active: bool) -> None:
         job_id = task_id.rpartition("/")[0]
@@ -100,11 +100,11 @@
             if not isinstance(controller, Controller) or controller.cluster is None:
                 continue
             index, machines = controller.cluster.index, controller.cluster.machines.values()
-            ready = {m.name for m in machines if m.usable}
+            usable = {m.name for m in machines if m.usable}
             free = {m.name for m in machines if m.usable and m.capacity_cpus - m.cpus > 1e-6}
             idle = {m.name for m in machines if not m.bound_count}
             for name, indexed, expected in (
-                ("ready", index.usable.names(), ready),
+                ("usable", index.usable.names(), usable),
                 ("free", index.free.names(), free),
                 ("idle", index.idle.names(), idle),
             ):
@@ -118,15 +118,15 @@
         if job_id is None:
             return
         if status == 404 and job_id in self.accepted:
-            self.violations.append(f"forgotten: {job_id}")
+            self.violations.append(f"accepted_job_unknown: {job_id}")
         if status not in (200, 201) or "phase" not in answer:
             return
         if job_id not in self.specs:
-            self.violations.append(f"invented: {job_id}")
+            self.violations.append(f"never_submitted: {job_id}")
         self.accepted.add(job_id)
         phase = answer["phase"]
         if job_id in self.final_phases and phase != self.final_phases[job_id]:
-            self.violations.append(f"went_back: {job_id} from {self.final_phases[job_id]} to {phase}")
+            self.violations.append(f"final_phase_changed: {job_id} from {self.final_phases[job_id]} to {phase}")
         if phase in ("done", "cancelled"):
             self.final_phases[job_id] = phase
             if phase == "cancelled":
