--- a/sorrelsill/controller/test_followed_jobs.py
+++ b/sorrelsill/controller/test_followed_jobs.py
@@ -34,7 +34,7 @@
             watch_cache = WatchCache(store, ENDED_WINDOW_S + 5.0)
             nursery.start_soon(watch_cache.run)
             spec = array_job("run-1", shards=6, owner="red")
-            fake._multi({"if": [], "writes": [{"set": job_key("run-1"), "value": new_record(spec, 0.0)}]})
+            fake._commit({"if": [], "writes": [{"set": job_key("run-1"), "value": new_record(spec, 0.0)}]})
             await trio.sleep(followed_s)
             cancellations = Cancellations(0.0, 30.0, 10.0, 2)
             prepare(fake, watch_cache, cancellations)
@@ -66,7 +66,7 @@
 
 def test_ended_job_counts_after_its_removal_was_followed() -> None:
     def cancel(fake: FakeStore, watch_cache: WatchCache, cancellations: Cancellations) -> None:
-        fake._multi({"if": [], "writes": [{"remove": job_key("run-1")}]})
+        fake._commit({"if": [], "writes": [{"remove": job_key("run-1")}]})
 
     assert load(cancel).unobserved("red") == (6.0, 0.0)
     assert load(cancel, followed_s=5.0).unobserved("red") == (16.0, 0.0), "ends may be missed: whole machine counts"
--- a/sorrelsill/store/test_watch_cache.py
+++ b/sorrelsill/store/test_watch_cache.py
@@ -30,7 +30,7 @@
 
 def write(fake: FakeStore, key: str, value: Any) -> int:
     change = {"set": key, "value": value} if value is not None else {"remove": key}
-    fake._multi({"if": [], "writes": [change]})
+    fake._commit({"if": [], "writes": [change]})
     return fake.rev
 
 
--- a/tests/processes/controllers.py
+++ b/tests/processes/controllers.py
@@ -12,7 +12,7 @@
 from tests.simulation.users import LABELS
 
 ROOT = Path(__file__).resolve().parents[2]
-HEARTBEAT_S, LEASE_S, CANCEL_S = 0.5, 8.0, 24.0
+HEARTBEAT_S, LEASE_S, CANCEL_S = 0.5, 8.0, 24.0  # s
 
 
 def free_port() -> int:
--- a/tests/processes/deployment.py
+++ b/tests/processes/deployment.py
@@ -26,7 +26,7 @@
 
 
 class Deployment:
-    """Everything but the controllers."""
+    """Runs the fakes and users of one deployment, and records the history. The controllers are separate processes."""
 
     def __init__(self, nursery: trio.Nursery, seed: int) -> None:
         self._nursery = nursery
--- a/tests/processes/history.py
+++ b/tests/processes/history.py
@@ -1,4 +1,4 @@
-"""The events of a history as observed from outside the controllers, and checks of such a history without I/O."""
+"""The events of a history as observed from outside the controllers, and checks of such a history. No I/O."""
 
 from __future__ import annotations
 
--- a/tests/processes/play.py
+++ b/tests/processes/play.py
@@ -19,9 +19,9 @@
 EXIT_TIMEOUT_S = 20.0  # s; for a process to exit after SIGTERM
 PAUSES_S = (0.5, 2.0, 5.0)  # s; shorter than, close to and longer than the leader's lease allows
 RESTART_DELAYS_S = (0.1, 1.0, 3.0)  # s; from a kill to the next start
-HANGING_MACHINE_SHARE = 0.7  # ratio; faults at which a busy machine hangs too, so that the next leader hears it last
+HANGING_MACHINE_SHARE = 0.7  # ratio; of the faults: a busy machine hangs as well, so the next leader hears from it last
 HANG_S = 5.0  # s; less than a worker's lease, so the machine keeps its tasks
-SECOND_FAULT_SHARE = 0.3  # ratio; pauses during which another controller is killed
+SECOND_FAULT_SHARE = 0.3  # ratio; of the pauses: another controller is killed meanwhile
 
 
 class FaultSchedule:
--- a/tests/processes/test_controllers.py
+++ b/tests/processes/test_controllers.py
@@ -1,5 +1,6 @@
 """Three real controllers under load, paused, killed and terminated by a seeded schedule. Only the recorded history is
-checked, not how fast the machine is; but a job that has not ended in time counts as one without a final answer."""
+checked, not how long anything takes; but a job that has not ended by the drain timeout has no final answer, which is a
+violation."""
 
 from pathlib import Path
 
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -153,13 +153,13 @@
     run_scenario(scenario, membership=SETTINGS)
 
 
-@pytest.mark.parametrize("refused", ["all", "one"])
-def test_nobody_is_confirmed_during_a_store_outage(refused: str) -> None:
+@pytest.mark.parametrize("unavailable_to", ["all", "one"])
+def test_nobody_is_confirmed_during_a_store_outage(unavailable_to: str) -> None:
     """Without a fresh watch cache a missing key proves nothing; during an outage of the store leases don't expire."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
-        if refused == "all":
+        if unavailable_to == "all":
             simulation.store.begin_outage()
         else:
             simulation.store.unavailable_to.add("n0")
--- a/tests/scenarios/test_store_failures.py
+++ b/tests/scenarios/test_store_failures.py
@@ -181,7 +181,7 @@
         await simulation.run_service("run-d", shards=2, vcpus=1.0)
         for damage in ({"t": "soon"}, {"s": None}, {"n": "x", "d": "9999"}):
             value, _, _ = simulation.store.kv["s/j/run-d"]
-            simulation.store._multi({"if": [], "writes": [{"set": "s/j/run-d", "value": {**value, **damage}}]})
+            simulation.store._commit({"if": [], "writes": [{"set": "s/j/run-d", "value": {**value, **damage}}]})
             simulation.kill(await simulation.until_leader())  # it would overwrite the damaged record with its own
             await simulation.until_leader(15)
             for label in LABELS:
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -1,4 +1,4 @@
-"""A fake of the cloud's API: idempotent rental requests, boot times and a machine list that lags behind."""
+"""A fake of the cloud's API: idempotent rental requests, boot times and a machine list that shows new machines late."""
 
 from __future__ import annotations
 
@@ -75,13 +75,13 @@
     async def run(self) -> None:
         while True:
             now = trio.current_time()
-            for item in list(self.machines.values()):
-                booted = item["number"] not in self.never_boots and now - item["born"] >= (
-                    FLAVOUR["bootS"] * self.boot_times(item["number"])  # type: ignore[operator]
+            for machine in list(self.machines.values()):
+                booted = machine["number"] not in self.never_boots and now - machine["born"] >= (
+                    FLAVOUR["bootS"] * self.boot_times(machine["number"])  # type: ignore[operator]
                 )
-                if item["phase"] == "booting" and booted:
-                    item["phase"] = "running"
-                    self._boot(item["uid"], item["flavour"], item["region"], item["reclaimable"])
+                if machine["phase"] == "booting" and booted:
+                    machine["phase"] = "running"
+                    self._boot(machine["uid"], machine["flavour"], machine["region"], machine["reclaimable"])
             await trio.sleep(0.25)
 
     async def handle(self, src: str, request: Request) -> Reply:
--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -26,7 +26,7 @@
 
 @dataclass(eq=False)
 class _Gang:
-    """One start of a gang: the tasks of a job that share an attempt number."""
+    """One attempt of a gang: the tasks of a job that share an attempt number."""
 
     spec: dict[str, Any]
     members: dict[str, _Member] = field(default_factory=dict)
@@ -40,7 +40,8 @@
     """The state of gangs across all machines: which tasks wait, each job's progress, and its saved checkpoint."""
 
     def __init__(self, wait_s: float = 50.0, peer_s: float = 5.0) -> None:
-        # s; how long a task waits for its whole gang, and how long a gang goes on after a loss or an incomplete stop.
+        # s; how long a task waits for its whole gang, and how long a gang runs on after one of its tasks is lost, or
+        # after only some of its tasks were told to stop.
         self.wait_s, self.peer_s = wait_s, peer_s
         self.saved_progress: dict[str, float] = {}  # job -> seconds of progress in its checkpoint
         self.completed_jobs: set[str] = set()
@@ -62,12 +63,12 @@
         end = min(t for t in (now, gang.stopping_since, gang.task_lost_at) if t is not None)
         return self.saved_progress.get(gang.spec["uid"], 0.0) + max(0.0, end - gang.started_at)
 
-    def request_stop(self, task_id: str, attempt_number: int, grace_period: float, now: float) -> bool:
+    def request_stop(self, task_id: str, attempt_number: int, grace_period_s: float, now: float) -> bool:
         """Return whether the task saves a checkpoint; if not, it exits at once."""
         gang = self._gangs.get((task_id.rpartition("/")[0], attempt_number))
         if gang is None or gang.started_at is None or gang.finished or gang.task_lost_at is not None:
             return False
-        if not gang.spec["snapshotEveryS"] or grace_period < gang.spec["snapshotCostS"]:
+        if not gang.spec["snapshotEveryS"] or grace_period_s < gang.spec["snapshotCostS"]:
             return False
         gang.stopping_since = now if gang.stopping_since is None else gang.stopping_since
         gang.members[task_id].stop_requested_at = now
@@ -119,10 +120,11 @@
         if gang.task_lost_at is None:
             gang.task_lost_at = now
         if now >= gang.task_lost_at + (self.peer_s if gang.stopping_since is None else 0.0):
-            every = spec["snapshotEveryS"]
-            if every and not gang.finished:
+            checkpoint_interval_s = spec["snapshotEveryS"]
+            if checkpoint_interval_s and not gang.finished:
                 self.saved_progress[job_id] = max(
-                    self.saved_progress.get(job_id, 0.0), self.progress(gang, now) // every * every
+                    self.saved_progress.get(job_id, 0.0),
+                    self.progress(gang, now) // checkpoint_interval_s * checkpoint_interval_s,
                 )
             gang.finished = True
             for member in active:
--- a/tests/simulation/leader_in_memory.py
+++ b/tests/simulation/leader_in_memory.py
@@ -26,7 +26,7 @@
 
 
 class LeaderInMemory:
-    """A leader's cluster state and scheduler, with workers that pull images in no time."""
+    """A leader's cluster state and scheduler, with workers whose image pulls take no time."""
 
     def __init__(self, machines: int, registered: bool = False, teams: list[Team] | None = None) -> None:
         self.now = 0.0
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -15,7 +15,7 @@
 
 @dataclass(eq=False)
 class _PendingRequest:
-    """A request on its way. Held by a cut, it is delivered when the cut ends, whether or not its sender still waits."""
+    """A request in transit. If a cut holds it, it is delivered when the cut ends, even if its sender has timed out."""
 
     src: str
     dst: str
@@ -67,8 +67,8 @@
 
     def release(self) -> None:
         held, self._held = self._held, []
-        for item in held:
-            self._nursery.start_soon(self._deliver, item)
+        for pending in held:
+            self._nursery.start_soon(self._deliver, pending)
 
     def is_cut(self, src: str, dst: str) -> bool:
         return (src, dst) in self._cuts
@@ -76,22 +76,22 @@
     def client(self, src: str) -> Callable[[str], Client]:
         return lambda dst: _FakeClient(self, src, dst)
 
-    async def _deliver(self, item: _PendingRequest) -> None:
-        handler = self.handlers.get(item.dst)
-        if handler is None or item.dst in self.down:
-            item.reply_channel.close()
+    async def _deliver(self, pending: _PendingRequest) -> None:
+        handler = self.handlers.get(pending.dst)
+        if handler is None or pending.dst in self.down:
+            pending.reply_channel.close()
             return
-        reply = await handler(item.src, item.request)
-        if self.drop_response(item.src, item.dst, item.request) or self.is_cut(item.dst, item.src):
+        reply = await handler(pending.src, pending.request)
+        if self.drop_response(pending.src, pending.dst, pending.request) or self.is_cut(pending.dst, pending.src):
             return
         with contextlib.suppress(trio.BrokenResourceError, trio.WouldBlock):
-            item.reply_channel.send_nowait(reply)
+            pending.reply_channel.send_nowait(reply)
 
-    async def _deliver_late(self, item: _PendingRequest, delay: float) -> None:
-        await trio.sleep(delay)
-        handler = self.handlers.get(item.dst)
-        if handler is not None and item.dst not in self.down:
-            await handler(item.src, item.request)
+    async def _deliver_late(self, pending: _PendingRequest, delay_s: float) -> None:
+        await trio.sleep(delay_s)
+        handler = self.handlers.get(pending.dst)
+        if handler is not None and pending.dst not in self.down:
+            await handler(pending.src, pending.request)
 
     async def deliver_copy(self, src: str, dst: str, request: Request) -> None:
         """Deliver a copy of an earlier request to the current endpoint and drop its response."""
@@ -106,7 +106,7 @@
             await trio.sleep(self.latency)
             raise NotSentError(f"{dst} refused the connection")
         sender, receiver = trio.open_memory_channel[Reply](1)
-        item = _PendingRequest(src, dst, request, sender)
+        pending = _PendingRequest(src, dst, request, sender)
         with trio.move_on_after(timeout):
             await trio.sleep(self.latency)
             self.on_connected(src, dst, request)
@@ -115,13 +115,13 @@
                 raise NotSentError(f"{src} may no longer send to {dst}")
             self.on_sent(src, dst, request)
             self.copy_request(src, dst, request)
-            delay = self.late_delivery_s(src, dst, request)
-            if delay is not None:
-                self._nursery.start_soon(self._deliver_late, item, delay)
+            delay_s = self.late_delivery_s(src, dst, request)
+            if delay_s is not None:
+                self._nursery.start_soon(self._deliver_late, pending, delay_s)
             elif self.is_cut(src, dst) or self.hold_request(src, dst, request):
-                self._held.append(item)
+                self._held.append(pending)
             else:
-                self._nursery.start_soon(self._deliver, item)
+                self._nursery.start_soon(self._deliver, pending)
             try:
                 return await receiver.receive()
             except trio.EndOfChannel:
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -62,19 +62,19 @@
         if others:
             self.violations.append(f"ran_twice: {task_id} on {worker.name} and {others[0].name} at {now:.1f}")
         spec = self.specs[job_id]
-        zones = [w.zone for w in self.workers.values() for s in w.active_tasks if s.startswith(job_id + "/")]
+        zones = [w.zone for w in self.workers.values() for t in w.active_tasks if t.startswith(job_id + "/")]
         if spec["region"] not in (None, worker.zone) or (worker.spot and not spec["reclaimable"]):
             self.violations.append(f"wrong_place: {task_id} on {worker.name}")
         if spec["oneZone"] and len(set(zones)) > 1:
             self.violations.append(f"wrong_place: {task_id} in a second zone")
         if spec["scatter"] and zones.count(worker.zone) > (spec["shards"] + 1) // 2:
-            self.violations.append(f"wrong_place: too much of {job_id} in zone {worker.zone}")
+            self.violations.append(f"wrong_place: too many tasks of {job_id} in zone {worker.zone}")
         for team in self.teams:
             used = sum(
-                self.specs[s.rpartition("/")[0]]["vcpus"]
+                self.specs[t.rpartition("/")[0]]["vcpus"]
                 for w in self.workers.values()
-                for s in w.active_tasks
-                if self.specs[s.rpartition("/")[0]]["owner"] == team.name
+                for t in w.active_tasks
+                if self.specs[t.rpartition("/")[0]]["owner"] == team.name
             )
             if team.cpus_max and used > team.cpus_max + 1e-6:
                 self.violations.append(f"quota: {team.name} uses {used}")
--- a/tests/simulation/simulated_cluster.py
+++ b/tests/simulation/simulated_cluster.py
@@ -239,8 +239,8 @@
     # --- late, duplicated and lost messages ---
 
     def late_writes(self, share: float, at_once: bool = False) -> None:
-        """Drop the responses to this share of transactions. They are applied at once, or 2 to 12 s later and so after
-        newer ones."""
+        """Drop the responses to this share of transactions, and apply these at once or, by default, 2 to 12 s late,
+        after newer ones."""
 
         def late_delivery_s(src: str, dst: str, request: Request) -> float | None:
             if request.path != "/multi" or self.rng.random() >= share:
--- a/tests/simulation/store.py
+++ b/tests/simulation/store.py
@@ -19,7 +19,7 @@
     def __init__(self, txn_ops: int = 16, value_kb: float = 32.0) -> None:
         self.kv: dict[str, tuple[Any, int, int | None]] = {}  # key -> value, revision of its last write, lease
         self.rev = 0
-        self.log: list[tuple[int, str, Any, bool]] = []  # revision, key, value, whether the key exists after it
+        self.log: list[tuple[int, str, Any, bool]] = []  # revision, key, value, whether the key exists after the change
         self.leases: dict[int, tuple[float, float]] = {}  # id -> TTL, expiry time
         self._next_lease = 1
         self.outage = False
@@ -70,7 +70,7 @@
         now = trio.current_time()
         self.leases = {i: (ttl, now + ttl) for i, (ttl, _) in self.leases.items()}
 
-    def expire(self) -> None:
+    def expire_leases(self) -> None:
         if self.outage:
             return
         now = trio.current_time()
@@ -93,7 +93,7 @@
 
     async def run(self) -> None:
         while True:
-            self.expire()
+            self.expire_leases()
             await trio.sleep(0.05)
 
     async def handle(self, src: str, request: Request) -> Reply:
@@ -104,7 +104,7 @@
             return await self._watch(src, query)
         if self.outage or src in self.unavailable_to:
             return Reply(503, _encode({"error": "unavailable"}))
-        self.expire()
+        self.expire_leases()
         body = _decode(request.body) if request.body else {}
         if path == "/kv":
             return self._list(query)
@@ -114,7 +114,7 @@
                 return Reply(404, _encode({"storeRev": self.rev}))
             return Reply(200, _encode({"k": path[4:], "value": found[0], "keyRev": found[1], "tenancy": found[2]}))
         if path == "/multi":
-            return self._multi(body)
+            return self._commit(body)
         if path == "/grants":
             lease, self._next_lease = self._next_lease, self._next_lease + 1
             ttl = body["ttlMs"] / 1000
@@ -136,7 +136,7 @@
         pairs = [{"k": k, "value": self.kv[k][0], "keyRev": self.kv[k][1]} for k in keys[:page]]
         return Reply(200, _encode({"pairs": pairs, "hasNext": len(keys) > page, "storeRev": self.rev}))
 
-    def _multi(self, body: dict[str, Any]) -> Reply:
+    def _commit(self, body: dict[str, Any]) -> Reply:
         writes = body["writes"]
         why = self._exceeded_limit(body)
         if why is not None:
@@ -149,8 +149,8 @@
             "a leader's write without a condition on the leader key"
         )
         conditioned = {c["k"] for c in body["if"]}
-        machine_keys = [k for w in writes if (k := str(w.get("set") or w.get("remove"))).startswith("s/m/")]
-        assert conditioned.issuperset(machine_keys), "a registry entry's write without a condition on its revision"
+        registry_keys = [k for w in writes if (k := str(w.get("set") or w.get("remove"))).startswith("s/m/")]
+        assert conditioned.issuperset(registry_keys), "a registry entry's write without a condition on its revision"
         for write in writes:
             if write.get("tenancy") is not None and write["tenancy"] not in self.leases:
                 return Reply(400, _encode({"error": "no such lease"}))
@@ -176,12 +176,12 @@
         while True:
             changed = self._changed
             unavailable = self.outage or src in self.unavailable_to
-            news = [e for e in self.log if e[0] > since and e[1].startswith(prefix)]
-            if not unavailable and (news or trio.current_time() >= end):
-                out = [
+            changes = [e for e in self.log if e[0] > since and e[1].startswith(prefix)]
+            if not unavailable and (changes or trio.current_time() >= end):
+                changed_keys = [
                     {"set": k, "value": v, "keyRev": r} if present else {"remove": k, "keyRev": r}
-                    for r, k, v, present in news
+                    for r, k, v, present in changes
                 ]
-                return Reply(200, _encode({"storeRev": self.rev, "news": out}))
+                return Reply(200, _encode({"storeRev": self.rev, "news": changed_keys}))
             with trio.move_on_after(max(0.05, min(0.5, end - trio.current_time()))):
                 await changed.wait()
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -114,5 +114,5 @@
     def running(self, job_id: str) -> list[tuple[str, str]]:
         """Return (task id, machine) for each task of the job that is active on a machine."""
         return [
-            (s, w.name) for w in self.workers.values() for s in sorted(w.active_tasks) if s.startswith(job_id + "/")
+            (t, w.name) for w in self.workers.values() for t in sorted(w.active_tasks) if t.startswith(job_id + "/")
         ]
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -42,7 +42,7 @@
         self.heartbeat_interval_s, self.lease_s = heartbeat_interval_s, lease_s
         self._specs, self._on_task_change = specs, on_task_change
         self.incarnation, self.sequence_number, self.fencing_token = 1, 0, 0
-        self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
+        self.tasks: dict[tuple[str, int], dict[str, Any]] = {}  # (task id, attempt number) -> its state
         self.active_tasks: set[str] = set()  # ids of the tasks whose image is pulled and that have not exited
         self.lease_renewed_at = trio.current_time()
         self.hung = False
@@ -50,7 +50,7 @@
         self.spot_reclaim_at: float | None = None
         self.on_done: Callable[[str], None] = lambda task_id: None  # called with each task that completes
         self.task_fails: Callable[[str], bool] = lambda task_id: False  # whether a task that runs exits with an error
-        self.pull_rate = 1.0  # GB a second
+        self.pull_rate = 1.0  # GB/s
         self._change_event = trio.Event()
 
     # --- tasks ---
@@ -91,11 +91,11 @@
                 self._set_active(task_id, True)
                 self._notify_change()
                 if spec["uid"] in self._gangs.completed_jobs:
-                    self._exit(task_id, task, "done")  # the gang has completed before and its result is kept
+                    self._exit(task_id, task, "done")  # an earlier attempt completed; its result is stored
                 elif is_gang:
                     self._gangs.join(self, task_id, attempt_number, task, now)
             if is_gang and task["phase"] in ("waiting", "running", "saving") and not self.task_fails(task_id):
-                continue  # its gang decides when it exits
+                continue  # Gangs decides when the task exits
             if task["phase"] in ("waiting", "running") and self.task_fails(task_id):
                 self._exit(task_id, task, "error")
             elif (
@@ -139,8 +139,9 @@
 
     def heartbeat_message(self) -> dict[str, Any]:
         self.sequence_number += 1
-        shards = [
-            {"shard": s, "tryNo": n, **{k: v for k, v in t.items() if k != "at"}} for (s, n), t in self.tasks.items()
+        tasks = [
+            {"shard": task_id, "tryNo": number, **{k: v for k, v in task.items() if k != "at"}}
+            for (task_id, number), task in self.tasks.items()
         ]
         evict_in_s = None if self.spot_reclaim_at is None else max(0.0, self.spot_reclaim_at - trio.current_time())
         return {
@@ -153,7 +154,7 @@
             "serial": self.sequence_number,
             "epoch": self.fencing_token,
             "evictInS": evict_in_s,
-            "shards": shards,
+            "shards": tasks,
         }
 
     async def handle(self, src: str, request: Request) -> Reply:
