--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -1,9 +1,9 @@
 """Confirmed cancellations hold during outages of the key-value store.
 
-The store first refuses only the leader, and another controller confirms cancellations. Then the store is out for all
-controllers for longer than `cancel_s`, and the workers send heartbeats to any controller that answers. In every
-scenario the simulation checks that no cancelled task runs for longer than `cancel_s` after the confirmation; each test
-states what else must hold."""
+The store is first unavailable to the leader alone, and another controller confirms cancellations. Then the store is
+unavailable to all controllers for longer than `cancel_s`, and the workers send heartbeats to any controller that
+answers. In every scenario the simulation checks that no cancelled task runs for longer than `cancel_s` after the
+confirmation; each test states what else must hold."""
 
 import pytest
 import trio
@@ -42,8 +42,8 @@
 
 
 def test_cancelled_task_stops_while_refused_leader_renews_leases() -> None:
-    """A leader that the store refuses follows no changes, so it misses a cancellation that another controller
-    confirmed; it kept renewing its workers' leases nevertheless."""
+    """Guards against a leader that renews its workers' leases while the store is unavailable to it: it follows no
+    changes, so it misses a cancellation that another controller confirmed."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
@@ -84,8 +84,8 @@
 def test_cancelled_task_stops_when_confirming_controller_crashes(
     restart_after_s: float, reached_controller: str
 ) -> None:
-    """No other controller then knows of the cancellation. Leases are renewed only as long as a cancelled task without a
-    stop command still ends in time when its lease expires."""
+    """After the crash no controller knows of the cancellation. Leases may be renewed only as long as a cancelled task
+    that gets no stop command still ends in time, through the expiry of its lease."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
@@ -118,7 +118,7 @@
 
 def test_cancelled_task_stops_when_all_controllers_restart_in_outage() -> None:
     """Controllers restarted during an outage can't know which cancellations the previous processes confirmed. They must
-    renew no lease, since a cancellation may already be too old for another renewal."""
+    renew no lease, since a task cancelled earlier could then run for longer than `cancel_s`."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
@@ -164,9 +164,9 @@
 
 @pytest.mark.parametrize("old_version_confirms", [True, False])
 def test_cancelled_task_stops_with_controller_of_previous_version(old_version_confirms: bool) -> None:
-    """A peer of the previous version lists no cancellations, so only our own watch cache and peers of the current
-    version show how far knowledge is complete. A leader of the previous version renews leases without that check, which
-    can't be fixed."""
+    """A peer of the previous version lists no cancellations, so a controller must rely on its own watch cache and on
+    peers of the current version to know all cancellations. A leader of the previous version renews leases without
+    knowing them, which can't be fixed."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = await start_services(simulation, "run-c")
@@ -175,7 +175,7 @@
         simulation.start(first, production_version=True)
         await trio.sleep(60)
         assert await simulation.until_leader() == leader
-        # The previous version keeps renewing leases, so the workers may reach only the refused leader.
+        # A controller of the previous version would renew the leases, so the workers reach only the old leader.
         workers_reach_only(simulation, leader)
         simulation.store.unavailable_to.add(leader)
         drop_watch_responses(simulation)
@@ -228,7 +228,7 @@
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
         await trio.sleep(8)
-        # The store serves it again, but its watch requests still hang.
+        # The store answers the old leader again, but its watch requests still hang.
         controller = simulation.controllers[old_leader]
         simulation.net.hold_request = lambda src, dst, request: src == old_leader and request.path == "/follow"
         simulation.store.unavailable_to.clear()
--- a/tests/scenarios/test_fleet.py
+++ b/tests/scenarios/test_fleet.py
@@ -52,7 +52,8 @@
 
 
 def test_machines_with_overdue_heartbeat_get_no_new_tasks() -> None:
-    """Tasks that were bound to fifty hung machines waited a whole lease until they were declared lost."""
+    """Guards against binding tasks to hung machines: those bound to fifty of them waited for a whole lease until they
+    were declared lost."""
     leader = LeaderInMemory(MACHINES)
     leader.fill(0)
     leader.now += OVERDUE_S + 0.5
@@ -67,7 +68,8 @@
 
 
 def test_unobserved_machines_reserve_only_tasks_they_may_run() -> None:
-    """After a failover with fifty silent machines, their full capacity used up small teams' limits for one lease."""
+    """Guards against counting the full capacity of silent machines after a failover: fifty of them used up the limits
+    of small teams for one lease."""
     leader = LeaderInMemory(MACHINES, registered=True)
     silent = [n for n in leader.names if leader.spot(n)][:50]
     leader.add(array_job("run-old", shards=40, owner="red"), from_earlier_term=True)
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -300,7 +300,8 @@
 
 
 def test_new_gang_attempt_waits_until_old_one_is_gone() -> None:
-    """A task of the old attempt on a partitioned machine ties the gang to its zone until it is known to be gone."""
+    """The gang runs in one zone: that of its old attempt, until the task on the partitioned machine is known to have
+    ended."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(gang_job("run-g", shards=6, expectedRunS=60.0))
@@ -333,7 +334,8 @@
 
 
 def test_waiting_gang_uses_up_no_attempt_numbers() -> None:
-    """Each search for capacity used to take an attempt number: some hundreds per second of the 16 million of a term."""
+    """Guards against taking an attempt number at each search for capacity: a term has 16 million, and a waiting gang
+    took some hundreds per second."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 1
@@ -349,8 +351,8 @@
 
 
 def test_capacity_kept_for_next_gang_is_released_to_starved_jobs() -> None:
-    """Where cost is optimised, arrays used to fill every gap, and gangs that should start within seconds waited for
-    20 s. Headroom is now kept for the next gang, but a starved job may use it."""
+    """Guards against gangs that waited for 20 s instead of seconds, because arrays filled all free capacity where cost
+    is optimised. Capacity is kept free for the next gang, but a starved job may use it."""
 
     machine_type = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 5.0, ("a", "b"))
     cluster = ClusterState(1, 0.0, Catalog({"c8": machine_type}), 11.0, 3.0)
--- a/tests/scenarios/test_leader_failures.py
+++ b/tests/scenarios/test_leader_failures.py
@@ -95,7 +95,8 @@
 
 
 def test_delayed_registry_removal_of_old_leader_has_no_effect() -> None:
-    """Otherwise the next leader would not wait for a machine that runs tasks."""
+    """Guards against a late write of the old leader that removes a machine with tasks from the registry: the next
+    leader would not wait for that machine."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 2
@@ -163,8 +164,8 @@
 
 
 def test_leader_keeps_its_term_after_a_short_pause() -> None:
-    """Seen in an incident: after a pause, the leader took its workers to be silent and left the key to other
-    controllers for a while, although it still held it."""
+    """Guards against a fault found in an incident: after a pause, the leader considered its workers silent and left the
+    leader key to other controllers for a while, although it still held the key."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
@@ -195,7 +196,8 @@
 
 
 def test_job_cancelled_without_leader_counts_toward_limit_until_it_ends() -> None:
-    """Found in a quota incident: the new leader started a team's next job before the cancelled one had ended."""
+    """Guards against a fault found in a quota incident: the new leader started a team's next job before the cancelled
+    one had ended."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-k", owner="blue", region="b", shards=1, sizeGb=0.0))
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -1,7 +1,7 @@
 """Failure detection between three controllers that are slow, partitioned, paused, killed or of the previous version.
 
-Leadership depends on the leased key alone, whatever failure detection finds; each scenario checks the usual rules
-too."""
+Leadership depends on the leased key alone, whatever failure detection finds; each scenario also checks the protocol's
+rules."""
 
 from itertools import product
 
@@ -137,7 +137,7 @@
         await until_all_alive(simulation)
         for other in LABELS:
             if other != sender and receiver in (other, "all"):
-                # Drops the sender's heartbeats and its answers to this controller.
+                # Holds the sender's heartbeats and drops its responses to this controller.
                 simulation.net.cut(sender, f"{other}:peer", both=False)
                 simulation.net.cut(f"{sender}:peer", other, both=False)
         await trio.sleep(3 * LONGEST_DETECTION_S)
@@ -176,7 +176,7 @@
 
 
 def test_controller_started_during_a_store_outage_confirms_nobody() -> None:
-    """It has never read the keys from the store, so a key missing in its cache proves nothing."""
+    """This controller has never read the keys from the store, so a key missing in its cache proves nothing."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
--- a/tests/scenarios/test_one_way_partitions.py
+++ b/tests/scenarios/test_one_way_partitions.py
@@ -44,7 +44,7 @@
 
 def test_one_way_partition_does_not_block_a_failover() -> None:
     """Guards against a machine that sends heartbeats but never acknowledges the leader's term: as only silent
-    machines were given up, it blocked all old jobs and counted toward every team's limit for ever."""
+    machines were given up, it blocked all old jobs and counted toward every team's limit indefinitely."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4, scatter=True)
--- a/tests/scenarios/test_overlapping_failures.py
+++ b/tests/scenarios/test_overlapping_failures.py
@@ -198,7 +198,7 @@
 
 
 def test_new_machines_get_work_while_registry_writes_lag_and_leaders_fail() -> None:
-    """Writes of the machine registry get no answer and are committed 12 s late; half of the machines reach the next
+    """Writes of the machine registry get no response and are committed 12 s late; half of the machines reach the next
     leader late."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
--- a/tests/scenarios/test_read_consistency.py
+++ b/tests/scenarios/test_read_consistency.py
@@ -54,7 +54,8 @@
 
 
 def test_late_transactions_change_no_confirmed_answer() -> None:
-    """They are committed after newer transactions of the same controller, or after the controller has died."""
+    """The transactions are committed after newer transactions of the same controller, or after the controller has
+    died."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
--- a/tests/scenarios/test_store_failures.py
+++ b/tests/scenarios/test_store_failures.py
@@ -1,4 +1,4 @@
-"""Outages of the state service, and answers of it that are lost."""
+"""Outages of the state service, and lost responses of it."""
 
 import trio
 
@@ -100,7 +100,7 @@
         simulation.start(old_leader)
         await trio.sleep(12)
         assert simulation.running("run-c") == [] and len(simulation.running("run-s")) == 2
-        # The dead leader may have confirmed cancellations that nobody else knows, so leases can't be renewed for ever.
+        # The dead leader may have confirmed cancellations that nobody else knows: leases can't be renewed indefinitely.
         await trio.sleep(38)
         simulation.store.end_outage()
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 30)
@@ -174,7 +174,7 @@
 
 
 def test_damaged_record_affects_no_other_job_and_can_be_cancelled() -> None:
-    """Guards against a damaged time in one record that made every follower reload all keys again and again."""
+    """Guards against a damaged time in one record that made every follower reload all keys repeatedly."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=2, vcpus=1.0))
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -52,7 +52,7 @@
 
 
 def test_progress_is_written_at_a_lower_rate() -> None:
-    """Guards against a reserve for other writes as large as the whole token bucket: progress was never written."""
+    """Guards against progress that is never written: the reserve for other writes was as large as the token bucket."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.store.lower_limits(2.0, 5, 18.0)
@@ -97,8 +97,8 @@
 
 
 def test_scattered_finished_tasks_move_from_a_long_record_into_chunks() -> None:
-    """Guards against a crash between the writes that loses finished tasks: each new leader finds at least what was
-    recorded before."""
+    """Guards against losing finished tasks when a leader crashes between the writes of the record and the chunks: each
+    new leader loads at least the tasks that were recorded before."""
 
     async def scenario(simulation: SimulatedCluster, seed: int) -> None:
         rng = random.Random(seed)
@@ -260,7 +260,7 @@
 def test_registry_chunks_shrink_to_the_lower_limit_without_losing_machines() -> None:
     names = [f"m-{n:06d}" for n in range(975)]
     parts: dict[str, dict[str, dict[str, Any]]] = {}
-    for number, name in enumerate(names):  # as the previous version wrote them
+    for number, name in enumerate(names):  # one key per part, as the previous version writes them
         parts.setdefault(registry_key(name), {}).setdefault(registry_key(name), {})[name] = registry_entry(number)
     assert (
         max(json_size(values) for entries_by_key in parts.values() for values in entries_by_key.values())
@@ -382,7 +382,7 @@
 
 
 def test_progress_is_written_rarely_and_the_end_at_once() -> None:
-    """Guards against a record write at each change of a job, which used up the store's write rate and delayed
+    """Guards against writing a job's record at each change of the job: that used up the store's write rate and delayed
     submissions."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
--- a/tests/scenarios/test_team_limits.py
+++ b/tests/scenarios/test_team_limits.py
@@ -55,7 +55,7 @@
 
 
 def test_tasks_of_a_known_ended_job_count_with_their_own_size() -> None:
-    """They count with no more than that: the team can use the rest of its limit, also on their machine."""
+    """They count with the CPUs of their tasks alone: the team can use the rest of its limit, also on their machine."""
     leader = leader_after_takeover()
     in_zone_a, _ = leader.names
     run_by_earlier_leader(leader, in_zone_a, "run-over", 10)
@@ -88,8 +88,8 @@
 
 
 def test_tasks_proved_ended_do_not_count_on_silent_machines() -> None:
-    """Guards against teams at their limit that get nothing started while a machine is silent, because of tasks that
-    ran elsewhere."""
+    """Guards against counting a task on a silent machine after it was found to have ended on another one: while any
+    machine was silent, teams at their limit could start nothing."""
     leader = leader_after_takeover(3)
     silent_machine = leader.names[2]
     run_by_earlier_leader(leader, leader.names[0], "run-over", 8)
@@ -131,7 +131,7 @@
 
 
 def test_team_limit_holds_when_a_job_is_cancelled_without_a_leader() -> None:
-    """With whole controllers: the stop commands are delayed, the start commands to other machines are not."""
+    """In the simulated cluster: the stop commands are delayed, the start commands to other machines are not."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         # In zone b red always finds free CPUs beside a service; in zone a its job fills two machines.
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -191,8 +191,8 @@
 
 
 def test_finished_tasks_recorded_by_an_old_leader_are_kept() -> None:
-    """The previous version writes all finished tasks into the record. Guards against leaving them out of the chunks
-    beside the record."""
+    """The previous version writes all finished tasks into the record. Guards against losing them when this version
+    moves the finished tasks of a record into chunks."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         shards = 9000
@@ -223,7 +223,7 @@
 
 
 def test_gang_starts_once_across_a_rollback() -> None:
-    """No gang is submitted before all controllers are upgraded, but an operator may roll back later."""
+    """Gangs are submitted only once all controllers are upgraded, but an operator may roll back later."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-g", shape="group", shards=6, oneZone=True, expectedRunS=30.0))
