--- a/sorrelsill/placement/test_scheduler.py
+++ b/sorrelsill/placement/test_scheduler.py
@@ -49,7 +49,7 @@
 
 
 def test_job_with_least_remaining_work_goes_first() -> None:
-    """Otherwise all jobs of a burst would share the capacity and finish late."""
+    """Guards against a burst whose jobs share the capacity, so that all of them finish late."""
     cluster = cluster_with(("m1", "a", False))
     large = add(cluster, "run-large", submitted=0.0, shards=50)
     small = add(cluster, "run-small", submitted=0.5, shards=3)
--- a/sorrelsill/workers/test_cluster_state.py
+++ b/sorrelsill/workers/test_cluster_state.py
@@ -27,7 +27,7 @@
 
 
 def test_one_heartbeat_out_of_sequence_leaves_a_machine_usable() -> None:
-    """Else each heartbeat that crosses a response to a direct call would make the machine unusable for an interval."""
+    """Guards against a machine that is unusable for an interval whenever a heartbeat crosses a direct response."""
     cluster, machine = cluster_with_one_machine()
     assert machine.usable
     heartbeat(cluster, 9, 3.0)
@@ -44,7 +44,7 @@
 
 
 def test_a_new_incarnation_becomes_usable_once_it_proves_that_responses_reach_it() -> None:
-    """It may know our fencing token from the previous incarnation, so reporting the token proves nothing."""
+    """The worker may know the leader's fencing token from its previous incarnation, so reporting it proves nothing."""
     cluster, machine = cluster_with_one_machine()
     heartbeat(cluster, 3, 14.0, incarnation=2)
     assert not machine.usable
@@ -113,7 +113,8 @@
 
 
 def test_a_removed_machine_is_not_declared_lost_when_its_timer_expires() -> None:
-    """Else it would return to the indices, and its registry entry would be deleted a second time."""
+    """Guards against a removed machine that returns to the indices and whose registry entry is deleted a second
+    time."""
     cluster, _ = cluster_with_one_machine()
     cluster.remove_machine("m1", 3.0, "machine returned")
     cluster.pending_writes.deregistrations.clear()
@@ -152,7 +153,8 @@
 
 
 def test_attempts_of_a_job_are_listed_in_the_order_in_which_they_were_found() -> None:
-    """With a set, simulations with the same seed differed, depending on what the process had done before."""
+    """Guards against the order of a set: simulations with the same seed differed, depending on what the process had
+    done before."""
     cluster, _ = cluster_with_one_machine()
     report_tasks_of_unknown_job(cluster, 200)
     assert [attempt.index for attempt in cluster.attempts.of_job("run-gone")] == list(range(200))
--- a/tests/load/leader_cpu.py
+++ b/tests/load/leader_cpu.py
@@ -160,8 +160,8 @@
             self._send_heartbeat(name)
 
     def _commit_records(self) -> None:
-        """Update the cluster state as the record writer does once a write is committed. Measured is only its search for
-        due records, with every live job's progress due."""
+        """Update the cluster state as the record writer does once a write is committed. Only its search for due
+        records is measured, with every live job's progress due."""
         cluster = self.leader.cluster
         if self.leader.now % constants.WRITER_TICK_S < STEP_S:
             due, cluster.pending_writes.records = cluster.pending_writes.records, set(cluster.jobs)
--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -89,7 +89,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        await trio.sleep(CANCEL_S + 5)  # all watch caches have followed longer than a cancelled task may run
+        await trio.sleep(CANCEL_S + 5)  # watch caches have followed the store for longer than a cancelled task may run
         simulation.store.unavailable_to.add(old_leader)
         other, third = other_controllers(old_leader)
         drop_watch_responses(simulation)
--- a/tests/soak/event_counts.py
+++ b/tests/soak/event_counts.py
@@ -40,7 +40,7 @@
         return sum(1 for event in self.events if event.name == name)
 
     def unaccounted_cpus(self) -> float:
-        """Return the CPUs that teams with a limit may have used unknown to the new leader, over all failovers."""
+        """Return the CPUs that teams with a limit may have used without the new leader knowing, over all failovers."""
         team_use = [event.fields for event in self.events if event.name == "team_use"]
         return sum(float(fields["unaccounted_cpus"]) for fields in team_use if float(fields["limit_cpus"]))
 
--- a/tests/soak/failover_soak.py
+++ b/tests/soak/failover_soak.py
@@ -160,7 +160,7 @@
             simulation.nursery.start_soon(fault)
 
     async def _hold_commands(self) -> None:
-        """Hold commands that name tasks on their way to some machines, then deliver them all."""
+        """Hold commands about tasks that are sent to some machines, then deliver them all."""
         simulation, rng = self._simulation, self._rng
         share = rng.uniform(0.2, 0.7)
         delayed = {name for name in sorted(simulation.workers) if rng.random() < share}
