--- a/tests/scenarios/test_cancellation_in_outages.py
+++ b/tests/scenarios/test_cancellation_in_outages.py
@@ -1,9 +1,9 @@
 """Confirmed cancellations hold during outages of the key-value store.
 
-The store first refuses only the leader, and another controller confirms cancellations. Then the store is out for all
-controllers for longer than `cancel_s`, and the workers send heartbeats to any controller that answers. In every
-scenario the simulation checks that no cancelled task runs for longer than `cancel_s` after the confirmation; each test
-states what else must hold."""
+The store is first unavailable to the leader alone, and another controller confirms cancellations. Then the store is
+unavailable to all controllers for longer than `cancel_s`, and the workers send heartbeats to any controller that
+answers. In every scenario the simulation checks that no cancelled task runs for longer than `cancel_s` after the
+confirmation; each test states what else must hold."""
 
 import pytest
 import trio
@@ -27,9 +27,9 @@
     return [label for label in LABELS if label != leader]
 
 
-def drop_watch_answers(simulation: SimulatedCluster) -> None:
-    """From now on watch answers are lost, so commits reach no other controller's watch cache."""
-    simulation.net.drop_answers = lambda src, dst, request: dst == "store" and request.path == "/follow"
+def drop_watch_responses(simulation: SimulatedCluster) -> None:
+    """From now on watch responses are lost, so commits reach no other controller's watch cache."""
+    simulation.net.drop_response = lambda src, dst, request: dst == "store" and request.path == "/follow"
 
 
 def workers_reach_only(simulation: SimulatedCluster, label: str) -> None:
@@ -42,12 +42,12 @@
 
 
 def test_cancelled_task_stops_while_refused_leader_renews_leases() -> None:
-    """A leader that the store refuses follows no changes, so it misses a cancellation that another controller
-    confirmed; it kept renewing its workers' leases nevertheless."""
+    """Guards against a leader that renews its workers' leases while the store is unavailable to it: it follows no
+    changes, so it misses a cancellation that another controller confirmed."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         await trio.sleep(0.5)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         await trio.sleep(1)
@@ -56,7 +56,7 @@
         assert simulation.running("run-c") == []
         assert len(simulation.running("run-s")) == 2, "services that were not cancelled run through the whole outage"
         simulation.store.end_outage()
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await simulation.until_leader()
         await trio.sleep(5)
         assert len(simulation.running("run-s")) == 2 and (await simulation.poll("run-c"))[1]["phase"] == "cancelled"
@@ -68,8 +68,8 @@
 def test_cancelled_task_stops_when_outage_follows_at_once(pause_s: float) -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
-        drop_watch_answers(simulation)
+        simulation.store.unavailable_to.add(old_leader)
+        drop_watch_responses(simulation)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         await trio.sleep(pause_s)
         simulation.store.begin_outage()
@@ -84,15 +84,15 @@
 def test_cancelled_task_stops_when_confirming_controller_crashes(
     restart_after_s: float, reached_controller: str
 ) -> None:
-    """No other controller then knows of the cancellation. Leases are renewed only as long as a cancelled task without a
-    stop command still ends in time when its lease expires."""
+    """After the crash no controller knows of the cancellation. Leases may be renewed only as long as a cancelled task
+    that gets no stop command still ends in time, through the expiry of its lease."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        await trio.sleep(CANCEL_S + 5)  # all watch caches have followed longer than a cancelled task may run
-        simulation.store.refused.add(old_leader)
+        await trio.sleep(CANCEL_S + 5)  # watch caches have followed the store for longer than a cancelled task may run
+        simulation.store.unavailable_to.add(old_leader)
         other, third = other_controllers(old_leader)
-        drop_watch_answers(simulation)
+        drop_watch_responses(simulation)
         await cancel_at(simulation, other, "run-c")
         simulation.store.begin_outage()
         simulation.kill(other)
@@ -107,10 +107,10 @@
         assert len(simulation.running("run-s")) == 2, "leases are renewed as long as it is safe"
         await trio.sleep_until(confirmed_at + 2 * CANCEL_S)
         assert simulation.running("run-c") == []
-        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.drop_response = lambda src, dst, request: False
         simulation.net.refused.clear()
         simulation.store.end_outage()
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 60)
 
     run_scenario(scenario)
@@ -118,22 +118,22 @@
 
 def test_cancelled_task_stops_when_all_controllers_restart_in_outage() -> None:
     """Controllers restarted during an outage can't know which cancellations the previous processes confirmed. They must
-    renew no lease, since a cancellation may already be too old for another renewal."""
+    renew no lease, since a task cancelled earlier could then run for longer than `cancel_s`."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
-        drop_watch_answers(simulation)
+        simulation.store.unavailable_to.add(old_leader)
+        drop_watch_responses(simulation)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
-        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.drop_response = lambda src, dst, request: False
         simulation.kill_all()
         await trio.sleep(4)
         simulation.start_all()
         await trio.sleep(2 * CANCEL_S)
         assert simulation.running("run-c") == []
         simulation.store.end_outage()
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 40)
 
     run_scenario(scenario)
@@ -151,7 +151,9 @@
             simulation.kill(label)
         await trio.sleep(0.2)
         simulation.start_all()
-        await simulation.until(lambda: all(node.watch_cache.loaded for node in simulation.controllers.values()), 3)
+        await simulation.until(
+            lambda: all(controller.watch_cache.loaded for controller in simulation.controllers.values()), 3
+        )
         assert simulation.leader() is None and len(simulation.running("run-c")) == 2
         simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
@@ -162,9 +164,9 @@
 
 @pytest.mark.parametrize("old_version_confirms", [True, False])
 def test_cancelled_task_stops_with_controller_of_previous_version(old_version_confirms: bool) -> None:
-    """A peer of the previous version lists no cancellations, so only our own watch cache and peers of the current
-    version show how far knowledge is complete. A leader of the previous version renews leases without that check, which
-    can't be fixed."""
+    """A peer of the previous version lists no cancellations, so a controller must rely on its own watch cache and on
+    peers of the current version to know all cancellations. A leader of the previous version renews leases without
+    knowing them, which can't be fixed."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         leader = await start_services(simulation, "run-c")
@@ -173,19 +175,19 @@
         simulation.start(first, production_version=True)
         await trio.sleep(60)
         assert await simulation.until_leader() == leader
-        # The previous version keeps renewing leases, so the workers may reach only the refused leader.
+        # A controller of the previous version would renew the leases, so the workers reach only the old leader.
         workers_reach_only(simulation, leader)
-        simulation.store.refused.add(leader)
-        drop_watch_answers(simulation)
+        simulation.store.unavailable_to.add(leader)
+        drop_watch_responses(simulation)
         await trio.sleep(0.3)
         await cancel_at(simulation, first if old_version_confirms else second, "run-c")
         simulation.store.begin_outage()
         await trio.sleep(2 * CANCEL_S)
         assert simulation.running("run-c") == []
         simulation.net.refused.clear()
-        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.drop_response = lambda src, dst, request: False
         simulation.store.end_outage()
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 60)
 
     run_scenario(scenario)
@@ -194,17 +196,17 @@
 def test_cancellation_with_lost_commit_answer_is_confirmed_by_later_read() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         first, second = other_controllers(old_leader)
         lost: list[str] = []
 
-        def drop_commit_answer(src: str, dst: str, request: Request) -> bool:
+        def drop_commit_response(src: str, dst: str, request: Request) -> bool:
             matches = src == first and dst == "store" and request.path == "/multi" and b"cancelled" in request.body
             if matches:
                 lost.append(src)
             return matches
 
-        simulation.net.drop_answers = drop_commit_answer
+        simulation.net.drop_response = drop_commit_response
         assert (await simulation.ask(first, "POST", "/v2/runs/run-c/cancel"))[0] == 503
         assert lost
         assert (await simulation.poll("run-c", second))[1]["phase"] == "cancelled"
@@ -222,17 +224,17 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
         term = simulation.controllers[old_leader].elector.term
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
         await trio.sleep(8)
-        # The store serves it again, but its watch requests still hang.
-        node = simulation.controllers[old_leader]
+        # The store answers the old leader again, but its watch requests still hang.
+        controller = simulation.controllers[old_leader]
         simulation.net.hold_request = lambda src, dst, request: src == old_leader and request.path == "/follow"
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         simulation.store.end_outage()
-        await simulation.until(node.elector.valid, 10)
-        assert node.elector.term == term
+        await simulation.until(controller.elector.valid, 10)
+        assert controller.elector.term == term
         await trio.sleep(2 * CANCEL_S)
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 60)
@@ -248,7 +250,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         job_ids = [f"run-c{i}" for i in range(5)]
         old_leader = await start_services(simulation, *job_ids)
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         await trio.sleep(0.2)
         for job_id in job_ids:
             await cancel_at(simulation, other_controllers(old_leader)[0], job_id)
@@ -262,7 +264,7 @@
 def test_cancelled_task_stops_on_machine_that_hangs_with_stop_command_in_flight() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         await cancel_at(simulation, other_controllers(old_leader)[0], "run-c")
         simulation.store.begin_outage()
         for _, name in simulation.running("run-c"):
@@ -281,7 +283,7 @@
 
     async def scenario(simulation: SimulatedCluster) -> None:
         old_leader = await start_services(simulation, "run-c")
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         for label in other_controllers(old_leader):
             answer = simulation.controllers[label].cancellations.answer_peer
             malformed = [{"cancelled": None}, {"cancelled": [7], "back": 1e9}, {"cancelled": [], "back": "x"}, [], None]
--- a/tests/scenarios/test_gang_scheduling.py
+++ b/tests/scenarios/test_gang_scheduling.py
@@ -23,7 +23,7 @@
     return gang_job(name, **{"snapshotEveryS": 8.0, "snapshotCostS": 2.0, "expectedRunS": 40.0, **fields})
 
 
-async def until_all_running(simulation: SimulatedCluster, job_id: str, limit: float = 60.0) -> list[str]:
+async def until_all_running(simulation: SimulatedCluster, job_id: str, timeout_s: float = 60.0) -> list[str]:
     """Waits until the workers run all tasks of the job. Returns the machines of the tasks."""
     shards: int = simulation.specs[job_id]["shards"]
 
@@ -31,7 +31,7 @@
         tasks = [t for w in simulation.workers.values() for (s, _), t in w.tasks.items() if s.startswith(job_id + "/")]
         return sum(1 for t in tasks if t["phase"] == "running") == shards
 
-    await simulation.until(all_running, limit)
+    await simulation.until(all_running, timeout_s)
     return sorted({machine for _, machine in simulation.running(job_id)})
 
 
@@ -236,12 +236,12 @@
         await simulation.submit(checkpointing_gang("run-g", snapshotCostS=4.0, expectedRunS=60.0))
         machines = await until_all_running(simulation, "run-g")
         leader = await simulation.until_leader()
-        node = simulation.controllers[leader]
-        assert node.cluster is not None
+        controller = simulation.controllers[leader]
+        assert controller.cluster is not None
         unreached_machine = machines[-1]
         simulation.net.hold_request = lambda src, dst, request: dst == unreached_machine and src == leader
-        attempt = next(iter(node.cluster.gangs["run-g"].bound.values()))
-        node.cluster.stop(attempt, "for the story")
+        attempt = next(iter(controller.cluster.gangs["run-g"].bound.values()))
+        controller.cluster.stop(attempt, "for the story")
         await trio.sleep(1.2)
         simulation.kill(leader)
         simulation.net.hold_request = lambda src, dst, request: False
@@ -263,10 +263,10 @@
         await simulation.until(lambda: len(simulation.gangs.starts) == 2, 60)
         machines = await until_all_running(simulation, "run-g")
         unreachable = machines[0]
-        simulation.net.drop_answers = lambda src, dst, request: src == unreachable and request.path == "/hello"
+        simulation.net.drop_response = lambda src, dst, request: src == unreachable and request.path == "/hello"
         simulation.net.hold_request = lambda src, dst, request: dst == unreachable
         await trio.sleep(25)
-        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.drop_response = lambda src, dst, request: False
         simulation.net.hold_request = lambda src, dst, request: False
         await simulation.until_phase("run-g", "done", 200)
 
@@ -300,7 +300,8 @@
 
 
 def test_new_gang_attempt_waits_until_old_one_is_gone() -> None:
-    """A task of the old attempt on a partitioned machine ties the gang to its zone until it is known to be gone."""
+    """The gang runs in one zone: that of its old attempt, until the task on the partitioned machine is known to have
+    ended."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(gang_job("run-g", shards=6, expectedRunS=60.0))
@@ -333,7 +334,8 @@
 
 
 def test_waiting_gang_uses_up_no_attempt_numbers() -> None:
-    """Each search for capacity used to take an attempt number: some hundreds per second of the 16 million of a term."""
+    """Guards against taking an attempt number at each search for capacity: a term has 16 million, and a waiting gang
+    took some hundreds per second."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.cloud.capacity = 1
@@ -349,8 +351,8 @@
 
 
 def test_capacity_kept_for_next_gang_is_released_to_starved_jobs() -> None:
-    """Where cost is optimised, arrays used to fill every gap, and gangs that should start within seconds waited for
-    20 s. Headroom is now kept for the next gang, but a starved job may use it."""
+    """Guards against gangs that waited for 20 s instead of seconds, because arrays filled all free capacity where cost
+    is optimised. Capacity is kept free for the next gang, but a starved job may use it."""
 
     machine_type = MachineType("c8", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 5.0, ("a", "b"))
     cluster = ClusterState(1, 0.0, Catalog({"c8": machine_type}), 11.0, 3.0)
--- a/tests/scenarios/test_membership.py
+++ b/tests/scenarios/test_membership.py
@@ -1,7 +1,7 @@
 """Failure detection between three controllers that are slow, partitioned, paused, killed or of the previous version.
 
-Leadership depends on the leased key alone, whatever failure detection finds; each scenario checks the usual rules
-too."""
+Leadership depends on the leased key alone, whatever failure detection finds; each scenario also checks the protocol's
+rules."""
 
 from itertools import product
 
@@ -92,12 +92,12 @@
             return slow in (src.partition(":")[0], dst.partition(":")[0]) and dst.endswith(":peer")
 
         simulation.net.latency *= latency_factor
-        simulation.net.drop_answers = lambda src, dst, request: (
+        simulation.net.drop_response = lambda src, dst, request: (
             to_or_from_slow(src, dst) and simulation.rng.random() < 0.5
         )
         await trio.sleep(60)
         assert never_confirmed(simulation) and simulation.leader() == leader
-        simulation.net.drop_answers = lambda src, dst, request: False
+        simulation.net.drop_response = lambda src, dst, request: False
         await until_all_alive(simulation)
 
     run_scenario(scenario, membership=SETTINGS)
@@ -137,7 +137,7 @@
         await until_all_alive(simulation)
         for other in LABELS:
             if other != sender and receiver in (other, "all"):
-                # Drops the sender's heartbeats and its answers to this controller.
+                # Holds the sender's heartbeats and drops its responses to this controller.
                 simulation.net.cut(sender, f"{other}:peer", both=False)
                 simulation.net.cut(f"{sender}:peer", other, both=False)
         await trio.sleep(3 * LONGEST_DETECTION_S)
@@ -153,30 +153,30 @@
     run_scenario(scenario, membership=SETTINGS)
 
 
-@pytest.mark.parametrize("refused", ["all", "one"])
-def test_nobody_is_confirmed_during_a_store_outage(refused: str) -> None:
+@pytest.mark.parametrize("unavailable_to", ["all", "one"])
+def test_nobody_is_confirmed_during_a_store_outage(unavailable_to: str) -> None:
     """Without a fresh watch cache a missing key proves nothing; during an outage of the store leases don't expire."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
-        if refused == "all":
+        if unavailable_to == "all":
             simulation.store.begin_outage()
         else:
-            simulation.store.refused.add("n0")
+            simulation.store.unavailable_to.add("n0")
         await trio.sleep(1.0)
         simulation.kill("n2")
         await trio.sleep(2 * LONGEST_DETECTION_S)
         assert status_of(simulation, "n0", "n2") is Status.SUSPECTED
         assert not event_counts(simulation, "n0").get("membership_confirmed")
         simulation.store.end_outage()
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await simulation.until(lambda: status_of(simulation, "n0", "n2") is Status.CONFIRMED, LONGEST_DETECTION_S)
 
     run_scenario(scenario, membership=SETTINGS)
 
 
 def test_controller_started_during_a_store_outage_confirms_nobody() -> None:
-    """It has never read the keys from the store, so a key missing in its cache proves nothing."""
+    """This controller has never read the keys from the store, so a key missing in its cache proves nothing."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
@@ -267,21 +267,21 @@
 def test_malformed_foreign_and_stale_messages_change_nothing() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await until_all_alive(simulation)
-        node = simulation.controllers["n0"]
-        membership = node.membership
+        controller = simulation.controllers["n0"]
+        membership = controller.membership
         assert membership is not None
         for path in ("/membership/heartbeat", "/membership/probe"):
             for body in BAD_BODIES:
-                reply = await node.handle_peer(Request("POST", path, "", body))
+                reply = await controller.handle_peer(Request("POST", path, "", body))
                 assert reply.status == 400, (path, body)
         assert event_counts(simulation, "n0")["membership_refused"] == 2 * len(BAD_BODIES)
-        assert (await node.handle_peer(Request("GET", "/membership/heartbeat", "", b""))).status == 405
-        assert (await node.handle_peer(Request("POST", "/membership/other", "", b""))).status == 404
+        assert (await controller.handle_peer(Request("GET", "/membership/heartbeat", "", b""))).status == 405
+        assert (await controller.handle_peer(Request("POST", "/membership/other", "", b""))).status == 404
         known = membership.view.peers["n1"]
         older_heartbeat = PeerHeartbeat(
             "n0,n1,n2", "n1", Incarnation(known.incarnation.process - 1, 5), known.sequence + 99
         )
-        reply = await node.handle_peer(Request("POST", "/membership/heartbeat", "", encode(older_heartbeat)))
+        reply = await controller.handle_peer(Request("POST", "/membership/heartbeat", "", encode(older_heartbeat)))
         assert reply.status == 200 and membership.view.peers["n1"].incarnation == known.incarnation
 
     run_scenario(scenario, membership=SETTINGS)
--- a/tests/scenarios/test_store_failures.py
+++ b/tests/scenarios/test_store_failures.py
@@ -1,4 +1,4 @@
-"""Outages of the state service, and answers of it that are lost."""
+"""Outages of the state service, and lost responses of it."""
 
 import trio
 
@@ -19,7 +19,7 @@
                 dropped.append(src)
             return matches
 
-        simulation.net.drop_answers = drop
+        simulation.net.drop_response = drop
         assert await simulation.submit(job("run-1")) in (200, 201)
         await simulation.until_phase("run-1", "done")
         assert dropped and len([start for start in simulation.starts if start[1].startswith("run-1/")]) == 2
@@ -39,7 +39,7 @@
                 dropped.append(src)
             return matches
 
-        simulation.net.drop_answers = drop
+        simulation.net.drop_response = drop
         assert (await simulation.cancel("run-s"))["phase"] == "cancelled"
         assert dropped
         await simulation.until(lambda: not simulation.running("run-s"), 5)
@@ -100,7 +100,7 @@
         simulation.start(old_leader)
         await trio.sleep(12)
         assert simulation.running("run-c") == [] and len(simulation.running("run-s")) == 2
-        # The dead leader may have confirmed cancellations that nobody else knows, so leases can't be renewed for ever.
+        # The dead leader may have confirmed cancellations that nobody else knows: leases can't be renewed indefinitely.
         await trio.sleep(38)
         simulation.store.end_outage()
         await simulation.until(lambda: len(simulation.running("run-s")) == 2, 30)
@@ -158,7 +158,7 @@
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.run_service("run-s", shards=4)
         old_leader = await simulation.until_leader()
-        simulation.store.refused.add(old_leader)
+        simulation.store.unavailable_to.add(old_leader)
         await simulation.until(lambda: simulation.leader() not in (None, old_leader), 15)
         await trio.sleep(5)
         assert (await simulation.ask(old_leader, "GET", "/ready"))[0] == 503
@@ -166,7 +166,7 @@
         await simulation.submit(job("run-n"))
         await simulation.until_phase("run-n", "done")
         assert len(simulation.running("run-s")) == 4
-        simulation.store.refused.clear()
+        simulation.store.unavailable_to.clear()
         await trio.sleep(3)
         assert (await simulation.ask(old_leader, "GET", "/ready"))[0] == 200
 
@@ -174,14 +174,14 @@
 
 
 def test_damaged_record_affects_no_other_job_and_can_be_cancelled() -> None:
-    """Guards against a damaged time in one record that made every follower reload all keys again and again."""
+    """Guards against a damaged time in one record that made every follower reload all keys repeatedly."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(service("run-s", shards=2, vcpus=1.0))
         await simulation.run_service("run-d", shards=2, vcpus=1.0)
         for damage in ({"t": "soon"}, {"s": None}, {"n": "x", "d": "9999"}):
             value, _, _ = simulation.store.kv["s/j/run-d"]
-            simulation.store._multi({"if": [], "writes": [{"set": "s/j/run-d", "value": {**value, **damage}}]})
+            simulation.store._commit({"if": [], "writes": [{"set": "s/j/run-d", "value": {**value, **damage}}]})
             simulation.kill(await simulation.until_leader())  # it would overwrite the damaged record with its own
             await simulation.until_leader(15)
             for label in LABELS:
--- a/tests/scenarios/test_store_limits.py
+++ b/tests/scenarios/test_store_limits.py
@@ -52,7 +52,7 @@
 
 
 def test_progress_is_written_at_a_lower_rate() -> None:
-    """Guards against a reserve for other writes as large as the whole token bucket: progress was never written."""
+    """Guards against progress that is never written: the reserve for other writes was as large as the token bucket."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         simulation.store.lower_limits(2.0, 5, 18.0)
@@ -97,8 +97,8 @@
 
 
 def test_scattered_finished_tasks_move_from_a_long_record_into_chunks() -> None:
-    """Guards against a crash between the writes that loses finished tasks: each new leader finds at least what was
-    recorded before."""
+    """Guards against losing finished tasks when a leader crashes between the writes of the record and the chunks: each
+    new leader loads at least the tasks that were recorded before."""
 
     async def scenario(simulation: SimulatedCluster, seed: int) -> None:
         rng = random.Random(seed)
@@ -122,16 +122,16 @@
         recorded: set[int] = set()
         for _ in range(4):
             label = await simulation.until_leader()
-            node = simulation.controllers[label]
-            assert node.cluster is not None
-            big_job = node.cluster.jobs["run-big"]
+            controller = simulation.controllers[label]
+            assert controller.cluster is not None
+            big_job = controller.cluster.jobs["run-big"]
             loaded = {i for i in range(shards) if i in big_job.done}
             assert recorded <= loaded, "no finished task is lost"
             newly_finished = [i for i in range(shards) if i not in loaded and rng.random() < 0.03]
             for index in newly_finished:
                 big_job.done.add(index)
                 big_job.unrecorded_small_chunks.add(index // constants.SMALL_CHUNK_TASKS)
-            node.cluster.pending_writes.records.add("run-big")
+            controller.cluster.pending_writes.records.add("run-big")
             await trio.sleep(rng.choice((0.3, 0.5, 8.0)))
             chunks = [
                 (k, v) for k, (v, _, _) in simulation.store.kv.items() if k.startswith(("s/d/run-big", "s/e/run-big"))
@@ -259,43 +259,44 @@
 
 def test_registry_chunks_shrink_to_the_lower_limit_without_losing_machines() -> None:
     names = [f"m-{n:06d}" for n in range(975)]
-    chunks_by_base: dict[str, dict[str, dict[str, Any]]] = {}
-    for number, name in enumerate(names):  # as the previous version wrote them
-        chunks_by_base.setdefault(registry_key(name), {}).setdefault(registry_key(name), {})[name] = registry_entry(
-            number
-        )
-    assert max(json_size(chunk) for chunks in chunks_by_base.values() for chunk in chunks.values()) > SMALL_VALUE_BYTES
+    parts: dict[str, dict[str, dict[str, Any]]] = {}
+    for number, name in enumerate(names):  # one key per part, as the previous version writes them
+        parts.setdefault(registry_key(name), {}).setdefault(registry_key(name), {})[name] = registry_entry(number)
+    assert (
+        max(json_size(values) for entries_by_key in parts.values() for values in entries_by_key.values())
+        > SMALL_VALUE_BYTES
+    )
     rng = random.Random(1)
-    for base, chunks in chunks_by_base.items():
-        registered = {n for values in chunks.values() for n in values}
+    for base, entries_by_key in parts.items():
+        registered = {n for values in entries_by_key.values() for n in values}
         removed = {n for n in registered if rng.random() < 0.1}
         new_entries = {f"{base}-new-{n}": registry_entry(n) for n in range(4)}
         remaining, steps = dict(new_entries), 0
         while (
             write := next_registry_write(
-                base, chunks, remaining, removed, int(SMALL_VALUE_BYTES * constants.VALUE_SHARE)
+                base, entries_by_key, remaining, removed, int(SMALL_VALUE_BYTES * constants.VALUE_SHARE)
             )
         ) is not None:
             assert json_size(write.value) <= SMALL_VALUE_BYTES
-            chunks[write.key] = write.value
+            entries_by_key[write.key] = write.value
             remaining = {n: e for n, e in remaining.items() if n not in write.added}
-            listed = {n for values in chunks.values() for n in values}
+            listed = {n for values in entries_by_key.values() for n in values}
             assert listed >= registered - removed, "no machine is ever missing from the registry"
             steps += 1
             assert steps < 20
-        assert {n for values in chunks.values() for n in values} == registered - removed | set(new_entries)
-        assert all(json_size(values) <= SMALL_VALUE_BYTES for values in chunks.values())
+        assert {n for values in entries_by_key.values() for n in values} == registered - removed | set(new_entries)
+        assert all(json_size(values) <= SMALL_VALUE_BYTES for values in entries_by_key.values())
 
 
 def test_new_machines_get_work_while_their_registry_chunk_is_full() -> None:
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.until_leader()
-        chunks: dict[str, dict[str, Any]] = {}
+        entries_by_key: dict[str, dict[str, Any]] = {}
         for number in range(1200):
-            chunk = chunks.setdefault(registry_key(f"m-{number}"), {})
-            if len(chunk) < 27:
-                chunk[f"m-{number}"] = registry_entry(number)
-        for key, entries in chunks.items():
+            value = entries_by_key.setdefault(registry_key(f"m-{number}"), {})
+            if len(value) < 27:
+                value[f"m-{number}"] = registry_entry(number)
+        for key, entries in entries_by_key.items():
             simulation.store.rev += 1
             simulation.store.kv[key] = (entries, simulation.store.rev, None)
             simulation.store.log.append((simulation.store.rev, key, entries, True))
@@ -381,7 +382,7 @@
 
 
 def test_progress_is_written_rarely_and_the_end_at_once() -> None:
-    """Guards against a record write at each change of a job, which used up the store's write rate and delayed
+    """Guards against writing a job's record at each change of the job: that used up the store's write rate and delayed
     submissions."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
--- a/tests/scenarios/test_upgrade.py
+++ b/tests/scenarios/test_upgrade.py
@@ -191,14 +191,14 @@
 
 
 def test_finished_tasks_recorded_by_an_old_leader_are_kept() -> None:
-    """The previous version writes all finished tasks into the record. Guards against leaving them out of the chunks
-    beside the record."""
+    """The previous version writes all finished tasks into the record. Guards against losing them when this version
+    moves the finished tasks of a record into chunks."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         shards = 9000
         await simulation.submit(job("run-big", shards=shards, vcpus=7.0, expectedRunS=500.0))
-        node = simulation.controllers[await simulation.until_leader()]
-        assert node.cluster is not None
+        controller = simulation.controllers[await simulation.until_leader()]
+        assert controller.cluster is not None
         simulation.store.rev += 1
         simulation.store.kv["s/d/run-big/0"] = ("0-99", simulation.store.rev, None)
         simulation.store.log.append((simulation.store.rev, "s/d/run-big/0", "0-99", True))
@@ -211,11 +211,11 @@
             simulation.kill(label)
             await trio.sleep(0.3)
             simulation.start(label)
-            node = simulation.controllers[await simulation.until_leader()]
-            assert node.cluster is not None
-            done = node.cluster.jobs["run-big"].done
+            controller = simulation.controllers[await simulation.until_leader()]
+            assert controller.cluster is not None
+            done = controller.cluster.jobs["run-big"].done
             assert done.count == 200 and 0 in done and 299 in done
-            node.cluster.pending_writes.records.add("run-big")
+            controller.cluster.pending_writes.records.add("run-big")
             await trio.sleep(9)
         assert simulation.store.kv["s/j/run-big"][0]["d"] == "", "the record is short again"
 
@@ -223,7 +223,7 @@
 
 
 def test_gang_starts_once_across_a_rollback() -> None:
-    """No gang is submitted before all controllers are upgraded, but an operator may roll back later."""
+    """Gangs are submitted only once all controllers are upgraded, but an operator may roll back later."""
 
     async def scenario(simulation: SimulatedCluster) -> None:
         await simulation.submit(job("run-g", shape="group", shards=6, oneZone=True, expectedRunS=30.0))
@@ -272,15 +272,15 @@
 
 def test_previous_version_reads_extra_registry_keys_and_ignores_small_chunks() -> None:
     entries = {f"m-{n:06d}": {"f": "c8", "a": f"10.0.0.{n}:9000", "z": "zone", "s": False} for n in range(60)}
-    registry_chunks: dict[str, dict[str, Any]] = {}
+    entries_by_key: dict[str, dict[str, Any]] = {}
     remaining = dict(entries)
     while remaining:
-        write = next_registry_write("s/m/07", registry_chunks, remaining, set(), 1800)
+        write = next_registry_write("s/m/07", entries_by_key, remaining, set(), 1800)
         assert write is not None
-        registry_chunks[write.key] = write.value
+        entries_by_key[write.key] = write.value
         for name in write.added:
             del remaining[name]
-    assert len(registry_chunks) == 3
+    assert len(entries_by_key) == 3
 
     async def compare_caches() -> None:
         previous_type = production.module("store.view").View
@@ -290,7 +290,7 @@
             (previous, previous.apply, previous.roster),
         ):
             cache.__dict__.update(keys={}, _chunk_keys={}, listeners=[], rev=0, finals={}, ended={}, _removed={})
-            for number, (key, value) in enumerate(registry_chunks.items()):
+            for number, (key, value) in enumerate(entries_by_key.items()):
                 apply(key, value, number + 1, True)
             apply("s/e/run-1/3", "1-5", 9, True)
             apply("s/j/run-1", {"s": job("run-1", shards=20_000)}, 10, True)
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -47,7 +47,7 @@
         controller = self.controllers.get(src)
         privileged = request.path == "/commands" or request.method == "POST" and request.path.startswith("/rentals")
         if privileged and isinstance(controller, Controller) and not controller.elector.valid():
-            self.violations.append(f"not entitled: {src} sends {request.path} at {trio.current_time():.1f}")
+            self.violations.append(f"not_leader: {src} sends {request.path} at {trio.current_time():.1f}")
 
     def _on_task_change(self, worker: FakeWorker, task_id: str, active: bool) -> None:
         job_id = task_id.rpartition("/")[0]
@@ -62,19 +62,19 @@
         if others:
             self.violations.append(f"ran_twice: {task_id} on {worker.name} and {others[0].name} at {now:.1f}")
         spec = self.specs[job_id]
-        zones = [w.zone for w in self.workers.values() for s in w.active_tasks if s.startswith(job_id + "/")]
+        zones = [w.zone for w in self.workers.values() for t in w.active_tasks if t.startswith(job_id + "/")]
         if spec["region"] not in (None, worker.zone) or (worker.spot and not spec["reclaimable"]):
             self.violations.append(f"wrong_place: {task_id} on {worker.name}")
         if spec["oneZone"] and len(set(zones)) > 1:
             self.violations.append(f"wrong_place: {task_id} in a second zone")
         if spec["scatter"] and zones.count(worker.zone) > (spec["shards"] + 1) // 2:
-            self.violations.append(f"wrong_place: too much of {job_id} in zone {worker.zone}")
+            self.violations.append(f"wrong_place: too many tasks of {job_id} in zone {worker.zone}")
         for team in self.teams:
             used = sum(
-                self.specs[s.rpartition("/")[0]]["vcpus"]
+                self.specs[t.rpartition("/")[0]]["vcpus"]
                 for w in self.workers.values()
-                for s in w.active_tasks
-                if self.specs[s.rpartition("/")[0]]["owner"] == team.name
+                for t in w.active_tasks
+                if self.specs[t.rpartition("/")[0]]["owner"] == team.name
             )
             if team.cpus_max and used > team.cpus_max + 1e-6:
                 self.violations.append(f"quota: {team.name} uses {used}")
@@ -100,11 +100,11 @@
             if not isinstance(controller, Controller) or controller.cluster is None:
                 continue
             index, machines = controller.cluster.index, controller.cluster.machines.values()
-            ready = {m.name for m in machines if m.usable}
+            usable = {m.name for m in machines if m.usable}
             free = {m.name for m in machines if m.usable and m.capacity_cpus - m.cpus > 1e-6}
             idle = {m.name for m in machines if not m.bound_count}
             for name, indexed, expected in (
-                ("ready", index.usable.names(), ready),
+                ("usable", index.usable.names(), usable),
                 ("free", index.free.names(), free),
                 ("idle", index.idle.names(), idle),
             ):
@@ -118,15 +118,15 @@
         if job_id is None:
             return
         if status == 404 and job_id in self.accepted:
-            self.violations.append(f"forgotten: {job_id}")
+            self.violations.append(f"accepted_job_unknown: {job_id}")
         if status not in (200, 201) or "phase" not in answer:
             return
         if job_id not in self.specs:
-            self.violations.append(f"invented: {job_id}")
+            self.violations.append(f"never_submitted: {job_id}")
         self.accepted.add(job_id)
         phase = answer["phase"]
         if job_id in self.final_phases and phase != self.final_phases[job_id]:
-            self.violations.append(f"went_back: {job_id} from {self.final_phases[job_id]} to {phase}")
+            self.violations.append(f"final_phase_changed: {job_id} from {self.final_phases[job_id]} to {phase}")
         if phase in ("done", "cancelled"):
             self.final_phases[job_id] = phase
             if phase == "cancelled":
