--- a/sorrelsill/workers/adoption.py
+++ b/sorrelsill/workers/adoption.py
@@ -29,8 +29,8 @@
     if ended is not None:
         adopt_ended(cluster, attempt, ended)
         return
-    # The size of such tasks is not known, so all free capacity of the machine counts toward every team's limit. It
-    # must not be given to other tasks before these are gone: that would hide what they use.
+    # The size of such tasks is not known, so all free capacity of the machine counts toward every team's limit.
+    # New tasks must not take that capacity before these tasks are gone: it would no longer cover what these tasks use.
     attempt.machine.holds_tasks_of_unknown_size = True
     cluster.request_stop(attempt, "its job is over or not known")
 
@@ -60,8 +60,10 @@
     other = job.bound.get(attempt.index)
     keep = 0 <= attempt.index < job.spec.task_count and attempt.index not in job.done
     if keep and other is not None:
-        # The later attempt was created only after the earlier one was proved gone. So the earlier one is a stale
-        # copy from a delayed heartbeat, and must not replace the later one.
+        # Of two attempts of earlier terms, the later one was created only after the earlier one was proved gone. So the
+        # earlier one comes from a stale, delayed heartbeat and must not replace the later one. An attempt of this term
+        # is never replaced: this leader bound it after all earlier attempts of the task were accounted for, and any
+        # attempt that this leader created later is in its records or proved gone.
         keep = (
             attempt.attempt_number > other.attempt_number
             and other.attempt_number >> constants.ATTEMPT_COUNTER_BITS < cluster.term
--- a/sorrelsill/workers/allocations.py
+++ b/sorrelsill/workers/allocations.py
@@ -9,7 +9,8 @@
 
 
 class Allocations:
-    """All changes of the resources allocated on machines, which keep machine, team usage and index consistent."""
+    """Allocates and releases resources on machines. Each change updates the machine, the usage of its teams and the
+    machine index together, so that they stay consistent."""
 
     def __init__(self, index: MachineIndex) -> None:
         self.by_team = BoundUsage()
--- a/sorrelsill/workers/attempt_index.py
+++ b/sorrelsill/workers/attempt_index.py
@@ -9,11 +9,11 @@
 
 
 class AttemptIndex:
-    """Updated whenever an attempt is added to a machine or removed from it."""
+    """The attempts on machines by job; updated whenever an attempt is added to a machine or removed from it."""
 
     def __init__(self) -> None:
-        # Exited attempts included, in order of insertion. A set would iterate in order of memory addresses, so two
-        # simulations with the same seed would differ.
+        # Job id -> its attempts in order of insertion, including exited ones. A dict is used as an ordered set: a plain
+        # set would iterate in order of memory addresses, so two simulations with the same seed would differ.
         self.by_job: dict[str, dict[Attempt, None]] = {}
         self.machines_with_unknown_tasks: dict[str, Machine] = {}  # machines with tasks of unknown jobs
 
--- a/sorrelsill/workers/call_pauses.py
+++ b/sorrelsill/workers/call_pauses.py
@@ -43,7 +43,8 @@
         return pause is not None and now < pause.ends_at and last_seen_at <= pause.failed_at
 
     def retry_at(self, name: str, now: float) -> float:
-        """Time from which the machine may be called again; soon if its last call did not fail."""
+        """Time from which the machine may be called again: the end of its pause, or `RETRY_PAUSE_S` from now if it has
+        none."""
         pause = self._by_machine.get(name)
         return now + constants.RETRY_PAUSE_S if pause is None else pause.ends_at
 
--- a/sorrelsill/workers/cluster_records.py
+++ b/sorrelsill/workers/cluster_records.py
@@ -6,8 +6,9 @@
 
 - a heartbeat reports it as exited;
 - a heartbeat shows a later incarnation;
-- a heartbeat lacks it, and its start command was sent only in responses to earlier heartbeats: a worker executes such
-  a command before its next heartbeat or never;
+- its worker reported it before, but a newer heartbeat or response to a direct call does not list it;
+- a heartbeat does not list it, and its start command was sent only in responses to earlier heartbeats: a worker
+  executes such a command before its next heartbeat or never;
 - the machine was returned or is listed as failed;
 - the worker's lease has expired since the last heartbeat that was answered.
 
@@ -81,7 +82,7 @@
 
     @property
     def others_may_renew_until(self) -> float:
-        """The time until which any controller may have renewed the workers' leases."""
+        """Latest time at which another controller may have renewed the workers' leases."""
         return self.leases.others_may_renew_until
 
     @others_may_renew_until.setter
@@ -110,7 +111,7 @@
         self.wake_scheduler = True
 
     def end_job(self, job_id: str) -> None:
-        """Remove a job whose end is committed: none of its tasks may start, and all that are left are stopped."""
+        """Remove a job whose end is committed to the key-value store, and stop its remaining attempts."""
         job = self._job_table.remove(job_id)
         self.pending_writes.record_not_due(job_id)
         if job is None:
@@ -138,7 +139,7 @@
     # --- binding ---
 
     def next_attempt_number(self) -> int:
-        """A number larger than all before, in this term and earlier ones, so none is used twice for a task."""
+        """Return a number larger than all of this and earlier terms, so that none is used twice for a task."""
         return self.counters.next_attempt_number()
 
     def bind(self, job: Job, index: int, machine: Machine, now: float, attempt_number: int | None = None) -> Attempt:
@@ -176,14 +177,15 @@
         self._allocations.allocate(attempt.machine, attempt.spec)
 
     def unbind(self, attempt: Attempt, now: float, requeue: bool = True) -> None:
-        """Release everything held by an attempt that is proved gone."""
+        """Release everything held by an attempt that is proved gone. Without effect if it holds nothing: its job is not
+        known, or it was unbound before."""
         machine, spec = attempt.machine, attempt.spec
         if spec is None:
             return
         attempt.spec = None
         if self.failover.unconfirmed:
-            # The attempt may come from a stale message. Then its task may run on an unconfirmed machine, and counts as
-            # unobserved again.
+            # If the attempt was read from a stale message, its task may run on an unconfirmed machine instead, and has
+            # to count as unobserved again.
             self.failover.invalidate_unobserved()
         self._allocations.release(machine, spec)
         ended = self.failover.ended.get(spec.job_id)
@@ -200,7 +202,7 @@
         self.wake_scheduler = True
 
     def gang_headroom_cpus(self, classes: Iterable[str]) -> float:
-        """CPUs needed for one more gang of each of these classes, as large as the largest one seen."""
+        """CPUs to keep free for one more gang of each of these classes, sized by the largest one of this term."""
         return self.largest_gangs.headroom_cpus(classes)
 
     def release_all(self, machine: Machine, now: float, reason: str) -> None:
@@ -232,7 +234,7 @@
         return machine
 
     def remove_machine(self, name: str, now: float, reason: str) -> None:
-        """Remove a machine that was returned (answered with 200) or is listed as failed. Machine names are never
+        """Remove a machine whose return was answered with 200 or that is listed as failed. Machine names are never
         reused, so any later message under this name is stale."""
         machine = self.machines.pop(name, None)
         if machine is not None:
@@ -245,14 +247,15 @@
         self.wake_scheduler = True
 
     def forget_machine(self, machine: Machine, now: float) -> None:
-        """Forget a machine that is lost and no longer listed. A later incarnation proves that it is alive; delayed
-        messages up to the last one known are rejected."""
+        """Forget a machine that is lost and no longer listed. Messages up to the last one received from it are rejected
+        as delayed; a message of a later incarnation proves that the machine is alive."""
         self._machine_table.remove(machine)
         self._discard_pending(machine.name)
         self.tombstones.record(machine.name, machine.incarnation, machine.sequence_number, now)
 
     def _discard_pending(self, name: str) -> None:
-        """Discard what is still to be done for a machine that is gone, and its unknown tasks."""
+        """Discard the pending commands, reclaim notice and pending registration of a machine that is gone, and remove
+        the machine from those with tasks of unknown jobs."""
         self._machine_table.forget_pending(name)
         self.attempts.machines_with_unknown_tasks.pop(name, None)
         self.pending_writes.registration_not_due(name)
@@ -273,8 +276,8 @@
     # --- stopping ---
 
     def stop_attempt(self, attempt: Attempt, reason: str, immediately: bool, wait_s: float = 0.0) -> None:
-        """Stop one task, regardless of others of its gang; `wait_s` is the time in seconds that it may need
-        in addition to its checkpoint."""
+        """Stop one task, regardless of others of its gang. A task with checkpoints gets time to save one first unless
+        `immediately` is set; `wait_s` is extra time in seconds, in which the stop can reach all tasks of a gang."""
         if attempt.stop_requested or attempt.exited:
             return
         spec = attempt.spec
--- a/sorrelsill/workers/cluster_state.py
+++ b/sorrelsill/workers/cluster_state.py
@@ -34,8 +34,8 @@
     def _watch_if_new(self, name: str) -> None:
         """Set the machine's lease timer if it has none.
 
-        An existing timer need not change: a message either postpones the machine's next check or makes the machine
-        usable, which resets the timer anyway."""
+        An existing timer need not change here: a message either postpones the machine's next check, or it makes the
+        machine usable, and then the machine table sets the timer."""
         machine = self.machines.get(name)
         if machine is not None:
             self.leases.watch_if_new(machine)
--- a/sorrelsill/workers/command_sender.py
+++ b/sorrelsill/workers/command_sender.py
@@ -1,9 +1,9 @@
 """Sends commands to workers in direct calls, so that a start does not wait for the next heartbeat.
 
 A worker may execute such a command minutes late, as long as fencing token and incarnation still match. So an attempt
-whose direct start is unanswered stays uncertain: a heartbeat that does not list it proves nothing, and it is never
-cleared. To end it, the same start is sent again in a heartbeat response (which cannot be executed late), followed by a
-stop."""
+whose direct start is unanswered stays uncertain: a heartbeat that does not list the attempt proves nothing, and the
+attempt is never cleared. To end such an attempt, the same start is sent again in a heartbeat response (whose commands
+cannot be executed late), followed by a stop."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 class CallLimits:
     """Limits on connections and on concurrent calls to workers.
 
-    The leader needs a socket for each machine's heartbeats, so its socket quota grows with the fleet, and the number of
-    probes after a failover grows with the quota. The number of commands in flight does not: with more of them, more
-    responses would only arrive at the same time."""
+    The leader needs a socket for each machine's heartbeats, so its socket quota has to grow with the fleet. The limits
+    on open connections and on probes in flight grow with that quota. The limit on commands in flight is fixed: a higher
+    one would only make more responses arrive at the same time."""
 
     connections: int  # connections to workers that stay open
     commands: int  # direct calls with commands in flight
@@ -61,7 +61,7 @@
         limits: CallLimits,
         on_response: Callable[[], None] = lambda: None,
     ) -> None:
-        """`client` opens a connection to an address. `leadership_valid` tells whether we may command workers now,
+        """`client` returns an HTTP client for an address. `leadership_valid` tells whether we may command workers now,
         `jobs_fresh` whether our view of the jobs is recent enough for starts. `on_response` is called after each
         response that was applied to the cluster state."""
         self._limits = limits
@@ -136,9 +136,9 @@
 
 
 def _may_be_called(machine: Machine) -> bool:
-    """Whether commands may be sent to the machine in direct calls. A machine whose heartbeat is overdue gets them with
-    its next heartbeat instead: otherwise some fifty machines that hang at once would occupy all calls for two seconds
-    each, and the commands for healthy machines would wait for their heartbeats."""
+    """Whether commands may be sent to the machine in direct calls. A machine whose heartbeat is overdue gets them in
+    the response to its next heartbeat instead: otherwise some fifty machines that hang at once would occupy all calls
+    for two seconds each, and healthy machines would get their commands only with their next heartbeats."""
     return (
         not machine.heartbeat_overdue
         and not machine.lease_expired
--- a/sorrelsill/workers/commands.py
+++ b/sorrelsill/workers/commands.py
@@ -17,7 +17,8 @@
     """The commands of one direct call."""
 
     commands: list[Command] = field(default_factory=list)
-    started: list[Attempt] = field(default_factory=list)  # may start at any time until the call is answered
+    # Attempts with a start in this batch; the worker may execute it at any time until the call is answered.
+    started: list[Attempt] = field(default_factory=list)
 
 
 def response_commands(cluster: ClusterRecords, machine: Machine, jobs_fresh: bool, now: float) -> list[Command]:
--- a/sorrelsill/workers/ended_jobs.py
+++ b/sorrelsill/workers/ended_jobs.py
@@ -11,8 +11,8 @@
 class EndedJob:
     """An ended job, and which of its tasks may still run unobserved.
 
-    Every task is counted once: tasks on machines that were heard from are bound there like any other, with the
-    resources of the job's spec."""
+    No task is counted twice: a task on a machine that was heard from is bound there and counts with the resources of
+    the job's spec; only the other tasks that are not gone count as unobserved."""
 
     __slots__ = ("_accounted", "spec")
 
@@ -31,6 +31,6 @@
             self._accounted.add(index)
 
     def mark_unobserved(self, index: int) -> None:
-        """Undo `mark_observed` after a stale, delayed heartbeat: the task itself may be on any machine."""
+        """Undo `mark_observed` after a stale, delayed heartbeat: the task may be on any unconfirmed machine."""
         if 0 <= index < self.spec.task_count:
             self._accounted.discard(index)
--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -54,7 +54,7 @@
         self.unconfirmed_addresses: dict[str, str] = {}
         self._unconfirmed_by_kind: dict[MachineKind, int] = {}
         self.ended: dict[str, EndedJob] = {}  # ended jobs whose tasks may still run on unconfirmed machines
-        self._all_ended_known = False  # no ended job outside `ended` can have left tasks there
+        self._all_ended_known = False  # no ended job outside `ended` can have left tasks running
         self._unobserved: _Unobserved | None = None  # None: to be computed when it is next needed
 
     def invalidate_unobserved(self) -> None:
@@ -71,7 +71,7 @@
             kind = MachineKind(entry.machine_type, entry.zone, entry.spot)
             if name in self.unconfirmed:
                 # The machine is in two keys of the registry. If it were counted twice but confirmed once, jobs from
-                # earlier terms that it may hold would get no new starts for the whole term.
+                # earlier terms whose tasks it may hold would get no new starts for the whole term.
                 self.confirm(name)
             self.unconfirmed[name] = kind
             self._unconfirmed_by_kind[kind] = self._unconfirmed_by_kind.get(kind, 0) + 1
@@ -91,7 +91,8 @@
 
     def forget_ended_jobs(self) -> None:
         """Forget the ended jobs once all machines are confirmed, since all their remaining tasks are bound then. Must
-        not be called while a heartbeat is processed: the last machine is confirmed before its tasks are adopted."""
+        not be called while a heartbeat is processed: the last machine is confirmed before its tasks are adopted, and
+        the adoption still needs the ended jobs."""
         if not self.unconfirmed:
             self.ended.clear()
 
@@ -127,8 +128,8 @@
         count for every team. If it always did, fifty silent machines would exhaust the limits of small teams for the
         duration of a lease.
 
-        Confirmed machines: all tasks are bound with their own sizes, including those of recently ended jobs. If these
-        were counted as the free capacity of their machine instead, other tasks could take that capacity. Tasks of
+        Confirmed machines: all tasks are bound with their own sizes, including those of recently ended jobs. Counting
+        the free capacity of the machine instead of these tasks would be wrong: other tasks could take it. Tasks of
         unknown jobs have no known size: for them the free capacity of their machine counts, and the machine gets no new
         tasks until they are gone."""
         if self._unobserved is None:
--- a/sorrelsill/workers/failures.py
+++ b/sorrelsill/workers/failures.py
@@ -44,7 +44,7 @@
         return blamed
 
     def is_suspect(self, others: int) -> bool:
-        """Whether the job itself is probably at fault; `others` is the number of its tasks that have not failed."""
+        """Whether the job itself is probably at fault; `others` is the number of its tasks now on machines."""
         return len(self.machines) >= constants.SUSPECT_MACHINES and self.failures >= others
 
     def _blame(self, machines: set[str]) -> set[str]:
--- a/sorrelsill/workers/gangs.py
+++ b/sorrelsill/workers/gangs.py
@@ -34,13 +34,14 @@
     if all(a.stop_requested for a in tasks):
         return
     if any(a.phase == TaskPhase.CHECKPOINTING for a in tasks):
-        # An earlier leader began a stop with a checkpoint and did not reach all tasks. If the others are stopped in
-        # time, all tasks checkpoint together; the gang has made no progress since the first was stopped.
+        # An earlier leader began to stop the gang with a checkpoint but did not reach all tasks. If the others are
+        # stopped in time, all tasks checkpoint together. That loses no work, since the gang has made no progress since
+        # its first task was stopped.
         log_event(log, logging.INFO, "stop_of_gang_continued", job=job.spec.job_id)
         stop_gang(cluster, job, "stopped by an earlier leader", False)
         return
     if not cluster.failover.is_reconciled(job):
-        return  # the missing task may be on an unconfirmed machine
+        return  # a task that is not bound may run on an unconfirmed machine
     complete = len(tasks) == job.spec.task_count and len({a.attempt_number for a in tasks}) == 1
     if complete and not any(a.stop_requested for a in tasks):
         return
@@ -62,7 +63,8 @@
 
 
 def can_checkpoint(job: Job) -> bool:
-    """Whether the gang can be stopped with a checkpoint: all tasks run and can be stopped at nearly the same time."""
+    """Whether the gang can be stopped with a checkpoint: its job has checkpoints, and all tasks run and can be stopped
+    at nearly the same time."""
     return (
         job.spec.checkpoint_interval_s > 0
         and len(job.bound) == job.spec.task_count
@@ -72,7 +74,8 @@
 
 
 def stop_gang(cluster: ClusterRecords, job: Job, reason: str, immediately: bool) -> None:
-    """Stop a gang, with a checkpoint to keep its progress if all its tasks can be reached, else immediately."""
+    """Stop a gang. Unless `immediately` is set, it saves a checkpoint first if it can (`can_checkpoint`) or if one of
+    its tasks is already checkpointing."""
     checkpointing = any(a.phase == TaskPhase.CHECKPOINTING for a in job.bound.values())
     can_keep_progress = can_checkpoint(job) or (checkpointing and job.spec.checkpoint_interval_s > 0)
     with_checkpoint = not immediately and can_keep_progress
@@ -83,8 +86,9 @@
 def gang_must_stop(job: Job, remaining_s: float) -> bool:
     """Whether a gang must be stopped now, because one of its machines is reclaimed in `remaining_s` seconds.
 
-    A gang that does not run yet is stopped immediately, and one that can checkpoint as late as is safe. If one of its
-    machines is unreachable, it is stopped at the last moment, as an earlier stop would only lose progress."""
+    A gang that does not run yet is stopped immediately, and one that can checkpoint as late as is safe. Any other gang
+    (without checkpoints, or with an unreachable machine) is stopped at the last moment, as an earlier stop would only
+    lose progress."""
     if not any(a.running_since is not None for a in job.bound.values()):
         return True
     if can_checkpoint(job):
@@ -93,7 +97,7 @@
 
 
 def gang_stop_cost(job: Job, now: float) -> float:
-    """Cost in seconds of stopping one task: the run time lost by all tasks of the gang, plus the restart overhead."""
+    """Cost in seconds of stopping one task: the run time lost by all tasks of the gang, plus their restart overhead."""
     return sum(now - a.running_since for a in job.bound.values() if a.running_since is not None) + (
         constants.PREEMPT_BASE_S * len(job.bound)
     )
--- a/sorrelsill/workers/heartbeats.py
+++ b/sorrelsill/workers/heartbeats.py
@@ -32,7 +32,8 @@
     same_incarnation = heartbeat.incarnation == machine.incarnation
     overtaken = same_incarnation and heartbeat.sequence_number < machine.sequence_number
     # A worker that gets no 200 from us tries the next controller. So a heartbeat that directly follows the last message
-    # in sequence shows that our responses reach the worker; after one that does not, new work waits for one that does.
+    # in sequence shows that our responses reach the worker. After a gap in the sequence the machine gets no new work
+    # until there is new proof, unless the last proof is recent (see `_apply_newest`).
     is_consecutive = same_incarnation and heartbeat.sequence_number == machine.sequence_number + 1
     machine.heartbeat_sequence_number = heartbeat.sequence_number
     machine.has_sent_heartbeat = True
@@ -64,8 +65,8 @@
         machine.sequence_number = heartbeat.sequence_number
         return
     if machine.incarnation and heartbeat.incarnation > machine.incarnation:
-        # Its lease expired although our calls reach it, so its heartbeats do not reach us: any work on it would be lost
-        # whenever the lease expires.
+        # The worker began a new incarnation, so its lease expired although our calls reach it: its heartbeats do not
+        # reach us. Any work on it would be lost whenever the lease expires, so it gets none before a heartbeat.
         machine.heartbeat_overdue = True
     _update_identity(cluster, machine, heartbeat, now)
     if machine.last_seen_at == float("-inf"):
@@ -168,7 +169,7 @@
     if machine.token_acknowledged:
         # An incarnation has a full lease from its start, which was before now, even if none of its heartbeats was
         # answered. Otherwise a machine whose heartbeats reach no controller, and which answers direct calls in its
-        # second incarnation, would be declared lost by the lease of its first.
+        # second incarnation, would be declared lost because the lease of its first has expired.
         machine.lease_renewed_at = now
     machine.lease_expired = False
     machine.heartbeat_sequence_number = -1
@@ -182,7 +183,8 @@
     machine.token_acknowledged = True
     machine.unacknowledged_since = None
     machine.reachable = reachable
-    machine.lease_renewed_at = now  # it may get work from now on, and its incarnation may have begun just now
+    # The lease counts from now: the machine may get work from now on, and its incarnation may have begun just now.
+    machine.lease_renewed_at = now
     if reachable:
         machine.reachability_proved_at = now
     if machine.registered or machine.name in cluster.failover.unconfirmed:
--- a/sorrelsill/workers/job.py
+++ b/sorrelsill/workers/job.py
@@ -106,7 +106,8 @@
         return None
 
     def new_starts_allowed(self) -> int:
-        """How many more of its tasks may be started now; few if the job probably fails on every machine."""
+        """Upper bound on how many more of its tasks may be started now; low if the job is suspect: it probably fails
+        on every machine."""
         bound = len(self.bound)
         return constants.SUSPECT_JOB_TASKS - bound if self.failures.is_suspect(bound) else self.spec.task_count
 
--- a/sorrelsill/workers/job_table.py
+++ b/sorrelsill/workers/job_table.py
@@ -13,7 +13,7 @@
         self.jobs: dict[str, Job] = {}
         self.gangs: dict[str, Job] = {}  # the live jobs whose tasks run only all together
         self.largest_gangs = LargestGangs()
-        self._changed: dict[str, None] = {}  # ids, an ordered set: added, changed or ended since the last call
+        self._changed: dict[str, None] = {}  # ids of jobs changed since the last call; a dict as an ordered set
 
     def add(self, job: Job) -> None:
         """Add a live job."""
@@ -22,7 +22,8 @@
         if spec.is_gang:
             self.gangs[spec.job_id] = job
             if job.done.count:
-                # A gang's tasks complete together, but the previous version recorded them one by one.
+                # A gang's tasks complete together, but the previous version recorded them one by one. So if one is
+                # recorded as done, all are.
                 for index in range(spec.task_count):
                     job.done.add(index)
             self.largest_gangs.add(spec)
--- a/sorrelsill/workers/largest_gangs.py
+++ b/sorrelsill/workers/largest_gangs.py
@@ -28,7 +28,8 @@
         return self._by_class.get(job_class)
 
     def headroom_cpus(self, classes: Iterable[str]) -> float:
-        """CPUs needed for one more gang of each of these classes, as large as the largest one seen."""
+        """CPUs to keep free for one more gang of each of these classes: the CPUs of the largest ones, times
+        `GANG_HEADROOM`."""
         largest = (self._by_class.get(name) for name in classes)
         return constants.GANG_HEADROOM * sum(_total_cpus(spec) for spec in largest if spec is not None)
 
--- a/sorrelsill/workers/lease_monitor.py
+++ b/sorrelsill/workers/lease_monitor.py
@@ -29,7 +29,7 @@
         self.loss_s = loss_s
         self.overdue_s = overdue_s
         self.unreachable_after_s = loss_s / 2
-        self.others_may_renew_until = float("-inf")  # until when any controller may have renewed leases
+        self.others_may_renew_until = float("-inf")  # latest possible renewal by another controller
         self._earlier_leader_valid_until = term_began_at + validity_s
         self._failover = failover
         self._timers: Timers[Machine] = Timers()
@@ -84,7 +84,8 @@
         return min(overdue_at, self.lease_expires_at(machine))
 
     def _overdue_after_s(self, machine: Machine) -> float:
-        """Silence in seconds after which the heartbeat is overdue. This also applies to a machine that answers
-        direct calls but sends no heartbeats: its lease expires repeatedly, and its tasks are lost each time. Before its
-        first heartbeat in this term it gets longer, since after a failover its worker has to find the new leader."""
+        """Silence in seconds after which the heartbeat is overdue. Only heartbeats end the silence, not answers to
+        direct calls: the lease of a machine that answers calls but sends no heartbeats expires repeatedly, and its
+        tasks are lost each time. Before its first heartbeat in this term a machine gets more time, since after a
+        failover its worker has to find the new leader."""
         return self.overdue_s if machine.has_sent_heartbeat else max(self.overdue_s, self.unreachable_after_s)
--- a/sorrelsill/workers/loss.py
+++ b/sorrelsill/workers/loss.py
@@ -15,7 +15,8 @@
 
 
 def expire_leases(cluster: ClusterRecords, now: float) -> list[Machine]:
-    """Declare lost the machines that have been silent for longer than the workers' lease. Returns these machines."""
+    """Declare lost the machines that have been silent for longer than the workers' lease. Returns these machines; none
+    if the last check was less than `LEASE_CHECK_INTERVAL_S` ago."""
     if not cluster.leases.begin_check_if_due(now):
         return []
     cluster.failover.invalidate_unobserved()
@@ -78,9 +79,9 @@
 
 
 def receives_no_heartbeats(cluster: ClusterRecords, now: float, limit_s: float) -> bool:
-    """Whether there were heartbeats in this term, but none from any worker for `limit_s` seconds. The silence of a
-    single machine proves nothing. A leader that never received a heartbeat is not replaced either, because another
-    leader would be no better."""
+    """Whether there were heartbeats in this term, but none from any worker for `limit_s` seconds. False while
+    fewer than `NO_HEARTBEAT_MACHINES` machines have a lease, since the silence of few machines proves nothing about
+    this leader. Also false for a leader that never received a heartbeat: another leader would be no better."""
     if (
         cluster.last_heartbeat_at is None
         or now - max(cluster.last_heartbeat_at, cluster.others_may_renew_until) <= limit_s
@@ -106,9 +107,11 @@
 
 
 def _must_stop_now(cluster: ClusterRecords, attempt: Attempt, spec: JobSpec, reclaim_at: float, now: float) -> bool:
-    """Whether a task has to be stopped now. A running task that can save a checkpoint is stopped as late as is safe.
-    Any other is stopped at once, unless it will probably complete before the machine is reclaimed; then it is stopped
-    shortly before that."""
+    """Whether a task has to be stopped now, because its machine is reclaimed at `reclaim_at`.
+
+    For a gang's task, `gang_must_stop` decides. A task that does not run yet is stopped at once, and a running task
+    with checkpoints as late as is safe. A running task without checkpoints is stopped at once, unless it will probably
+    complete before the reclaim; if it has not completed by then, it is stopped shortly before the reclaim."""
     remaining_s = reclaim_at - now
     if spec.is_gang and attempt.job_id in cluster.gangs:
         return gang_must_stop(cluster.gangs[attempt.job_id], remaining_s)
--- a/sorrelsill/workers/machine.py
+++ b/sorrelsill/workers/machine.py
@@ -61,7 +61,7 @@
     index: int
     attempt_number: int
     machine: Machine
-    spec: JobSpec | None  # None if the job has ended or is unknown: the task can only be stopped
+    spec: JobSpec | None  # None if the job is unknown (the task can only be stopped) or the attempt was unbound
     created_at: float
     phase: TaskPhase = TaskPhase.SENT
     reported_phase: str = ""  # the phase as last reported by the worker, to skip repeated reports
@@ -131,12 +131,15 @@
         self.token_may_be_inherited = False
         # Receipt time of the first heartbeat while our fencing token was not acknowledged; None once it is.
         self.unacknowledged_since: float | None = None
-        self.lease_renewed_at: float | None = None  # receipt time of the last heartbeat that we answered
+        # Time from which its lease is counted: receipt time of the last heartbeat that we answered, or of a later
+        # message that acknowledged our fencing token or began an incarnation; before any of these, of the first
+        # response to a direct call. None if there was none of these.
+        self.lease_renewed_at: float | None = None
         # Its attempts are certainly on it: it reported them with our term as its highest fencing token.
         self.attempts_verified = False
         self.attempts: dict[AttemptKey, Attempt] = {}
         self.bound_count = 0  # attempts that have resources allocated on it
-        self.unknown_tasks = 0  # tasks of ended or unknown jobs that are still on it
+        self.unknown_tasks = 0  # tasks of unknown jobs that are still on it
         self.cpus = self.gpus = self.memory_gb = 0.0  # allocated
         self.capacity_cpus = self.capacity_gpus = self.capacity_memory_gb = self.cache_gb = 0.0
         self.images: OrderedDict[str, float] = OrderedDict()
--- a/sorrelsill/workers/machine_index.py
+++ b/sorrelsill/workers/machine_index.py
@@ -1,7 +1,7 @@
 """Indices of the machines: usable ones, by free CPUs, by cached image, and idle ones.
 
-Machines report changes of their usability, and code that changes allocations reports these. The leader can therefore
-find machines without scanning all of them."""
+Machines report changes of their usability to the index, and code that changes capacity or allocations reports those
+changes. So the leader can find machines without scanning all of them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.usable = MachineSet()  # machines on which new tasks may be placed
-        self.free = FreeMachines()  # those of them with free CPUs
+        self.free = FreeMachines()  # usable machines with free CPUs
         self.idle = MachineSet()  # machines without allocations, usable or not
         self._changed: dict[str, Machine] = {}  # machines changed since the demand was last computed
         self._machines_by_image: dict[str, MachineSet] = {}  # image -> machines that have it cached, as estimated
--- a/sorrelsill/workers/machine_probes.py
+++ b/sorrelsill/workers/machine_probes.py
@@ -1,7 +1,8 @@
 """Probes after a failover: a new leader sends its fencing token to the registered machines that have not acknowledged
 it yet.
 
-The response carries the machine's state. After it, the worker accepts nothing from an earlier leader."""
+The response carries the machine's state. Once a worker has received the token, it rejects commands of earlier
+leaders."""
 
 from __future__ import annotations
 
--- a/sorrelsill/workers/machine_sets.py
+++ b/sorrelsill/workers/machine_sets.py
@@ -32,7 +32,7 @@
             self._machines.append(machine)
 
     def discard(self, name: str) -> None:
-        """Remove a machine, if present. The last machine moves to its position."""
+        """Remove a machine, if present. The last machine of the list takes the freed position."""
         position = self._positions.pop(name, None)
         if position is None:
             return
@@ -112,13 +112,14 @@
 
     def __init__(self) -> None:
         self._classes = [MachineSet() for _ in range(FREE_CPU_CLASSES)]
-        self._class_of: dict[str, int] = {}  # by name
+        # Machine name -> class: the whole number of free CPUs, at most FREE_CPU_CLASSES - 1
+        self._class_of: dict[str, int] = {}
         # On-demand machines only, in millionths of a CPU: machine -> (zone, free CPUs)
         self._free_cpus_by_machine: dict[str, tuple[str, int]] = {}
         self._free_cpus_by_zone: dict[str, int] = {}  # zone -> free CPUs, in the same unit
 
     def update(self, machine: Machine) -> None:
-        """Insert a usable machine, or update its entry after a change of its free CPUs."""
+        """Insert a usable machine, or update its entry after a change of its free CPUs; a full machine is removed."""
         free = machine.capacity_cpus - machine.cpus
         if free <= AMOUNT_TOLERANCE:
             self.discard(machine.name)
--- a/sorrelsill/workers/machine_table.py
+++ b/sorrelsill/workers/machine_table.py
@@ -31,7 +31,7 @@
         self._apply_capacity(machine)
 
     def remove(self, machine: Machine) -> None:
-        """Remove a machine."""
+        """Remove a machine from the table and from all indices."""
         del self.machines[machine.name]
         self.index.delete(machine)
 
@@ -59,5 +59,6 @@
         if self.machines.get(machine.name) is machine:
             self.index.usable_changed(machine)
             if machine.usable:
-                # It was overdue or is new, so its next check is due earlier than the expiry of its lease.
+                # A machine whose heartbeat was overdue has its timer set for the expiry of its lease, and a new machine
+                # may have no timer. From now on the check is due earlier: when the heartbeat becomes overdue.
                 self._leases.watch(machine)
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -13,7 +13,7 @@
     """Phase of an attempt; the values are those on the wire. UNKNOWN stands for any other value and never leads
     to a decision."""
 
-    SENT = "sent"  # until the worker has reported the attempt
+    SENT = "sent"  # set by the controller until the worker has reported the attempt
     FETCHING = "pulling"
     WAITING = "waiting"
     RUNNING = "running"
@@ -123,16 +123,16 @@
 
 
 class HeartbeatResponse(msgspec.Struct, frozen=True):
-    """Response to a heartbeat. Renews the worker's lease unless its fencing token is lower than the highest that the
-    worker has seen."""
+    """Response to a heartbeat. Renews the worker's lease unless the response's fencing token is lower than the highest
+    one that the worker has seen."""
 
     fencing_token: int = msgspec.field(name="epoch")
     commands: list[Command] = msgspec.field(name="orders")
 
 
 class DirectCommands(msgspec.Struct, frozen=True):
-    """Body of a direct call to a worker. The worker executes the commands only in this incarnation; its lease is not
-    renewed."""
+    """Body of a direct call to a worker. The worker executes the commands only in this incarnation; a direct call does
+    not renew its lease."""
 
     fencing_token: int = msgspec.field(name="epoch")
     incarnation: int = msgspec.field(name="tenure")
--- a/sorrelsill/workers/pending_writes.py
+++ b/sorrelsill/workers/pending_writes.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class PendingWrites:
-    """The pending writes; each stays here until it is committed."""
+    """The pending writes; each stays here until it is committed or no longer needed."""
 
     records: set[str] = field(default_factory=set)  # ids of jobs whose record has to be written
     registrations: dict[str, Machine] = field(default_factory=dict)  # machines whose registry entry has to be written
--- a/sorrelsill/workers/reported_tasks.py
+++ b/sorrelsill/workers/reported_tasks.py
@@ -37,7 +37,8 @@
     if reported_count != len(attempts):
         _remove_unreported(cluster, machine, heartbeat, now, is_heartbeat)
     if machine.token_acknowledged and not machine.attempts_verified:
-        # Earlier messages may have been stale copies; this one is not, so its attempts are on the machine.
+        # Messages received before the worker acknowledged our fencing token may have been stale copies. This one is
+        # not, so the attempts that are still recorded are on the machine.
         machine.attempts_verified = True
         for attempt in attempts.values():
             attempt.verified = True
--- a/sorrelsill/workers/stopping.py
+++ b/sorrelsill/workers/stopping.py
@@ -12,8 +12,8 @@
 
 
 def stop(cluster: ClusterRecords, attempt: Attempt, reason: str, immediately: bool = False) -> None:
-    """Stop a task for preemption or draining. It saves a checkpoint first unless `immediately` is set. The tasks of a
-    gang are stopped together."""
+    """Stop a task for preemption, draining or a reclaim. A task whose job has checkpoints saves one first unless
+    `immediately` is set. The tasks of a gang are stopped together, as described in `stop_gang`."""
     if attempt.stop_requested or attempt.exited:
         return
     gang = cluster.gangs.get(attempt.job_id)
--- a/sorrelsill/workers/task_exits.py
+++ b/sorrelsill/workers/task_exits.py
@@ -1,5 +1,5 @@
-"""Handles the exit of a task: records its result, where it may be retried, and whether job or machine is at fault.
-No I/O; callers pass the current time."""
+"""Handles the exit of a task: records its result, which machine its job avoids next, and whether job or machine is at
+fault. No I/O; callers pass the current time."""
 
 from __future__ import annotations
 
@@ -86,8 +86,8 @@
                 break
     _blame_machines(cluster, job, failures.record_failure(machine.name, now))
     if failures.is_suspect(len(job.bound)):
-        # The other machines are probably not at fault: if the job avoided them all, it would wait although there is
-        # free capacity.
+        # The job itself is probably at fault, so it avoids only the machine of this failure from now on: if it avoided
+        # all machines on which it failed, it would wait although there is free capacity.
         job.avoided_machines = {machine.name: job.avoided_machines[machine.name]}
         wait_s = max(0.0, failures.next_retry_at - now)
         job.note(f"failed on all {len(failures.machines)} machines tried; next try in {wait_s:.0f} s")
--- a/sorrelsill/workers/term_counters.py
+++ b/sorrelsill/workers/term_counters.py
@@ -16,7 +16,7 @@
         self.first_bound_at: float | None = None
 
     def next_attempt_number(self) -> int:
-        """A number larger than all before, in this term and earlier ones, so none is used twice for a task."""
+        """Return a number larger than all of this and earlier terms, so that none is used twice for a task."""
         self._attempts_made += 1
         return (self._term << constants.ATTEMPT_COUNTER_BITS) + self._attempts_made
 
--- a/sorrelsill/workers/worker_connections.py
+++ b/sorrelsill/workers/worker_connections.py
@@ -34,9 +34,9 @@
         leadership_valid: Callable[[], bool],
         on_response: Callable[[], None],
     ) -> None:
-        """`client` opens a connection to an address; of all connections the `max_connections` used last stay open.
-        `leadership_valid` tells whether we may command workers now. `on_response` is called after each response that
-        was applied to the cluster state."""
+        """`client` returns a new HTTP client for an address; only the `max_connections` clients used last are kept, all
+        others are closed. `leadership_valid` tells whether we may command workers now. `on_response` is called after
+        each response that was applied to the cluster state."""
         self.busy: set[str] = set()  # machines with a call in flight
         self.pauses = CallPauses()
         self._make_client = client
@@ -46,7 +46,8 @@
         self._clients: OrderedDict[str, Client] = OrderedDict()
 
     def client(self, addr: str) -> Client:
-        """Return the connection to an address; open one if there is none."""
+        """Return the HTTP client for an address; create one if there is none, and close the least recently used client
+        if there are too many."""
         client = self._clients.get(addr)
         if client is None:
             client = self._clients[addr] = self._make_client(addr)
