--- a/sorrelsill/placement/candidates.py
+++ b/sorrelsill/placement/candidates.py
@@ -15,7 +15,7 @@
     from sorrelsill.placement.reservations import Reservations
     from sorrelsill.workers import ClusterState, Job, Machine, MachineSet, MachineUnion
 
-_SHARED_FETCH_FACTOR = 0.5  # ratio; of FETCH_WEIGHT, where another task on the machine is fetching the image already
+_SHARED_FETCH_FACTOR = 0.5  # ratio; part of FETCH_WEIGHT that counts if another task's fetch is shared
 
 
 class _MachineSampler:
@@ -152,8 +152,8 @@
             return False
         if not spec.zone_allows_another_task(machine.zone, job.zones):
             return False
-        # Without reservations, small tasks would take room as preemption frees it, and the victims would be evicted in
-        # vain.
+        # Without reservations, small tasks of other jobs would take the room that preemption frees, and the victims
+        # would be evicted in vain.
         return self._reservations.admits(job, machine, now) and self._gang_headroom.permits(job, machine, now)
 
     def _spreads(self, job: Job) -> bool:
--- a/sorrelsill/placement/gang_placement.py
+++ b/sorrelsill/placement/gang_placement.py
@@ -53,7 +53,7 @@
     """A machine and the number of gang tasks that it can take once all its tasks except services have ended."""
 
     tasks: int
-    spare_cpus: float  # free now, minus one for each service task
+    spare_cpus: float  # free now, minus one CPU for each service task
     machine: Machine
 
 
@@ -185,9 +185,9 @@
 
 
 def machines_to_hold(spec: JobSpec, placements: list[GangPlacement], machines: Iterable[Machine]) -> list[Machine]:
-    """Return the machines to hold for a gang that finds no room, or none if draining them would not make enough room.
-    The first zone in the order of `placements` where this is enough is taken; in it the machines with the most spare
-    CPUs are taken until the whole gang would fit."""
+    """Return the machines to hold for a gang that finds no room; none if draining `GANG_HOLD_MACHINES` machines makes
+    room for the whole gang in no zone. Takes the first zone, in the order of `placements`, where it does, and there the
+    machines with the most spare CPUs until the whole gang would fit."""
     by_zone: dict[str | None, list[_DrainedCapacity]] = {}
     for machine in machines:
         drained_capacity = _estimate_drained_capacity(machine, spec)
--- a/sorrelsill/placement/gang_scheduler.py
+++ b/sorrelsill/placement/gang_scheduler.py
@@ -47,7 +47,7 @@
         machine."""
         cluster, now, spec = cycle.cluster, cycle.now, job.spec
         if job.bound or cluster.attempts.has_live_attempts(spec.job_id):
-            return  # earlier attempts are still ending; until then their room and zone are not free
+            return  # attempts of an earlier start have not ended yet, so their room and zone are not free
         if not self._quotas.allows(cluster, spec, job.waiting):
             self._unschedulable[spec.job_id] = UnschedulableDemand(job, job.waiting, True)
             job.note(f"waiting: the limit of {spec.team} is reached")
@@ -108,7 +108,8 @@
     def _hold_machines_for_gang(self, cycle: SchedulingCycle, job: Job, placements: list[GangPlacement]) -> None:
         """Hold machines for a gang while they drain; otherwise small tasks would take the room as it becomes
         free, and the gang would never fit. Machines are held at once for latency-sensitive gangs, and for other gangs
-        once they are starved. No more are held once `GANG_HOLD_SHARE` of all machines are, so that arrays can go on."""
+        once they are starved. No more are held once `GANG_HOLD_SHARE` of the usable machines are, so that arrays can
+        still run."""
         spec, now, reservations = job.spec, cycle.now, self._reservations
         urgent = self._objectives.is_latency_sensitive(spec.job_class) or is_starved(job, now)
         if reservations.holds_machines_for(spec.job_id) or not urgent:
--- a/sorrelsill/placement/guaranteed_shares.py
+++ b/sorrelsill/placement/guaranteed_shares.py
@@ -1,7 +1,8 @@
 """Tracks which jobs are covered by their team's guaranteed share. No I/O.
 
 The covered jobs are the first ones of each team in order of submission, as many as fit into the share together. When a
-job is submitted or ends, only this boundary moves; the sum is not computed again."""
+job is submitted or ends, only the boundary between covered and uncovered jobs moves. The resources of the covered jobs
+are kept as a running total, so they are not summed again."""
 
 from __future__ import annotations
 
--- a/sorrelsill/placement/objectives.py
+++ b/sorrelsill/placement/objectives.py
@@ -42,8 +42,8 @@
         return sorted(targets)
 
     def next_objective(self, job: Job, now: float) -> NextObjective:
-        """Return the earliest completion target that the job can still meet. If it can meet none, all targets count as
-        missed, which orders it behind jobs that can still meet one, and `at` is the time of submission."""
+        """Return the earliest completion target that the job can still meet. If the job can meet none, all its targets
+        count as missed, since jobs with more missed targets are scheduled later, and `at` is the time of submission."""
         missed = 0
         for target_s in self.completion_targets_s(job):
             if job.submitted + target_s >= now + job.spec.expected_run_s:
--- a/sorrelsill/placement/order.py
+++ b/sorrelsill/placement/order.py
@@ -1,6 +1,6 @@
 """The order in which waiting jobs are scheduled: production jobs, then starved jobs, then jobs covered by their team's
-guaranteed share, then by priority; among equals by fewest missed objectives, then by least remaining work. No I/O;
-callers pass the current time."""
+guaranteed share, then by priority; among equals by fewest missed objectives, then by least remaining work,
+then by the earliest next objective. No I/O; callers pass the current time."""
 
 from __future__ import annotations
 
--- a/sorrelsill/placement/preemption.py
+++ b/sorrelsill/placement/preemption.py
@@ -79,7 +79,7 @@
         return objective.at > now and not can_wait_for_scale_out(job.spec, cluster.catalog, objective.at - now)
 
     def _runs_on_borrowed_capacity(self, victim: JobSpec, claimant: JobSpec) -> bool:
-        """Return whether the victim belongs to a borrowing team other than the claimant's. If it could not be
+        """Return whether the victim belongs to a borrowing team other than the claimant's. If such victims could not be
         preempted, arrays of borrowing teams could fill all machines while jobs of other teams with a deadline wait."""
         return victim.team != claimant.team and self._quotas.is_borrower(victim.team)
 
@@ -110,8 +110,8 @@
         candidates = [found for m in sampled if (found := self._select_victims(cluster, job, m, now)) is not None]
         if not candidates and len(machines) > len(sampled):
             self._reservations.record_failed_search(search_class, now)
-        # Machines without gang victims go first, since evicting one task stops its whole gang: otherwise, a service
-        # submitted under high load preempted one gang after the other.
+        # Machines without gang victims go first, since evicting one task of a gang stops the whole gang. Without this
+        # order, a service submitted under high load preempted one gang after the other.
         candidates.sort(
             key=lambda candidate: (any(a.job_id in cluster.gangs for a in candidate.attempts), candidate.cost)
         )
@@ -191,7 +191,7 @@
         self, cluster: ClusterState, job: Job, machine: Machine, now: float, count: int = 1
     ) -> VictimSet | None:
         """Return the cheapest victims whose eviction makes room for `count` tasks of the job on the machine; None if
-        none are found or needed."""
+        none are found or needed, or if victims on the machine are already being stopped for the job."""
         spec = job.spec
         preemption_reason = _preemption_reason(spec)
         if any(
@@ -269,13 +269,14 @@
 
 
 def _preemption_cost_s(cluster: ClusterState, attempt: Attempt, now: float) -> float:
-    """Return the seconds of work lost by evicting the attempt; for a gang task, the loss of all tasks of the gang."""
+    """Return the cost in seconds of evicting the attempt; for a gang task, the cost of stopping the whole gang."""
     gang = cluster.gangs.get(attempt.job_id)
     return gang_stop_cost(gang, now) if gang is not None else _lost_work_s(attempt, now)
 
 
 def _lost_work_s(attempt: Attempt, now: float) -> float:
-    """Return the seconds of work lost by evicting a task that is not part of a gang."""
+    """Return the cost in seconds of evicting a task that is not part of a gang: the time to save a checkpoint, or,
+    without checkpoints, the run time lost plus the restart overhead; 0 if the task does not run yet."""
     if attempt.running_since is None or attempt.spec is None:
         return 0.0
     if attempt.spec.checkpoint_interval_s > 0:
--- a/sorrelsill/placement/reservations.py
+++ b/sorrelsill/placement/reservations.py
@@ -127,7 +127,8 @@
         self._gang_holds = {m: hold for m, hold in self._gang_holds.items() if hold.job_id != job_id}
 
     def admits(self, job: Job, machine: Machine, now: float) -> bool:
-        """Return whether the machine is neither kept for other jobs nor avoided by this job after failures on it."""
+        """Return whether the job may start tasks on the machine: the machine is not reserved for another job, not held
+        for another gang unless this job has higher priority, and not avoided by this job after failures on it."""
         reservation = self._reserved.get(machine.name)
         if reservation is not None and reservation.job_id != job.spec.job_id and reservation.expires_at > now:
             return False
--- a/sorrelsill/placement/scheduler.py
+++ b/sorrelsill/placement/scheduler.py
@@ -97,7 +97,8 @@
 
     def run_cycle(self, cluster: ClusterState, now: float, clock: Callable[[], float], budget: float) -> bool:
         """Run one scheduling cycle: bind the waiting tasks that fit. `budget` is in seconds, measured with `clock`.
-        Return False if it was used up before all jobs were considered; the next call then continues there."""
+        Return False if it was used up before all jobs were considered; the next call then continues with the job at
+        which this one stopped."""
         started_at = clock()
         if not self._remaining_jobs:
             self._start_cycle(cluster, now)
@@ -231,8 +232,8 @@
 
     def _preempt_on_warm_machines(self, cycle: SchedulingCycle, job: Job) -> bool:
         """Preempt on warm machines (those that hold the image), once per job; return True while that room is awaited.
-        Room preempted on other machines is not awaited here: when it was, it was refused again and again after it had
-        become free."""
+        Room preempted on machines without the image is not awaited here: when it was, the job refused that room again
+        and again after it had become free, because of the image fetch."""
         job_id, now = job.spec.job_id, cycle.now
         if job_id not in self._warm_room_deadlines:
             warm = cycle.cluster.index.machines_with_image(job.spec.image)
@@ -242,6 +243,7 @@
 
 
 def _cpus_not_used_by_services(machine: Machine) -> float:
-    """Return the CPUs that are free once all tasks except those of services have ended."""
+    """Return the machine's free CPUs minus the CPUs of its service tasks, which do not end by themselves. Used to rank
+    machines: of two with the same free CPUs, the one with fewer CPUs used by services makes more room as it drains."""
     services = sum(a.spec.cpus for a in machine.attempts.values() if a.spec is not None and a.spec.is_service)
     return machine.capacity_cpus - machine.cpus - services
--- a/sorrelsill/placement/scheduling_cycle.py
+++ b/sorrelsill/placement/scheduling_cycle.py
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class SchedulingCycle:
-    """The cluster state, the current time and the job classes already found unschedulable in this cycle."""
+    """The cluster state, the current time and the equivalence classes already found unschedulable in this cycle."""
 
     cluster: ClusterState
     now: float
