--- a/sorrelsill/workers/ended_jobs.py
+++ b/sorrelsill/workers/ended_jobs.py
@@ -31,6 +31,6 @@
             self._accounted.add(index)
 
     def mark_unobserved(self, index: int) -> None:
-        """Undo `mark_observed` after a stale, delayed heartbeat: the task itself may be on any machine."""
+        """Undo `mark_observed` after a stale, delayed heartbeat: the task may be on any unconfirmed machine."""
         if 0 <= index < self.spec.task_count:
             self._accounted.discard(index)
