--- a/sorrelsill/jobs/admission.py
+++ b/sorrelsill/jobs/admission.py
@@ -1,8 +1,9 @@
 """Users' requests: submissions, polls and cancellations. Every controller serves them, not only the leader.
 
-An answer must never contradict an earlier one. So every answer, except that a job has ended, is based on a read of the
-key-value store that began after the request arrived (a read barrier), and every change is committed before it is
-answered. A request that can't be served now is refused at once with Retry-After (BusyError)."""
+An answer must never contradict an earlier one. So every answer about a job's state is based on a read of the key-value
+store that began after the request arrived (a read barrier), except the answer that the job has ended, since a final
+state never changes. Every change is committed before the user gets an answer. A request that can't be served now is
+refused at once with Retry-After (BusyError)."""
 
 from __future__ import annotations
 
--- a/sorrelsill/jobs/cancellations.py
+++ b/sorrelsill/jobs/cancellations.py
@@ -11,12 +11,13 @@
 `cancel_s` when the last renewed lease expires.
 
 Knowledge is guaranteed to be complete up to the latest of these times:
-- the time up to which our own watch cache is known to be fresh: it holds all that was committed before;
-- the earliest time over all peers of: the send time of our last request to which the peer listed everything that it
-  learnt since a time up to which our knowledge was complete already. With such answers from all peers the bound
-  advances even if no controller can reach the key-value store;
+- the time up to which our own watch cache is known to be fresh: the cache holds everything committed before that time;
+- for each peer, the send time of our last request that the peer answered with a list of everything that it learnt since
+  a time up to which our knowledge was already complete; the earliest of these send times over all peers counts. With
+  such answers from all peers the bound advances even if no controller can reach the key-value store;
 - the time up to which a peer's watch cache is known to be fresh, if that cache has followed the key-value store
-  without a gap since a time up to which our knowledge was complete already.
+  without a gap since a time up to which our knowledge was already complete;
+- `cancel_s` and a margin ago: the tasks of jobs that were cancelled earlier have ended, so nothing is left to stop.
 A restarted process does not know what the previous process learnt. So a peer that started after the time up to which
 our knowledge is complete does not advance the bound. Nor does a peer whose list is missing (previous version),
 malformed or truncated.
@@ -39,9 +40,9 @@
     """The cancellations that a peer reports; times are ages in seconds."""
 
     job_ids: list[str]
-    since_age_s: float  # the list is complete since then
-    followed_age_s: float | None  # since then its watch cache has followed every change
-    fresh_age_s: float | None  # up to then its watch cache is known to be fresh
+    since_age_s: float  # the list holds every cancellation that the peer learnt of since then
+    followed_age_s: float | None  # the peer's watch cache has followed every change since then
+    fresh_age_s: float | None  # the peer's watch cache holds every change committed before then
 
     def to_wire(self) -> dict[str, Any]:
         """Encodes it with the field names of the protocol between controllers."""
@@ -54,7 +55,7 @@
 
     @classmethod
     def from_wire(cls, raw: Any) -> PeerCancellations | None:
-        """Returns None if it is missing or malformed; it then guarantees nothing."""
+        """Returns None if the peer's report is missing or malformed: such a report guarantees nothing."""
         if not isinstance(raw, dict) or not _is_age(raw.get("back")):
             return None
         job_ids = raw.get("cancelled")
@@ -70,7 +71,7 @@
 
 
 class Cancellations:
-    """The cancelled jobs that this controller knows, and the time up to which they are guaranteed to be all."""
+    """The cancelled jobs that this controller knows, and the time up to which they are guaranteed to be complete."""
 
     def __init__(self, started_at: float, cancel_s: float, renew_s: float, peers: int) -> None:
         """`started_at`: start time of this process; `cancel_s`: seconds within which a cancelled task must have ended;
@@ -83,15 +84,15 @@
         self._complete_since = started_at  # `_learnt_at` holds all that this process learnt since then
         self._followed_since = float("inf")  # since then the watch cache has followed every change
         self._fresh_at = _NEVER
-        # Cancellations committed before this are known here, or their jobs are not live in our watch cache.
+        # Cancellations committed before this time are known here, or their jobs are not live in our watch cache.
         self._committed_known_until = _NEVER
-        # By peer: cancellations that it learnt of before this are known here.
+        # By peer: cancellations that the peer learnt of before this time are known here.
         self._peer_known_until = [_NEVER] * peers
 
     # --- own knowledge ---
 
     def add(self, job_id: str, now: float) -> bool:
-        """Records that a job is cancelled. Returns True if that was not known."""
+        """Records that a job is cancelled. Returns True if the cancellation was not known before."""
         if job_id in self._learnt_at:
             return False
         self._learnt_at[job_id] = now
@@ -127,7 +128,9 @@
         """Every cancellation that any controller learnt of before this time is known here, or its tasks have ended."""
         own = self._complete_until_without_peers(now)
         if self._started_at > own:
-            return own  # since then the previous process may have learnt of cancellations and reported them to users
+            # Between `own` and the start of this process, the previous process may have learnt of cancellations and
+            # reported them to users. The peers' lists need not contain these.
+            return own
         return max(own, min(self._peer_known_until, default=now))
 
     def may_renew(self, now: float) -> bool:
@@ -142,13 +145,13 @@
     # --- exchange with peers ---
 
     def peer_request(self, now: float) -> dict[str, Any]:
-        """The request to a peer: the age since which it has to list the cancellations that it learnt of."""
+        """The request to a peer: how many seconds back the peer has to list the cancellations that it learnt of."""
         age = (now - self._complete_until_without_peers(now)) * (1 + 4 * constants.CLOCK_DRIFT)
         return {"back": age + constants.PEER_TIMEOUT_S + constants.CANCEL_SLACK_S}
 
     def answer_peer(self, request: dict[str, Any], now: float) -> dict[str, Any]:
-        """Lists the cancellations learnt since the requested time. A list that is too long is omitted, never
-        truncated."""
+        """Lists the cancellations learnt since the requested time, or since the later time from which on the list is
+        complete. If the request is malformed or the list too long, the answer is empty; a list is never truncated."""
         back = request.get("back")
         if not _is_age(back):
             return {}
@@ -169,7 +172,8 @@
         reported = PeerCancellations.from_wire(answer)
         if reported is None:
             return []
-        # The peer computed the ages between `sent_at` and now: each is converted with the bound that guarantees less.
+        # The peer computed the ages at some time between `sent_at` and now. The later bound is used for the start of a
+        # period and the earlier one for its end, so that the result never promises more than the peer did.
         drift = 1 - constants.CLOCK_DRIFT * 2
         since = now - reported.since_age_s * drift
         new = [job_id for job_id in reported.job_ids if self.add(job_id, now)]
--- a/sorrelsill/jobs/chunk_garbage.py
+++ b/sorrelsill/jobs/chunk_garbage.py
@@ -19,7 +19,8 @@
         self._quarantine = quarantine
 
     def add_to(self, batch: WriteBatch) -> None:
-        """Adds deletions, each on condition that its job is not live."""
+        """Adds deletions, each on condition that its job is not live. Stops at the first job whose deletions do not fit
+        or are in quarantine."""
         for job_id in self._watch_cache.jobs_with_orphaned_chunks():
             keys = self._watch_cache.chunk_keys(job_id)[: batch.writes_left]
             change, size = f"chunks of {job_id}", _DELETE_BYTES * len(keys)
--- a/sorrelsill/jobs/job_record_writes.py
+++ b/sorrelsill/jobs/job_record_writes.py
@@ -115,15 +115,16 @@
         if fits:
             value = with_notes(value, job.notes, max(size, self._store.reduced_value_bytes))
             size = json_size(value) + _RECORD_OVERHEAD_BYTES
-        # Otherwise the job was accepted under a larger limit: its stored record stays unchanged until the job ends.
+        # If the record does not fit, the job was accepted under a larger limit: the stored record stays unchanged until
+        # the job ends.
         if job.chunked:
             chunks = chunk_writes(job, max_chunks, self._store.value_bytes)
         else:
             chunks = ChunkWrites(covered=set(job.unrecorded_small_chunks))
         size += sum(json_size(put.value) + _CHUNK_OVERHEAD_BYTES for put in chunks.puts)
         complete = chunks.covered >= job.unrecorded_small_chunks
-        # The record is written with or after the last of its chunks, never before: it may omit finished tasks that the
-        # stored record still holds.
+        # The record is written with or after the last of the job's due chunks, never before: the new record may omit
+        # finished tasks that so far only the stored record holds, so the chunks must hold these tasks first.
         return _LiveRecordWrite(job, value, size, running, chunks, fits and complete, complete, results)
 
     def _value_without_notes(self, job: Job, running: int) -> dict[str, Any]:
--- a/sorrelsill/jobs/job_status.py
+++ b/sorrelsill/jobs/job_status.py
@@ -79,13 +79,14 @@
         state = self.ended_state(job_id) or self._live_state(job_id)
         if state is not None:
             return Answer(200, state)
-        # Not live after the barrier: it ended long ago, or had not been accepted when the poll arrived.
+        # Not live after the barrier: the job ended and its final record is not cached, or the job had not been accepted
+        # when the poll arrived.
         final = await self._read_final(job_id)
         check_age(requested_at)
         if final is not None:
             self._watch_cache.remember_final(job_id, final.value)
             return Answer(200, self.ended_state(job_id) or JobAnswer())
-        # It may have been accepted during the read, and another controller may have reported that already.
+        # The job may have been accepted during the read, and another controller may have told the user so already.
         state = self._live_state(job_id)
         return Answer(200, state) if state is not None else no_such_job()
 
--- a/sorrelsill/jobs/machine_registry.py
+++ b/sorrelsill/jobs/machine_registry.py
@@ -2,11 +2,12 @@
 
 The registry consists of a fixed number of parts, and the hash of a machine's name decides its part. A part whose first
 key is full continues in further keys (`WatchCache.registry_keys`). The previous version reads every map under the
-prefix as entries, so its leader waits for machines in further keys too. But it removes entries from the first key only;
-an entry left in a further key makes the next leader wait for that machine in vain, until a leader of this version
-removes it from all keys.
+prefix as entries, so its leader waits for machines in further keys too. But that leader removes entries from the first
+key only; an entry left in a further key makes the next leader wait for that machine in vain, until a leader of this
+version removes it from all keys.
 
-A machine may be in two keys at any time: it is registered if any key holds it, and is removed from all of them."""
+A machine may have entries in two keys at any time: it is registered if any key holds an entry, and a deregistration
+removes the entries from all keys."""
 
 from __future__ import annotations
 
--- a/sorrelsill/jobs/record_writer.py
+++ b/sorrelsill/jobs/record_writer.py
@@ -1,8 +1,9 @@
 """The leader's writes: progress of live jobs, moves of ended jobs to their final key, and the registry of machines that
-may hold work. Every transaction has the condition `leader == term`, so one that arrives after the term fails.
+may hold work. Every transaction has the condition that the revision of the leader key is still this term, so a
+transaction that arrives after the term has ended fails.
 
 All writes keep to the limits of the key-value store, which may be reduced without notice. When the store refuses a
-transaction for its size, its changes are sent one by one, and a change that is refused alone is quarantined."""
+transaction for its size, the changes in it are sent one by one, and a change that is refused alone is quarantined."""
 
 from __future__ import annotations
 
@@ -76,9 +77,9 @@
         return due_records(self._cluster, self._store.writes.rate, trio.current_time())
 
     def _next_batch(self) -> WriteBatch:
-        """Collects due changes by priority: ended jobs, as users wait for them; registrations of machines, which get no
-        work before; jobs that started or stopped running; and progress, which leaves a reserve of the write rate for
-        the others."""
+        """Collects due changes by priority: ended jobs, since users wait for the results; changes of the machine
+        registry, since a machine gets no work before it is registered; jobs that started or stopped running; and last,
+        progress and deletions of orphaned chunks, which leave a reserve of the write rate for the other changes."""
         batch = WriteBatch(self._cluster.term, self._store.txn_ops)
         due = self.due_records()
         self._jobs.add_to(batch, due.ended)
@@ -91,15 +92,15 @@
 
     def _writes_beyond_reserve(self) -> int:
         """Number of writes that the rate allows now, less a reserve for the next urgent writes. The reserve is limited
-        to a share of the token bucket: at a low rate it would be the whole burst, and progress would never be
+        to a share of the burst: at a low rate a fixed reserve would take the whole burst, and progress would never be
         written."""
         bucket = self._store.writes
         reserve = min(constants.PROGRESS_RESERVE, int(bucket.burst * constants.PROGRESS_RESERVE_SHARE))
         return int(bucket.level()) - reserve
 
     async def _commit(self, batch: WriteBatch) -> TransactionResult | None:
-        """Returns None without a result. If the store did not answer, the watch cache will show whether the transaction
-        was committed; until then its changes stay due."""
+        """Returns None if the store returned no result. If the store did not answer, the watch cache will show
+        whether the transaction was committed; until then its changes stay due."""
         try:
             return await self._store.commit(batch.compares, batch.writes)
         except RefusedError as error:
--- a/sorrelsill/jobs/records.py
+++ b/sorrelsill/jobs/records.py
@@ -17,7 +17,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveRecord:
-    """The record of a live job. It must not get further fields: the previous version rewrites records from these."""
+    """The record of a live job. It must not get further fields: the previous version writes only the fields that it
+    knows when it updates a record, so others would be lost."""
 
     spec: dict[str, Any]  # the known fields of the submission
     done: str  # finished tasks as encoded by `TaskSet`; empty if they are kept in progress chunks
@@ -57,8 +58,8 @@
 
 
 def json_size(value: Any) -> int:
-    """Length of the value as JSON in bytes, at the most: counts every non-ASCII character as an escape sequence, since
-    it is not known how the store encodes them."""
+    """Upper bound of the length of the value as JSON, in bytes. Counts every non-ASCII character as an escape sequence,
+    since it is not known how the store encodes such characters."""
     raw = msgspec.json.encode(value)
     if raw.isascii():
         return len(raw)
--- a/sorrelsill/jobs/registry_writes.py
+++ b/sorrelsill/jobs/registry_writes.py
@@ -53,7 +53,8 @@
             self._add_part(batch, base, part)
 
     def _due_parts(self) -> dict[str, _DuePart]:
-        """The parts that have to change, by first key. Removes pending changes that need no write any more."""
+        """The parts that have to change; each dictionary key is the first registry key of a part. Also removes pending
+        changes that need no write any more."""
         pending = self._cluster.pending_writes
         due: dict[str, _DuePart] = {}
         for name in list(pending.deregistrations):
@@ -74,8 +75,8 @@
 
     def _add_part(self, batch: WriteBatch, base: str, part: _DuePart) -> None:
         stored = self._watch_cache.registry_keys(part.any_machine)
-        # Continues in further keys only when the store refuses a longer value: a leader of the previous version that
-        # finds a machine in two keys never counts it as heard from.
+        # A further key is used only for entries that would make a value longer than the store accepts: entries that are
+        # moved may be in two keys, and a leader of the previous version never confirms a machine that it finds twice.
         write = next_registry_write(
             base,
             {key: value for key, (value, _) in stored.items()},
@@ -90,7 +91,7 @@
         size = json_size(write.value) + len(write.key) + _KEY_OVERHEAD_BYTES
         if not self._quarantine.admits(batch, write.key) or not batch.has_room(max(1, len(stored)), 1, size):
             return
-        # Conditions on all keys of the part: an entry may be dropped from one key because another key holds it.
+        # The conditions cover all keys of the part: the write may drop an entry because another key also holds it.
         compares = [Compare(key, rev) for key, (_, rev) in stored.items()]
         if write.key not in stored:
             compares.append(Compare(write.key, 0))
@@ -99,8 +100,8 @@
         batch.add(write.key, compares, [Put(write.key, write.value)], size, on_commit)
 
     def _committed(self, write: RegistryWrite, added: list[tuple[Machine, int]], rev: int) -> None:
-        """Lets added machines get work unless they changed in the meantime. Deregistrations stay due until no key
-        holds the machine."""
+        """Lets added machines get work. A machine whose incarnation changed since the write was prepared is registered
+        again first. Deregistrations stay due until no key holds the machine."""
         cluster = self._cluster
         self._watch_cache.apply_change(write.key, write.value, rev, True)
         for machine, incarnation in added:
--- a/sorrelsill/jobs/submissions.py
+++ b/sorrelsill/jobs/submissions.py
@@ -1,5 +1,5 @@
-"""Submissions: those that arrive while a batch is being committed form the next batch. Each is answered once it is
-committed.
+"""Accepts submissions in batches: those that arrive while a batch is being committed form the next batch. Each
+submission is answered once the transaction with its job is committed.
 
 Submitting is idempotent: a repeated submission is answered with the job's current state."""
 
@@ -46,10 +46,10 @@
     deadline: float
     resolved: trio.Event = field(default_factory=trio.Event)
     answer: Answer | None = None
-    as_of: float = 0.0  # when the store request was sent that the answer is based on
+    as_of: float = 0.0  # send time of the store request that the answer is based on
 
     def resolve(self, answer: Answer, as_of: float) -> None:
-        """Answers without waiting for the rest of the batch, which would only make the answer older."""
+        """Answers at once: waiting for the rest of the batch would only make the answer older."""
         self.answer = answer
         self.as_of = as_of
         self.resolved.set()
@@ -92,7 +92,7 @@
         pending = await self._enqueue(spec)
         if pending.answer is None:
             raise BusyError("the state service did not take the job in time")
-        # Since the read or write that the answer is based on, other controllers may have reported a newer state.
+        # Other controllers may have reported a newer state after the read or write that this answer is based on.
         ended = self._status.ended_state(spec.job_id)
         if ended is not None:
             return Answer(200, ended)
@@ -168,7 +168,8 @@
                 return True
             return False
         except AmbiguousError:
-            # The transaction may have been committed: a record found there now is an accepted job, whoever wrote it.
+            # The transaction may have been committed: a job whose record is in the store now is accepted, whoever wrote
+            # the record.
             for job_id, group in by_job.items():
                 await self._resolve_known(job_id, group)
             return False
@@ -193,8 +194,9 @@
         return await self._store.commit(compares, writes)
 
     async def _admit_one_by_one(self, by_job: _ByJob) -> None:
-        """Retries a batch that the store refused for its size one job at a time, so that a job that is too long does
-        not block the others. A job that exceeds the limit, as it is known now, is rejected."""
+        """Retries the jobs of a batch that the store refused for its size one at a time, so that a job that is too long
+        does not block the others. A job that was refused alone is looked up or rejected if it exceeds the limit known
+        now; otherwise it gets no answer, and its user is told to retry later."""
         if len(by_job) > 1:
             for group in by_job.values():
                 await self._admit(group)
--- a/sorrelsill/jobs/user_answers.py
+++ b/sorrelsill/jobs/user_answers.py
@@ -58,7 +58,8 @@
 
 
 def is_out_of_date(as_of: float) -> bool:
-    """Whether an answer that is not final is based on a read or write that was sent at `as_of`, too long ago.
+    """Whether an answer is out of date since the read or write that it is based on was sent too long ago, at `as_of`.
+    Answers with a final state need no check, since a final state never changes.
 
     If the process was paused between the read or write and the answer, another controller may have told the user
     something newer in the meantime."""
--- a/sorrelsill/jobs/write_batch.py
+++ b/sorrelsill/jobs/write_batch.py
@@ -59,11 +59,11 @@
         self._on_failure.append(on_failure)
 
     def committed(self, rev: int) -> None:
-        """The transaction was committed at this revision."""
+        """Call this if the transaction was committed at this revision."""
         for on_commit in self._on_commit:
             on_commit(rev)
 
     def failed(self) -> None:
-        """The transaction is not known to be committed."""
+        """Call this if the transaction is not known to be committed."""
         for on_failure in self._on_failure:
             on_failure()
--- a/sorrelsill/jobs/write_quarantine.py
+++ b/sorrelsill/jobs/write_quarantine.py
@@ -32,7 +32,7 @@
         return change not in self._until and not (self._single_change_batches and batch.changes)
 
     def batch_sent(self) -> None:
-        """Call this for each batch that is sent to the store."""
+        """Call this before each batch is sent to the store."""
         self._single_change_batches = max(0, self._single_change_batches - 1)
 
     def refused(self, batch: WriteBatch, error: RefusedError, now: float) -> None:
