--- a/sorrelsill/store/client.py
+++ b/sorrelsill/store/client.py
@@ -138,8 +138,8 @@
 
 
 class KeyValueStore:
-    """Sends requests within a rate budget. Urgent requests (lease renewals) never wait for the budget, but the tokens
-    that they take delay the other requests."""
+    """Sends requests within a rate budget. Urgent requests (such as lease renewals) do not wait for the budget, but
+    take tokens from it, which delays the other requests."""
 
     def __init__(self, client: Client, limits: StateLimits, nodes: int) -> None:
         self._client = client
@@ -200,7 +200,7 @@
             self._note_failure(sent_at)
             raise AmbiguousError(str(error)) from None
         if status == 429:
-            # A throttled request shows that the store is reachable: other clients use the rate as well.
+            # The store is reachable, and only throttles this request, since other clients use its rate as well.
             self.last_reachable_at = max(self.last_reachable_at, sent_at)
             self.requests.drain()
             raise UnavailableError("throttled", throttled=True)
@@ -219,7 +219,8 @@
             self.failing_since = at
 
     def failing_for(self) -> float:
-        """Seconds since the store was last known to be reachable; 0 if the latest request succeeded."""
+        """Seconds for which requests have been failing: since the first failed request was sent after the last success,
+        or since a later request that was throttled. 0 if none has failed since the last success."""
         if self.failing_since is None:
             return 0.0
         return trio.current_time() - max(self.failing_since, self.last_reachable_at)
@@ -276,8 +277,8 @@
         raise self._make_refusal(status, answer.get("error"), writes)
 
     def _on_throttled(self, with_writes: bool) -> None:
-        """Empties the write budget. Either other clients use the rate as well, or the store lowered it, so a throttled
-        write also reduces the write rate."""
+        """Empties the write budget. A throttled write also reduces the assumed write rate: other clients may have
+        used up the rate, but the store may also have lowered it."""
         self.writes.drain()
         if with_writes and self._reduced_write_rate < self._write_rate:
             log_event(log, logging.INFO, "store_write_rate_reduced", writes_per_s=self._reduced_write_rate)
--- a/sorrelsill/store/ended_jobs.py
+++ b/sorrelsill/store/ended_jobs.py
@@ -45,8 +45,8 @@
             self._ended.popitem(last=False)
 
     def within(self, window_s: float, complete_since: float, now: float) -> EndedRecords:
-        """The jobs that ended within the last `window_s` seconds. `complete_since`: time since which no end was
-        missed."""
+        """The jobs that ended within the last `window_s` seconds. `complete_since`: time since which the watch
+        cache has missed no end of a job."""
         complete = now - window_s >= complete_since and window_s <= self._keep_s
         records = [(i, job.last_record) for i, job in self._ended.items() if now - job.ended_at <= window_s]
         return EndedRecords(records, complete)
--- a/sorrelsill/store/keys.py
+++ b/sorrelsill/store/keys.py
@@ -5,9 +5,9 @@
 s/d/<uid>/<n>  progress chunk: finished tasks of a very large job, 16,384 tasks per key
 s/e/<uid>/<n>  small progress chunk, 4,096 tasks per key; used only where the store refuses longer values
 s/f/<uid>      the final record of an ended job, never deleted
-s/m/<part>     machine registry: machines that may have been given work. A machine's name is hashed to a part, and
-               each part is one map. A full part continues in s/m/<part>.1, s/m/<part>.2 and so on; a machine may
-               have entries in more than one of these keys
+s/m/<part>     machine registry: machines that may hold work. A machine's name is hashed to a part, and each part is
+               one map. A full part continues in s/m/<part>.1, s/m/<part>.2 and so on; a machine may have entries in
+               more than one of these keys
 s/catalog      the machine types as last read from the cloud
 """
 
--- a/sorrelsill/store/watch_cache.py
+++ b/sorrelsill/store/watch_cache.py
@@ -106,7 +106,8 @@
         return by_key
 
     def registered_machines(self) -> list[tuple[str, Any]]:
-        """The machines that may have been given work, and their entries as stored."""
+        """The machines in the registry, and their entries as stored. An earlier leader may have assigned tasks to any
+        of them, since a machine is registered before it gets work."""
         values = [v for k, (v, _) in self.keys.items() if k.startswith(REGISTRY_PREFIX) and isinstance(v, dict)]
         return [(name, entry) for value in values for name, entry in value.items()]
 
@@ -129,9 +130,9 @@
 
     def apply_change(self, key: str, value: Any, rev: int, present: bool) -> None:
         """Applies one change. Responses may arrive out of order, so a change that is older than the cached value has no
-        effect. A change at or below the revision of the cache has none either, since the key may have been removed
-        later: a late response to the write of a job's record would otherwise bring the job back after the watch has
-        returned its cancellation."""
+        effect. A change at or below the revision of the cache has no effect either, since the key may have been removed
+        after it: a late response to the write of a job's record would otherwise bring the job back after the watch has
+        returned the job's cancellation."""
         if key.startswith(FINAL_PREFIX):
             if present:
                 self.remember_final(key[len(FINAL_PREFIX) :], value)
@@ -140,14 +141,14 @@
         if rev <= self.rev or current is not None and current.rev >= rev:
             return
         if self._removed.get(key, -1) >= rev:
-            # The job was cancelled by this process before the watch returned its record. Its tasks may still keep
-            # running for a while, so it is recorded as ended.
+            # This process cancelled the job before the watch returned the job's record. Tasks of the job may still run
+            # for a while, so the job is recorded as ended, to be counted toward the quota of its team.
             if present and key.startswith(JOB_PREFIX) and key[len(JOB_PREFIX) :] not in self.ended_jobs:
                 self._record_end(key[len(JOB_PREFIX) :], value)
             return
         if not present:
             # Without this, a watch response already in flight would bring back a job that this process cancelled
-            # before the watch returned its record.
+            # before the watch returned the job's record.
             self._removed[key] = rev
         if present:
             self.keys[key] = VersionedValue(value, rev)
@@ -179,7 +180,8 @@
         return self.ended_jobs.within(window_s, self.complete_since, trio.current_time())
 
     async def _load(self) -> None:
-        """Reads all live keys. Final records are not read, since their number is not bounded."""
+        """Reads all live keys, and removes cached keys that the store no longer has. Final records are not read, since
+        their number is not bounded."""
         stored: dict[str, VersionedValue] = {}
         sent_at = trio.current_time()
         base_rev: int | None = None
@@ -219,8 +221,8 @@
             log_event(log, logging.DEBUG, "view_followed", revision=self.rev, changes=changes, took_s=took_s)
 
     def _advance_to(self, rev: int) -> None:
-        """Sets the revision of the cache. Changes at or below it have no effect from now on, so removals up to it need
-        not be remembered."""
+        """Sets the revision of the cache. Changes at or below this revision have no effect from now on, so removals up
+        to this revision need not be remembered."""
         self.rev = rev
         if self._removed:
             self._removed = {k: r for k, r in self._removed.items() if r > rev}
@@ -228,8 +230,8 @@
     # --- watching the store ---
 
     async def _watch_once(self, hold_s: float, timeout_s: float) -> None:
-        """Applies the changes since the revision of the cache. If the store no longer has them, all keys are
-        loaded again in the next iteration of `run`."""
+        """Applies the changes since the revision of the cache. If the store no longer has these changes, all keys
+        are loaded again in the next iteration of `run`."""
         sent_at = trio.current_time()
         result = await self._store.watch(ALL_KEYS, self.rev, hold_s, timeout_s)
         if result is None:
@@ -243,8 +245,8 @@
         interval_s = 1.0 / (constants.WATCH_SHARE * self._store.requests.rate)
         while True:
             try:
-                # Each change ends a watch: without a pause, hundreds of changes per second would use up the whole
-                # request rate.
+                # The store answers a watch at the first change: without a pause between watches, hundreds of changes
+                # per second would use up the whole request rate.
                 await trio.sleep_until(max(last_started_at + interval_s, trio.current_time()))
                 last_started_at = trio.current_time()
                 if not self.loaded:
@@ -266,9 +268,9 @@
         return len(self._barrier_waiters)
 
     async def read_barrier(self) -> bool:
-        """Linearizable read barrier. If it returns True, the cache holds every change committed before this call. One
-        read of the store serves all callers that were waiting when it began; the rate of these reads is limited per
-        controller."""
+        """Linearizable read barrier. Returns True if the cache now holds every change committed before this call. One
+        read of the store serves all callers that were waiting when the read began; the rate of these reads is limited
+        per controller."""
         event = trio.Event()
         self._barrier_waiters.append(event)
         self._barrier_requested.set()
