--- a/sorrelsill/http/client.py
+++ b/sorrelsill/http/client.py
@@ -37,7 +37,7 @@
 
 
 async def connect_tcp(addr: str) -> trio.abc.Stream:
-    """Opens a TCP connection to a numeric address. No name is resolved, so no thread is needed."""
+    """Opens a TCP connection to a numeric address. Names are not resolved, since that would need a thread."""
     sock = trio.socket.socket()
     try:
         await sock.connect(split_addr(addr))
--- a/sorrelsill/http/heads.py
+++ b/sorrelsill/http/heads.py
@@ -2,8 +2,9 @@
 
 At some 500 requests per second, h11's parsing and encoding of heads took most of a leader's CPU time, and most heads
 occur many times. So h11 handles the same plain head only once, and the result is cached. A head is plain if it is
-HTTP/1.1, keeps the connection open, and has a body of a given length or none. For any other head the parsers return
-None, and h11 handles the rest of that connection."""
+HTTP/1.1, keeps the connection open, and has a body of a given length or none; a plain request is a GET or a POST. For
+any other head the parsers return None. Then h11 handles the rest of the connection in the server, and that response in
+the client."""
 
 from __future__ import annotations
 
@@ -20,7 +21,7 @@
 _PLAIN_HOST = re.compile(r"[0-9.:]+")
 _CONNECTION_HEADERS = frozenset(
     {b"connection", b"transfer-encoding", b"expect", b"upgrade"}
-)  # change how the rest of the connection is read
+)  # headers that change how the rest of the connection is read
 
 
 @dataclass(slots=True, frozen=True)
@@ -54,7 +55,7 @@
 
 @lru_cache(maxsize=constants.HEAD_CACHE_SIZE)
 def parse_request_head(head: bytes) -> RequestHead | None:
-    """Parses the head of a request. Returns None if it is not plain or malformed."""
+    """Parses the head of a request. Returns None if the head is malformed or not plain."""
     conn = h11.Connection(h11.SERVER)
     conn.receive_data(head)
     try:
@@ -72,7 +73,7 @@
 
 @lru_cache(maxsize=constants.HEAD_CACHE_SIZE)
 def parse_reply_head(head: bytes) -> ReplyHead | None:
-    """Parses the head of a response. Returns None if it is not plain or malformed."""
+    """Parses the head of a response. Returns None if the head is malformed or not plain."""
     conn = h11.Connection(h11.CLIENT)
     conn.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
     conn.send(h11.EndOfMessage())
@@ -116,8 +117,8 @@
 
 
 def encode_request_head(method: str, target: str, host: str, length: int) -> bytes:
-    """Encodes the head of a request: a cached template, the host and the length of the body. A target with a query
-    rarely occurs again, so it is not cached, since it would only evict the others."""
+    """Encodes the head of a request: a cached template, the host and the length of the body. A head whose target has
+    a query is not cached: it rarely occurs again, and would only evict others."""
     if "?" in target or not _PLAIN_HOST.fullmatch(host):
         head = _encode_with_h11(method, target, host, length > 0)
     else:
--- a/sorrelsill/http/server.py
+++ b/sorrelsill/http/server.py
@@ -35,7 +35,7 @@
     body: bytes = b""
     headers: list[tuple[str, str]] = field(default_factory=list)
     content_type: str = "application/msgpack"
-    owner: str = ""  # client (a worker's machine) that owns the connection from now on, instead of its previous one
+    owner: str = ""  # machine whose worker owns this connection from now on; empty: the owner stays as it is
 
 
 Handler = Callable[[Request], Awaitable[Reply]]
@@ -63,8 +63,9 @@
 class Server:
     """Serves one handler on any stream, with at most `max_connections` connections.
 
-    A worker owns its connection. It has only one: a new one closes the previous one, which may be dead after a network
-    partition. An owned connection is never closed to make room for others."""
+    A worker owns its connection, and has only one: a new connection closes the worker's previous one, which may be dead
+    after a network partition, unless a request on that one is being answered. An owned connection is never closed to
+    make room for others."""
 
     def __init__(
         self, handler: Handler, max_connections: int, name: str = "http", owner_idle_s: float = constants.IDLE_TIMEOUT_S
@@ -119,9 +120,9 @@
             del self._by_owner[connection.owner]
 
     def _assign_owner(self, connection: _Connection, owner: str) -> None:
-        """Makes a worker the owner of the connection, and closes its previous one unless that is busy. Otherwise, if
-        half of the machines reconnect after a network partition, their dead connections and the new ones together
-        exceed the socket quota."""
+        """Makes a worker the owner of the connection, and closes the worker's previous connection unless that one is
+        busy. If the dead connections stayed open while half of the machines reconnect after a network partition, old
+        and new connections together would exceed the socket quota."""
         if connection.owner == owner:
             return
         previous = self._by_owner.get(owner)
@@ -158,8 +159,8 @@
         return reply
 
     async def _read_plain_request(self, connection: _Connection, scope: trio.CancelScope) -> Request | None:
-        """Returns the next request if its head is plain. Otherwise returns None: at the end of the connection, or with
-        the received bytes left in the buffer for h11."""
+        """Returns the next request if its head is plain (see `heads`). Otherwise returns None: at the end of the
+        connection, or with the received bytes left in the buffer for h11."""
         scope.deadline = trio.current_time() + connection.idle_s
         buffer = connection.buffer
         searched = 0
