--- a/sorrelsill/controller/components.py
+++ b/sorrelsill/controller/components.py
@@ -45,7 +45,7 @@
 
     on_term_changed: Callable[[int | None], None]  # the new term, or None when a term ends
     receives_no_heartbeats: Callable[[], bool]
-    has_other_candidates: Callable[[str], Awaitable[bool]]  # other than the former leader with this label
+    has_other_candidates: Callable[[str], Awaitable[bool]]  # given the label of the former leader, which does not count
     on_final: Callable[[str, Any], None]  # job ID and final record
     on_renewal_promise: Callable[[float], None]  # time up to which other controllers may renew leases
     on_peer_cancellations: Callable[[list[str]], None]  # jobs that a peer reports as cancelled
--- a/sorrelsill/controller/controller.py
+++ b/sorrelsill/controller/controller.py
@@ -95,7 +95,7 @@
 
     def _on_term_changed(self, term: int | None) -> None:
         """Called when a term begins, or with None when it ends. A new leader rebuilds its cluster state from the job
-        records, and learns from heartbeats what runs on the machines before it places anything."""
+        records, and places nothing on a machine before the machine has reported what runs on it."""
         if term is None:
             self.leader_term = None
             if self.membership is not None:
@@ -180,7 +180,7 @@
 
     def _on_final(self, job_id: str, value: Any) -> None:
         if self.cluster is not None:
-            self.cluster.end_job(job_id)  # the watch may return the removal of its record later than its final record
+            self.cluster.end_job(job_id)  # the watch may return the removal of the live record later than the final one
         if ended_in_phase(value, JobPhase.CANCELLED):
             self.cancellations.add(job_id, trio.current_time())
 
@@ -267,8 +267,8 @@
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def ready(self) -> bool:
-        """Whether this controller can serve requests. If a peer cannot reach the store either, it stays ready: it then
-        answers users with 503, which is better for them than a refused connection."""
+        """Whether this controller can serve requests. If this controller and a peer cannot reach the store, this
+        controller stays ready: users then get status 503, which is better for them than a refused connection."""
         if not self.watch_cache.loaded or self._draining:
             return False
         return self.store.failing_for() < constants.READY_STORE_S or self.degraded_mode.any_peer_store_failing()
@@ -295,8 +295,8 @@
             nursery.start_soon(self._loop, "fleet", self._fleet, constants.FLEET_TICK_S)
 
     async def drain(self) -> None:
-        """Planned shutdown: resigns, waits for a successor, and keeps answering until users and workers have found it.
-        After that the process may exit."""
+        """Planned shutdown: resigns, waits for a successor, and keeps answering for a while, so that users and workers
+        find the successor. The process may exit once this returns."""
         log_event(log, logging.INFO, "draining", term=self.elector.term)
         self._draining = True
         if self.membership is not None:
@@ -351,7 +351,7 @@
     async def _save_catalog(self, raw: Any) -> None:
         size = json_size(raw)
         if size > self.store.value_bytes:
-            # Not stored, so a new leader has to wait for the cloud's catalog.
+            # The store would refuse it. So a new leader has to wait until it has read the catalog from the cloud.
             log_event(log, logging.ERROR, "catalog_too_long", bytes=size, value_bytes=self.store.value_bytes)
             self._stored_catalog = raw
             return
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -38,7 +38,7 @@
         on_heartbeat: Callable[[], None],
     ) -> None:
         """`get_cluster`: returns the cluster state of the current term, or None if this controller does not lead;
-        `on_heartbeat`: called after each heartbeat that was applied to it."""
+        `on_heartbeat`: called after each heartbeat that was applied to the cluster state."""
         self._watch_cache = components.watch_cache
         self._elector = components.elector
         self._degraded_mode = components.degraded_mode
@@ -77,11 +77,11 @@
             commands = answer
             self._on_heartbeat()
         if cluster is None or not may_command:
-            # Degraded mode: no controller can lead. The response has the worker's own fencing token, so it renews the
-            # worker's lease, and has no other command than stops of cancelled tasks.
+            # Degraded mode: no controller can lead. The response has the worker's own fencing token, so that the worker
+            # accepts it and renews its lease, and has no other commands than stops of cancelled tasks.
             return Reply(200, encode(HeartbeatResponse(heartbeat.fencing_token, self._stop_commands(heartbeat, now))))
-        # Only a heartbeat that is newer than all before makes its connection that of the machine; a delayed duplicate
-        # does not.
+        # This heartbeat is newer than all earlier ones of the machine, so its connection becomes the machine's current
+        # connection. A delayed duplicate was answered with 503 above.
         return Reply(200, encode(HeartbeatResponse(cluster.term, commands)), owner=heartbeat.machine)
 
     def _redirect(self) -> Reply:
@@ -96,9 +96,10 @@
         return self._cancellations.may_renew(now)
 
     def _stop_commands(self, heartbeat: WorkerHeartbeat, now: float) -> list[Command]:
-        """In degraded mode: commands that stop the tasks of cancelled jobs. They are correct whichever controller leads
-        next, and a worker accepts them from any controller that sends its fencing token. A watch cache that was loaded
-        recently lacks earlier cancellations, so tasks of jobs that are not live in it are stopped as well."""
+        """In degraded mode: commands that stop the tasks of cancelled jobs. These are correct whichever controller
+        leads next, and a worker accepts them from any controller that sends the worker's own fencing token. A watch
+        cache that was loaded recently lacks earlier cancellations, so tasks of jobs that are not live in the cache are
+        stopped as well."""
         has_gap = self._watch_cache.fresh_at > float("-inf") and self._cancellations.may_have_missed_cancellation(now)
         commands: list[Command] = []
         for attempt in heartbeat.tasks:
--- a/sorrelsill/controller/job_loader.py
+++ b/sorrelsill/controller/job_loader.py
@@ -40,7 +40,7 @@
         self._watch_cache = watch_cache
         self._cancellations = cancellations
         self._wall_clock = wall_clock
-        self._ended_window_s = ended_window_s  # tasks of a job may run for so long after its end
+        self._ended_window_s = ended_window_s  # seconds for which tasks of a job may run after its end
 
     def load(self, cluster: ClusterState) -> None:
         """Fills the cluster state of a new term with all jobs whose tasks may still run from earlier terms: live jobs,
@@ -50,8 +50,8 @@
         for job_id, value, rev in self._watch_cache.jobs():
             if self._has_ended(job_id):
                 # The end is known from a peer or from a read of the final key, and the watch has not returned it yet.
-                # So the job is not among the recently ended ones below, and without this its tasks would not be
-                # counted at all.
+                # So the job is not among the recently ended ones below, and its tasks would not be counted if it were
+                # not added here.
                 readable &= self._add_ended(cluster, job_id, value)
             else:
                 readable &= self._add_live(cluster, job_id, value, rev)
@@ -104,11 +104,12 @@
         now = trio.current_time()
         age_s = max(0.0, self._wall_clock() - accepted)
         job = cluster.add_job(spec, done, rev, rev <= cluster.term, now - age_s, notes, accepted)
-        # The record already has this count. Otherwise a failover would cause one write per job.
+        # Taken from the record: otherwise every running job would seem to have started since its record was written,
+        # and a failover would cause one write per job.
         job.recorded_running = running_count(value)
         job.chunked |= bool(self._watch_cache.chunk_keys(job_id))
         if job.chunked and has_inline_tasks(value):
-            # Written by the previous version, which stores no progress chunks for a smaller job. The finished tasks
-            # that it added are only in the record, so all chunks have to be written before the record may omit them.
+            # Written by the previous version, which stores a job of at most `CHUNK_TASKS` tasks without chunks. The
+            # tasks finished since then are only in the record, so all chunks are written before the record omits them.
             job.unrecorded_small_chunks.update(range(-(-spec.task_count // constants.SMALL_CHUNK_TASKS)))
         return True
