--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -29,9 +29,12 @@
 RENEWAL_INTERVAL_MAX_S: Final = 5.0  # s; upper bound of the renewal interval and timeout, as in Strøm's guide
 # ratio; of the lease: how long the leader may act after sending the last successful renewal, as in Strøm's guide
 VALIDITY_OF_LEASE: Final = 2 / 3
-STALL_LIMIT_S: Final = 10.0  # s; a loop of the leader that does not report to the watchdog for this long is stalled
-# s; the leader steps down once a loop has been stalled for this long. Strøm's guide has 30 s, which is longer than the
-# workers' leases here.
+# s; a loop of the leader is stalled, and the leader steps down, when the loop has sent no heartbeat to the watchdog for
+# longer than this plus SELF_RELEASE_S. A gap of at least this length between two checks of the watchdog counts as a
+# pause of the whole process, which is not held against the loops.
+STALL_LIMIT_S: Final = 10.0
+# s; added to STALL_LIMIT_S for the time after which a loop is stalled and the leader steps down. Strøm's guide has
+# 30 s, which is longer than the workers' leases here.
 SELF_RELEASE_S: Final = 10.0
 # heartbeat intervals; a leader that has received heartbeats before steps down when none arrives from any worker for
 # this long plus NO_HEARTBEAT_EXTRA_S
@@ -141,7 +144,8 @@
 ADMIT_TRIES: Final = 3  # tries; to commit a batch that the store throttles or that contains an existing job
 ADMIT_DEADLINE_S: Final = 3.0  # s; to answer a submission or cancellation, since users wait 5 s
 POLL_DEADLINE_S: Final = 1.4  # s; to answer a poll, since users wait 2 s
-# s; a controller that alone cannot reach the store for this long reports that it is not ready
+# s; a controller that alone cannot reach the store for this long reports that it is not ready; after half of this time
+# without the store, a controller refuses polls of jobs that it does not know to have ended
 READY_STORE_S: Final = 3.0
 TEAM_JOBS_PAGE_SIZE: Final = 200  # jobs; per page of a team's list, well below the size limit of a response
 NOTES_KEPT: Final = 8  # notes; the newest ones kept per job on why its tasks stopped or wait
--- a/sorrelsill/membership/service.py
+++ b/sorrelsill/membership/service.py
@@ -39,7 +39,11 @@
 
 
 class Membership:
-    """This controller's view of the others. It informs the election and operators and takes no decisions itself."""
+    """This controller's view of the others, for operators and for the controller, and the record of handovers.
+
+    It takes no decisions itself. The election uses the view only through the controller's check for other candidates:
+    while a controller other than the former leader is alive, the controller directly before the former leader in
+    the workers' order waits ACQUIRE_DEFER_S before it tries to acquire the leader key."""
 
     def __init__(
         self,
--- a/sorrelsill/settings.py
+++ b/sorrelsill/settings.py
@@ -93,12 +93,12 @@
     @property
     def after_reductions(self) -> StateLimits:
         """The lower of the present and the future value of each limit."""
-        following = self.next or NextLimits()
+        next_limits = self.next or NextLimits()
         return StateLimits(
             self.rps,
-            min(self.write_rps, following.write_rps or self.write_rps),
-            min(self.value_kb, following.value_kb or self.value_kb),
-            min(self.txn_ops, following.txn_ops or self.txn_ops),
+            min(self.write_rps, next_limits.write_rps or self.write_rps),
+            min(self.value_kb, next_limits.value_kb or self.value_kb),
+            min(self.txn_ops, next_limits.txn_ops or self.txn_ops),
         )
 
 
@@ -144,12 +144,13 @@
 
     @property
     def optimise_latency(self) -> bool:
-        """Whether to optimise for latency instead of cost: an objective (`guarantee` or `finished`) limits the seconds
-        from the submission of a job to its end. When such work arrives, it is too late to boot a machine, so idle
-        machines are kept. Deadlines leave time to boot: if any class has a deadline, `finished` is only an outer bound
-        and does not count, as otherwise no idle machine would ever be returned. It does not count either if it is for
-        another class than the deadline, since that class gets headroom of its own. Objectives on cost are not known to
-        controllers, so cost is optimised for in all other cases."""
+        """Whether to optimise for latency instead of cost: there is an objective of kind `guarantee`, the share of the
+        work within a team's guarantee that must start within `within_s` seconds, or of kind `finished`, the limit of
+        the seconds from a job's submission to its end. Neither leaves time to boot a machine when such work arrives, so
+        idle machines are kept. Deadlines leave time to boot: if any class has a deadline, `finished` is only an outer
+        bound and does not count, as otherwise no idle machine would ever be returned. It does not count either if it is
+        for another class than the deadline, since that class gets headroom of its own. Objectives on cost are not known
+        to controllers, so cost is optimised for in all other cases."""
         objectives = self.platform.objectives
         kinds = {objective.kind for objective in objectives}
         return "guarantee" in kinds or "finished" in kinds and "deadline" not in kinds
