--- a/sorrelsill/constants.py
+++ b/sorrelsill/constants.py
@@ -204,7 +204,8 @@
 CLOUD_SHARE: Final = 0.8  # ratio; of the cloud's rate limit, planned to be used by the leader
 CLOUD_TIMEOUT_S: Final = 5.0  # s; for a response of the cloud
 LIST_EVERY_S: Final = 4.0  # s; minimum interval between two readings of the machine list
-LIST_SHARE: Final = 0.5  # ratio; of our request rate to the cloud: upper bound for reading pages of the machine list
+# ratio; at most this share of our planned request rate to the cloud is spent on reading pages of the machine list
+LIST_SHARE: Final = 0.5
 CATALOG_EVERY_S: Final = 60.0  # s; interval between readings of the catalog once it is known
 # s; first pause before an instance offer that was refused is requested again; doubles with each refusal in a row
 NO_CAPACITY_S: Final = 8.0
@@ -272,7 +273,7 @@
 PRESENCE_RENEW_OF_LEASE: Final = 0.25  # ratio; of the presence lease: renewal interval, so that three may be missed
 HANDOVERS_KEPT: Final = 100  # handovers; latest ones to this controller, kept for its metrics
 SHUTDOWN_WAIT_S: Final = 10.0  # s; a controller that shuts down waits for a successor for this long at most
-# s; a controller that shuts down answers and redirects clients for this long after its wait for a successor
+# s; after waiting for a successor, a controller that is shutting down keeps answering and redirecting for this long
 SHUTDOWN_LINGER_S: Final = 1.0
 REFUSAL_LOG_INTERVAL_S: Final = 10.0  # s; minimum interval between log lines on refused membership messages
 
--- a/sorrelsill/controller/heartbeat_routes.py
+++ b/sorrelsill/controller/heartbeat_routes.py
@@ -80,8 +80,8 @@
             # Degraded mode: no controller can lead. The response has the worker's own fencing token, so that the worker
             # accepts it and renews its lease, and has no other commands than stops of cancelled tasks.
             return Reply(200, encode(HeartbeatResponse(heartbeat.fencing_token, self._stop_commands(heartbeat, now))))
-        # This heartbeat is newer than all earlier ones of the machine, so its connection becomes the machine's current
-        # connection. A delayed duplicate was answered with 503 above.
+        # This heartbeat is newer than all earlier ones of the machine, so the worker owns this connection from now on,
+        # and its previous one is closed unless busy. A delayed duplicate was answered with 503 above.
         return Reply(200, encode(HeartbeatResponse(cluster.term, commands)), owner=heartbeat.machine)
 
     def _redirect(self) -> Reply:
@@ -97,9 +97,9 @@
 
     def _stop_commands(self, heartbeat: WorkerHeartbeat, now: float) -> list[Command]:
         """In degraded mode: commands that stop the tasks of cancelled jobs. These are correct whichever controller
-        leads next, and a worker accepts them from any controller that sends the worker's own fencing token. A watch
-        cache that was loaded recently lacks earlier cancellations, so tasks of jobs that are not live in the cache are
-        stopped as well."""
+        leads next, and a worker accepts them from any controller that sends the worker's own fencing token. If the
+        watch cache was loaded recently, jobs cancelled before that may be missing from it. While that is possible,
+        tasks of any job that the cache does not list as live are stopped as well."""
         has_gap = self._watch_cache.fresh_at > float("-inf") and self._cancellations.may_have_missed_cancellation(now)
         commands: list[Command] = []
         for attempt in heartbeat.tasks:
--- a/sorrelsill/http/heads.py
+++ b/sorrelsill/http/heads.py
@@ -17,7 +17,9 @@
 from sorrelsill import constants
 
 HEAD_END = b"\r\n\r\n"
-_PLACEHOLDER_HOST = "0.0.0.0:0"  # stands for the host in cached templates
+# The host with which a request head is encoded for the cache. It is then cut out, so that all hosts share one cached
+# head.
+_PLACEHOLDER_HOST = "0.0.0.0:0"
 _PLAIN_HOST = re.compile(r"[0-9.:]+")
 _CONNECTION_HEADERS = frozenset(
     {b"connection", b"transfer-encoding", b"expect", b"upgrade"}
--- a/sorrelsill/jobs/submissions.py
+++ b/sorrelsill/jobs/submissions.py
@@ -143,7 +143,8 @@
         for pending in batch:
             if pending.deadline > now:
                 by_job.setdefault(pending.spec.job_id, []).append(pending)
-        # A job that can't be accepted is looked up first: it may have been accepted before the limits changed.
+        # Before a job is rejected, it is looked up: it may have been accepted earlier, before the limits changed. While
+        # the catalog is unknown, every job is looked up instead of being committed.
         for job_id in list(by_job):
             spec = by_job[job_id][0].spec
             if self.catalog is None or infeasibility_reason(spec, self._teams, self.catalog) or self._is_too_long(spec):
--- a/sorrelsill/store/keys.py
+++ b/sorrelsill/store/keys.py
@@ -63,6 +63,6 @@
 
 
 def registry_key(machine: str) -> str:
-    """The first registry key for a machine. Machines share a small number of keys, so that adding or removing hundreds
-    of machines at once takes only a few writes."""
+    """The registry key to try first for a machine; a full key continues in s/m/<part>.1 and so on. Machines share a
+    small number of keys, so that adding or removing hundreds of machines at once takes only a few writes."""
     return f"{REGISTRY_PREFIX}{zlib.crc32(machine.encode()) % constants.REGISTRY_PARTS:02d}"
--- a/sorrelsill/workers/failover.py
+++ b/sorrelsill/workers/failover.py
@@ -67,7 +67,8 @@
         until it acknowledges our fencing token or its lease expires."""
         for name, value in registered:
             entry = RegistryEntry.from_stored(value)
-            # An entry from the previous version has no zone and no spot flag, so neither rules out any task.
+            # An entry from the previous version has no zone and no spot flag: the machine is then assumed to be able to
+            # hold tasks of any zone, and also tasks that must not run on spot machines.
             kind = MachineKind(entry.machine_type, entry.zone, entry.spot)
             if name in self.unconfirmed:
                 # The machine is in two keys of the registry. If it were counted twice but confirmed once, jobs from
--- a/sorrelsill/workers/machine_index.py
+++ b/sorrelsill/workers/machine_index.py
@@ -69,8 +69,8 @@
         return self._machines_by_image.get(image, _NO_MACHINES)
 
     def record_cached_image(self, machine: Machine, spec: JobSpec) -> None:
-        """Record that a task uses its image on the machine, so that the image is cached there and may have evicted
-        others."""
+        """Record that a task of the job uses its image on the machine: the image is now cached there, and other images
+        may have been evicted."""
         self._machines_by_image.setdefault(spec.image, MachineSet()).add(machine)
         for image in machine.record_cached_image(spec.image, spec.image_gb):
             self._remove_machine_with_image(machine, image)
--- a/sorrelsill/workers/messages.py
+++ b/sorrelsill/workers/messages.py
@@ -105,7 +105,7 @@
 
 
 class StopCommand(msgspec.Struct, frozen=True, tag_field="verb", tag="halt"):
-    """Stop a task. The task saves a checkpoint first if the grace period (seconds) is long enough."""
+    """Stop a task. The task saves a checkpoint first if the grace period (seconds) is long enough to write one."""
 
     task_id: str = msgspec.field(name="shard")
     attempt_number: int = msgspec.field(name="tryNo")
